--- a/bench/platform_mutations.py
+++ b/bench/platform_mutations.py
@@ -33,8 +33,8 @@
     Mutation(
         "P answers of other requests are not passed on",
         "request/answer_reader.py",
-        "        if answer.crossed:\n            self._lost",
-        "        if False:\n            self._lost",
+        "        if response.crossed:\n            self._fail_attempt",
+        "        if False:\n            self._fail_attempt",
         FORWARDING,
     ),
     Mutation(
@@ -196,7 +196,7 @@
     Mutation(
         "P few are looked at where word is late",
         "request/directory.py",
-        "if whole or len(endpoints.facts) <= self.sample_size():",
+        "if include_all or len(endpoints.facts) <= self.sample_size():",
         "if True:",
         DIRECTORY,
     ),
@@ -245,7 +245,7 @@
     Mutation(
         "P placements are told to peers at once",
         "process/forwarding/observations.py",
-        "        self._hub.directory.on_load = self._load_changed\n",
+        "        self._hub.directory.on_load_change = self._load_changed\n",
         "",
         REPORTS,
     ),
--- a/flamingofront/request/answer_reader.py
+++ b/flamingofront/request/answer_reader.py
@@ -10,13 +10,13 @@
 if TYPE_CHECKING:
     from flamingofront.request.forwarded_request import ForwardedRequest
 
-__all__ = ["FIRST_ERROR_STATUS", "AnswerReader"]
+__all__ = ["FIRST_ERROR_STATUS", "ResponseReader"]
 
 FIRST_ERROR_STATUS = 500
-MAX_WHOLE_BYTES = 8 * 1024 * 1024
+MAX_RESPONSE_BYTES = 8 * 1024 * 1024
 
 
-class AnswerReader:
+class ResponseReader:
     """Take the events of one attempt."""
 
     def __init__(self, request: "ForwardedRequest", attempt_id: str):
@@ -24,97 +24,99 @@
         self._attempt_id = attempt_id
         self._endpoint_id = request.endpoint_id
         self._sent_at = request.hub.now()
-        self._answer: EndpointAnswer | None = None
-        self._parts: list[bytes] = []
-        self._size = 0
-        request.relay.restart()
+        self._response: EndpointAnswer | None = None
+        self._chunks: list[bytes] = []
+        self._received_bytes = 0
+        request.relay.discard_partial_event()
 
     def __call__(self, event: CallEvent) -> None:
         """Take one event; the last one ends the attempt."""
         if isinstance(event, ResponseHead):
-            self._take_head(event)
+            self._on_head(event)
         elif isinstance(event, ResponseData):
-            self._take_data(event.data)
+            self._on_data(event.data)
         elif isinstance(event, ResponseEnd):
-            self._take_end()
+            self._on_end()
         else:
-            self._take_failure(event)
+            self._on_failure(event)
 
-    def _lost(self, ran: Ran, reason: str) -> None:
+    def _fail_attempt(self, ran: Ran, reason: str) -> None:
         self._request.lost(self._attempt_id, ran, reason)
 
-    def _take_head(self, head: ResponseHead) -> None:
-        answer = self._request.protocol.judge(self._request.work.caller_id, head)
-        if not answer.crossed and not answer.wrong_endpoint:
+    def _on_head(self, head: ResponseHead) -> None:
+        response = self._request.protocol.judge(self._request.work.caller_id, head)
+        if not response.crossed and not response.wrong_endpoint:
             # Before the attempt ends: the next one is chosen by it.
-            self._take_limit(answer)
-            self._take_availability(answer)
-        if answer.crossed:
-            self._lost(Ran.UNKNOWN, "crossed answer")
-        elif answer.wrong_endpoint:
-            self._request.hub.directory.address_reused(self._request.endpoint_id)
-            self._lost(Ran.NO, "another endpoint has the address")
-        elif answer.not_run:
-            self._lost(Ran.NO, f"refused with status {answer.status}")
+            self._apply_rate_limit(response)
+            self._apply_availability(response)
+        if response.crossed:
+            self._fail_attempt(Ran.UNKNOWN, "crossed answer")
+        elif response.wrong_endpoint:
+            self._request.hub.directory.mark_address_reused(self._request.endpoint_id)
+            self._fail_attempt(Ran.NO, "another endpoint has the address")
+        elif response.not_run:
+            self._fail_attempt(Ran.NO, f"refused with status {response.status}")
         else:
-            self._answer = answer
-        if not answer.crossed:
+            self._response = response
+        if not response.crossed:
             directory = self._request.hub.directory
-            directory.reached(self._request.endpoint_id, self._request.hub.now())
+            directory.record_contact(self._request.endpoint_id, self._request.hub.now())
 
-    def _take_limit(self, answer: EndpointAnswer) -> None:
+    def _apply_rate_limit(self, response: EndpointAnswer) -> None:
         """Take what the endpoint says of the rate that it takes, whatever else it answers."""
-        if answer.names_limit and answer.rate_limit is None:
+        if response.names_limit and response.rate_limit is None:
             return
-        self._request.hub.limits.answered(
-            self._endpoint_id, answer.rate_limit, self._sent_at, self._request.request_id
+        self._request.hub.limits.record_response(
+            self._endpoint_id, response.rate_limit, self._sent_at, self._request.request_id
         )
 
-    def _take_availability(self, answer: EndpointAnswer) -> None:
+    def _apply_availability(self, response: EndpointAnswer) -> None:
         """Take what the endpoint says of further requests: none at all, or none for a while."""
         request = self._request
-        if answer.leaving:
-            request.hub.on_leaving(self._endpoint_id, request.request_id)
-        if answer.pause is not None:
-            request.hub.pauses.start(self._endpoint_id, answer.pause, request.request_id)
+        if response.leaving:
+            request.hub.on_endpoint_leaving(self._endpoint_id, request.request_id)
+        if response.pause is not None:
+            request.hub.backoffs.start(self._endpoint_id, response.pause, request.request_id)
         else:
-            request.hub.pauses.answered(self._endpoint_id, self._sent_at)
+            request.hub.backoffs.record_response(self._endpoint_id, self._sent_at)
 
     @property
     def _is_stream(self) -> bool:
-        return self._answer.stream and self._answer.status == 200
+        return self._response.stream and self._response.status == 200
 
-    def _take_data(self, data: bytes) -> None:
+    def _on_data(self, data: bytes) -> None:
         if self._is_stream:
-            self._relay(data)
+            self._relay_events(data)
             return
-        self._parts.append(data)
-        self._size += len(data)
-        if self._size > MAX_WHOLE_BYTES:
-            self._lost(Ran.UNKNOWN, "the answer is too large")
+        self._chunks.append(data)
+        self._received_bytes += len(data)
+        if self._received_bytes > MAX_RESPONSE_BYTES:
+            self._fail_attempt(Ran.UNKNOWN, "the answer is too large")
 
-    def _relay(self, data: bytes) -> None:
+    def _relay_events(self, data: bytes) -> None:
         try:
             whole = self._request.relay.feed(data)
         except ValueError as exc:
-            self._lost(Ran.UNKNOWN, str(exc))
+            self._fail_attempt(Ran.UNKNOWN, str(exc))
             return
         if whole:
-            self._request.pass_events(self._attempt_id, self._answer, whole)
-
-    def _take_end(self) -> None:
-        answer = self._answer
-        body = b"".join(self._parts)
-        complete = RelayedAnswer(answer.status, answer.fields, body)
-        if self._is_stream and (self._request.relay.incomplete or not self._request.relay.count):
+            self._request.pass_events(self._attempt_id, self._response, whole)
+
+    def _on_end(self) -> None:
+        response = self._response
+        body = b"".join(self._chunks)
+        complete = RelayedAnswer(response.status, response.fields, body)
+        if self._is_stream and (
+            self._request.relay.has_partial_event or not self._request.relay.count
+        ):
             self._request.connection_broke(self._attempt_id)
-            self._lost(Ran.UNKNOWN, "the stream ended within an event")
+            self._fail_attempt(Ran.UNKNOWN, "the stream ended within an event")
         elif self._request.begun and not self._is_stream:
-            self._lost(Ran.UNKNOWN, f"the stream went on with status {answer.status}")
-        elif answer.status >= FIRST_ERROR_STATUS:
+            self._fail_attempt(Ran.UNKNOWN, f"the stream went on with status {response.status}")
+        elif response.status >= FIRST_ERROR_STATUS:
             self._request.endpoint_error(self._attempt_id, complete)
         else:
             self._request.answered(self._attempt_id, complete)
 
-    def _take_failure(self, event: CallFailed) -> None:
+    def _on_failure(self, event: CallFailed) -> None:
         self._request.call_failed(self._attempt_id, event)
--- a/flamingofront/request/attempt_pace.py
+++ b/flamingofront/request/attempt_pace.py
@@ -2,15 +2,15 @@
 
 from flamingofront.decisions.engine_rates import EngineRates
 
-__all__ = ["AttemptPace"]
+__all__ = ["AttemptLatency"]
 
 # An answer is slow that takes so many times as long as expected, and so many seconds more. A single
 # one may be so by a queue or a cold cache: only the share of them is compared, between versions.
-SLOW_TIMES = 3.0
-SLOW_SECONDS = 0.1
+SLOW_FACTOR = 3.0
+SLOW_MARGIN_SECONDS = 0.1
 
 
-class AttemptPace:
+class AttemptLatency:
     """Judges one attempt.
 
     Parameters
@@ -21,17 +21,17 @@
         Seconds to its first event, or to its whole answer, by the learned rates.
     """
 
-    def __init__(self, sent_at: float = 0.0, expected: float = 0.0):
+    def __init__(self, sent_at: float = 0.0, expected_seconds: float = 0.0):
         self._sent_at = sent_at
-        self._expected = expected
-        self._began_at: float | None = None
+        self._expected_seconds = expected_seconds
+        self._started_at: float | None = None
         self._is_slow = False
 
-    def began(self, now: float) -> None:
+    def record_start(self, now: float) -> None:
         """Take note of a first event, or of a whole answer; later ones change nothing."""
-        if self._began_at is None:
-            self._began_at = now
-            self._is_slow = now - self._sent_at > _limit(self._expected)
+        if self._started_at is None:
+            self._started_at = now
+            self._is_slow = now - self._sent_at > _slow_threshold(self._expected_seconds)
 
     def is_slow(self, now: float, events: int, rates: EngineRates) -> bool:
         """Tell whether the attempt took too long, at its end.
@@ -41,11 +41,11 @@
         events : int
             Events of its stream; 0 for a whole answer.
         """
-        self.began(now)
-        between = now - self._began_at
-        return self._is_slow or between > _limit(rates.pause_seconds * events)
+        self.record_start(now)
+        streaming_seconds = now - self._started_at
+        return self._is_slow or streaming_seconds > _slow_threshold(rates.pause_seconds * events)
 
 
-def _limit(expected: float) -> float:
+def _slow_threshold(expected_seconds: float) -> float:
     """Return the seconds from which on something is slow that takes so many usually."""
-    return SLOW_TIMES * expected + SLOW_SECONDS
+    return SLOW_FACTOR * expected_seconds + SLOW_MARGIN_SECONDS
--- a/flamingofront/request/directory.py
+++ b/flamingofront/request/directory.py
@@ -22,15 +22,15 @@
 
 __all__ = ["MAX_CANDIDATES", "EndpointDirectory", "SharedPrefix", "is_drained"]
 
-SLOWNESS_GAIN = 0.2
-MAX_SLOWNESS = 20.0
-REPORT_SECONDS = 10.0
-DEFAULT_RECLAIM_RATE = 0.05
+SLOWNESS_EWMA_WEIGHT = 0.2
+MAX_SLOWNESS_RATIO = 20.0
+MAX_REPORT_AGE_SECONDS = 10.0
+DEFAULT_RECLAIM_RISK = 0.05
 # Endpoints that cannot be connected to are left out for a time that doubles up to the longest one.
-UNREACHABLE_SECONDS = 1.0
-LONGEST_UNREACHABLE_SECONDS = 4.0
+INITIAL_BACKOFF_SECONDS = 1.0
+MAX_BACKOFF_SECONDS = 4.0
 MAX_CANDIDATES = 32
-MAX_WARM = 4
+MAX_PREFIX_HOLDERS = 4
 
 
 def is_drained(fact: Fact, cfg: Configuration) -> bool:
@@ -52,10 +52,10 @@
 
 
 @dataclass(frozen=True)
-class _Report:
+class _LoadReport:
     load: float
-    own_in_flight: int
-    at: float
+    local_in_flight: int
+    received_at: float
 
 
 class _ServiceEndpoints:
@@ -71,25 +71,25 @@
 
 
 @dataclass(frozen=True)
-class _View:
+class _ChoiceContext:
     """What is the same for all candidates of one choice.
 
     Parameters
     ----------
     home : str
         Endpoint at which all processes expect the shared part of the prompt.
-    home_tokens : int
+    prefix_owner_tokens : int
         Tokens of that shared part.
     """
 
     now: float
     drained: frozenset[str]
     ejected: frozenset[str]
-    usual_seconds: float
-    home: str
-    home_tokens: int
+    median_token_seconds: float
+    prefix_owner: str
+    prefix_owner_tokens: int
     closed: frozenset[str]
-    own_share: float
+    local_share: float
     report_weight: float
 
 
@@ -120,32 +120,36 @@
         self._facts = facts
         self._zone = zone
         self.sample_size: Callable[[], int] = lambda: MAX_CANDIDATES
-        self.first: Callable[[Mapping[str, str]], tuple[str, ...]] = lambda endpoints: ()
-        self.before_choice: Callable[[], None] = lambda: None
-        self.noted = NotedPrompts()
+        self.preferred_endpoints: Callable[[Mapping[str, str]], tuple[str, ...]] = (
+            lambda endpoints: ()
+        )
+        self.refresh_loads: Callable[[], None] = lambda: None
+        self.noted_prompts = NotedPrompts()
         self.health = EndpointHealth(rng)
         self.prefixes = PrefixIndex()
         self.configuration = Configuration()
-        self.own_share: Callable[[], float] = lambda: 1.0
+        self.local_share: Callable[[], float] = lambda: 1.0
         self._in_flight: Counter[str] = Counter()
         self._reported_at: float | None = None
         self._backlog: Counter[str] = Counter()
-        self.on_load: Callable[[str, int, int], None] = lambda endpoint_id, requests, tokens: None
+        self.on_load_change: Callable[[str, int, int], None] = (
+            lambda endpoint_id, requests, tokens: None
+        )
         self._peer_backlog: dict[str, int] = {}
-        self._reports: dict[str, _Report] = {}
+        self._reports: dict[str, _LoadReport] = {}
         self._token_seconds: dict[str, float] = {}
-        self._unreachable: dict[str, float] = {}
+        self._backoff_until: dict[str, float] = {}
         self._connect_failures: Counter[str] = Counter()
-        self._reached_at: dict[str, float] = {}
+        self._last_contact_at: dict[str, float] = {}
         self.zones = ZoneReach()
         self._index: dict[str, _ServiceEndpoints] = {}
-        self._basis = (-1, -1)
+        self._index_key = (-1, -1)
 
-    def _endpoints(self, service: str) -> "_ServiceEndpoints":
+    def _endpoints_of(self, service: str) -> "_ServiceEndpoints":
         """Return the live endpoints of a service, from an index kept with facts and drains."""
-        basis = (self._facts.changes, self.configuration.revision)
-        if basis != self._basis:
-            self._basis = basis
+        index_key = (self._facts.changes, self.configuration.revision)
+        if index_key != self._index_key:
+            self._index_key = index_key
             self._index = self._build_index()
         return self._index.get(service, _NO_ENDPOINTS)
 
@@ -161,7 +165,7 @@
             for name, facts in by_service.items()
         }
 
-    def leaving(self, endpoint_id: str) -> bool:
+    def is_unavailable(self, endpoint_id: str) -> bool:
         """Tell whether an endpoint gets no new work."""
         fact = self._facts.get(endpoint_id)
         if fact is None or fact.state is not VmState.LIVE:
@@ -180,7 +184,7 @@
         now: float,
         rng: random.Random,
         shared: "SharedPrefix | None" = None,
-        whole: bool = False,
+        include_all: bool = False,
         rule: VersionRule | None = None,
         closed: frozenset[str] = frozenset(),
     ) -> list[Candidate]:
@@ -191,7 +195,7 @@
         shared : SharedPrefix, optional
             Part of the prompt that other requests have too. Processes do not tell one another what
             the caches hold; they all expect it at the same endpoint, by its hash.
-        whole : bool
+        include_all : bool
             Return all endpoints, also where there are many.
         rule : VersionRule, optional
             Which versions may be chosen, during a roll-out.
@@ -204,47 +208,51 @@
         the time of a choice then does not grow with the fleet, and processes that all have the same
         late word of the loads do not all pick the same endpoint.
         """
-        self.before_choice()
-        endpoints = self._endpoints(service.name)
+        self.refresh_loads()
+        endpoints = self._endpoints_of(service.name)
         if rule is not None:
             endpoints = _ServiceEndpoints(rule.select(endpoints.facts), endpoints.drained)
         ejected = self.health.ejected(endpoints.facts, now)
-        home = self._home(endpoints, shared)
-        if whole or len(endpoints.facts) <= self.sample_size():
+        prefix_owner = self._find_prefix_owner(endpoints, shared)
+        if include_all or len(endpoints.facts) <= self.sample_size():
             facts = list(endpoints.facts.values())
         else:
-            facts = self._sample(
-                endpoints, ejected | closed, (home, *self._warmest(hashes)), now, rng
+            facts = self._sample_endpoints(
+                endpoints,
+                ejected | closed,
+                (prefix_owner, *self._find_prefix_holders(hashes)),
+                now,
+                rng,
             )
         ids = [fact.vm_id for fact in facts]
-        view = _View(
+        context = _ChoiceContext(
             now=now,
             drained=endpoints.drained,
             ejected=ejected,
-            usual_seconds=self._usual_token_seconds(ids),
-            home=home,
-            home_tokens=shared.tokens if shared is not None else 0,
+            median_token_seconds=self._median_token_seconds(ids),
+            prefix_owner=prefix_owner,
+            prefix_owner_tokens=shared.tokens if shared is not None else 0,
             closed=closed,
-            own_share=self.own_share(),
+            local_share=self.local_share(),
             report_weight=report_weight(sum(self._in_flight[each] for each in ids), len(ids)),
         )
-        return [self._candidate(fact, service, hashes, view) for fact in facts]
+        return [self._make_candidate(fact, service, hashes, context) for fact in facts]
 
     @staticmethod
-    def _home(endpoints: "_ServiceEndpoints", shared: "SharedPrefix | None") -> str:
+    def _find_prefix_owner(endpoints: "_ServiceEndpoints", shared: "SharedPrefix | None") -> str:
         if shared is None:
             return ""
         staying = [each for each in endpoints.ids if each not in endpoints.drained]
         return rank(shared.key, staying)[0] if staying else ""
 
-    def _warmest(self, hashes: tuple[str, ...]) -> list[str]:
-        return sorted(self.prefixes.warmest(hashes))[:MAX_WARM]
+    def _find_prefix_holders(self, hashes: tuple[str, ...]) -> list[str]:
+        return sorted(self.prefixes.longest_prefix_holders(hashes))[:MAX_PREFIX_HOLDERS]
 
-    def _sample(
+    def _sample_endpoints(
         self,
         endpoints: "_ServiceEndpoints",
         ejected: Collection[str],
-        wanted: Iterable[str],
+        required: Iterable[str],
         now: float,
         rng: random.Random,
     ) -> list[Fact]:
@@ -264,22 +272,24 @@
         if not usable:
             return list(endpoints.facts.values())
         size = self.sample_size()
-        chosen = dict.fromkeys(self.first({name: endpoints.facts[name].zone for name in usable}))
+        chosen = dict.fromkeys(
+            self.preferred_endpoints({name: endpoints.facts[name].zone for name in usable})
+        )
         if not chosen:
             near = [each for each in usable if endpoints.facts[each].zone == self._zone]
             chosen = dict.fromkeys(rng.sample(near, min(size // 2, len(near))))
         chosen.update(dict.fromkeys(rng.sample(usable, min(size - len(chosen), len(usable)))))
-        chosen.update(dict.fromkeys(each for each in wanted if each in endpoints.facts))
+        chosen.update(dict.fromkeys(each for each in required if each in endpoints.facts))
         return [endpoints.facts[each] for each in chosen]
 
-    def _candidate(
-        self, fact: Fact, service: Service, hashes: tuple[str, ...], view: "_View"
+    def _make_candidate(
+        self, fact: Fact, service: Service, hashes: tuple[str, ...], context: "_ChoiceContext"
     ) -> Candidate:
         endpoint_id = fact.vm_id
         report = self._reports.get(endpoint_id)
-        if report is not None and view.now - report.at > REPORT_SECONDS:
+        if report is not None and context.now - report.received_at > MAX_REPORT_AGE_SECONDS:
             report = None
-        noted_requests, noted_tokens = self.noted.at(endpoint_id, view.now)
+        noted_requests, noted_tokens = self.noted_prompts.at(endpoint_id, context.now)
         backlog = self._backlog[endpoint_id] + self._peer_backlog.get(endpoint_id, 0)
         return Candidate(
             endpoint_id=endpoint_id,
@@ -290,83 +300,89 @@
             slots=fact.slots or service.slots,
             own_in_flight=self._in_flight[endpoint_id],
             reported_load=(report.load if report else 0.0) + noted_requests,
-            own_at_report=report.own_in_flight if report else 0,
-            cached_tokens=self._cached_tokens(endpoint_id, hashes, view),
+            own_at_report=report.local_in_flight if report else 0,
+            cached_tokens=self._cached_tokens(endpoint_id, hashes, context),
             backlog_tokens=backlog + noted_tokens,
-            reclaim_risk=DEFAULT_RECLAIM_RATE if fact.reclaimable else 0.0,
-            slowness=self._slowness(endpoint_id, view.usual_seconds),
-            leaving=endpoint_id in view.drained,
-            ejected=endpoint_id in view.ejected,
-            reachable=self._is_reachable(fact, view.now),
-            own_share=view.own_share,
-            report_weight=view.report_weight,
-            closed=endpoint_id in view.closed,
+            reclaim_risk=DEFAULT_RECLAIM_RISK if fact.reclaimable else 0.0,
+            slowness=self._slowness(endpoint_id, context.median_token_seconds),
+            leaving=endpoint_id in context.drained,
+            ejected=endpoint_id in context.ejected,
+            reachable=self._is_reachable(fact, context.now),
+            own_share=context.local_share,
+            report_weight=context.report_weight,
+            closed=endpoint_id in context.closed,
         )
 
-    def _cached_tokens(self, endpoint_id: str, hashes: tuple[str, ...], view: "_View") -> int:
+    def _cached_tokens(
+        self, endpoint_id: str, hashes: tuple[str, ...], context: "_ChoiceContext"
+    ) -> int:
         known = self.prefixes.cached_tokens(endpoint_id, hashes)
-        return max(known, view.home_tokens) if endpoint_id == view.home else known
+        return (
+            max(known, context.prefix_owner_tokens)
+            if endpoint_id == context.prefix_owner
+            else known
+        )
 
     def capacity(self, service: Service) -> int:
         """Return the slots of the endpoints that may get new work."""
-        endpoints = self._endpoints(service.name)
+        endpoints = self._endpoints_of(service.name)
         return service.slots * (len(endpoints.facts) - len(endpoints.drained))
 
     def zones_of(self, service: str) -> dict[str, str]:
         """Return the zone of each endpoint that may get new work of a service."""
-        endpoints = self._endpoints(service)
+        endpoints = self._endpoints_of(service)
         return {
             name: fact.zone
             for name, fact in endpoints.facts.items()
             if name not in endpoints.drained
         }
 
-    def slots(self, service: str) -> int:
+    def advertised_slots(self, service: str) -> int:
         """Return the slots that the endpoints of a service tell; 0 if they tell none."""
-        facts = self._endpoints(service).facts
+        facts = self._endpoints_of(service).facts
         return max((fact.slots for fact in facts.values()), default=0)
 
-    def address_reused(self, endpoint_id: str) -> None:
+    def mark_address_reused(self, endpoint_id: str) -> None:
         """Leave an endpoint out whose address belongs to another one now."""
         self._facts.mark(endpoint_id, VmState.GONE)
 
-    def started(self, endpoint_id: str) -> None:
+    def record_attempt_start(self, endpoint_id: str) -> None:
         """Note an attempt that runs on an endpoint."""
         self._in_flight[endpoint_id] += 1
-        self.on_load(endpoint_id, 1, 0)
+        self.on_load_change(endpoint_id, 1, 0)
 
-    def ended(self, endpoint_id: str) -> None:
+    def record_attempt_end(self, endpoint_id: str) -> None:
         """Note that an attempt is over."""
         self._in_flight[endpoint_id] -= 1
-        self.on_load(endpoint_id, -1, 0)
+        self.on_load_change(endpoint_id, -1, 0)
         if self._in_flight[endpoint_id] <= 0:
             del self._in_flight[endpoint_id]
 
-    def in_flight(self, endpoint_id: str) -> int:
+    def in_flight_at(self, endpoint_id: str) -> int:
         """Return the attempts of this process on an endpoint."""
         return self._in_flight[endpoint_id]
 
-    def queued(self, endpoint_id: str, tokens: int) -> None:
+    def add_backlog(self, endpoint_id: str, tokens: int) -> None:
         """Note prompt tokens that an endpoint has to read."""
         self._backlog[endpoint_id] += tokens
-        self.on_load(endpoint_id, 0, tokens)
+        self.on_load_change(endpoint_id, 0, tokens)
 
-    def dequeued(self, endpoint_id: str, tokens: int) -> None:
+    def remove_backlog(self, endpoint_id: str, tokens: int) -> None:
         """Note that an endpoint has read them, or need not any more."""
         self._backlog[endpoint_id] -= tokens
-        self.on_load(endpoint_id, 0, -tokens)
+        self.on_load_change(endpoint_id, 0, -tokens)
         if self._backlog[endpoint_id] <= 0:
             del self._backlog[endpoint_id]
 
-    def all_backlog(self) -> dict[str, int]:
+    def backlog_by_endpoint(self) -> dict[str, int]:
         """Return the prompt tokens that wait on behalf of this process, by endpoint."""
         return dict(self._backlog)
 
-    def peers_queued(self, tokens: Mapping[str, int]) -> None:
+    def set_peer_backlog(self, tokens: Mapping[str, int]) -> None:
         """Take the prompt tokens that wait on behalf of the other processes."""
         self._peer_backlog = dict(tokens)
 
-    def peer_changed(self, endpoint_id: str, requests: int, tokens: int) -> None:
+    def apply_peer_change(self, endpoint_id: str, requests: int, tokens: int) -> None:
         """Take what another process has just begun or ended at an endpoint."""
         self._peer_backlog[endpoint_id] = max(0, self._peer_backlog.get(endpoint_id, 0) + tokens)
         report = self._reports.get(endpoint_id)
@@ -374,7 +390,7 @@
             load = max(0.0, report.load + requests)
             self._reports[endpoint_id] = replace(report, load=load)
 
-    def all_in_flight(self) -> dict[str, int]:
+    def in_flight_by_endpoint(self) -> dict[str, int]:
         """Return the attempts of this process, by endpoint."""
         return dict(self._in_flight)
 
@@ -384,24 +400,26 @@
         own = float(self._in_flight[endpoint_id])
         if report is None:
             return own
-        return max(own, report.load + own - report.own_in_flight)
+        return max(own, report.load + own - report.local_in_flight)
 
-    def loads_age(self, now: float) -> float | None:
+    def load_report_age(self, now: float) -> float | None:
         """Return the seconds since the last load reports; None if there were none."""
         return None if self._reported_at is None else round(now - self._reported_at, 3)
 
-    def reported(self, loads: Mapping[str, float], now: float) -> None:
+    def apply_load_reports(self, loads: Mapping[str, float], now: float) -> None:
         """Take load reports."""
         self._reported_at = now
         for endpoint_id, load in loads.items():
-            self._reports[endpoint_id] = _Report(load, self._in_flight[endpoint_id], now)
+            self._reports[endpoint_id] = _LoadReport(load, self._in_flight[endpoint_id], now)
 
-    def observed(self, endpoint_id: str, token_seconds: float) -> None:
+    def record_token_time(self, endpoint_id: str, token_seconds: float) -> None:
         """Take the time between tokens that an attempt saw."""
         known = self._token_seconds.get(endpoint_id, token_seconds)
-        self._token_seconds[endpoint_id] = known + SLOWNESS_GAIN * (token_seconds - known)
+        self._token_seconds[endpoint_id] = known + SLOWNESS_EWMA_WEIGHT * (token_seconds - known)
 
-    def connect_failed(self, endpoint_id: str, now: float, refused: bool = False) -> None:
+    def record_connect_failure(
+        self, endpoint_id: str, now: float, is_refused: bool = False
+    ) -> None:
         """Leave an endpoint out for a moment because it could not be connected to.
 
         Parameters
@@ -413,24 +431,24 @@
         """
         tries = self._connect_failures[endpoint_id]
         self._connect_failures[endpoint_id] += 1
-        seconds = min(LONGEST_UNREACHABLE_SECONDS, UNREACHABLE_SECONDS * 2**tries)
-        self._unreachable[endpoint_id] = now + seconds
+        seconds = min(MAX_BACKOFF_SECONDS, INITIAL_BACKOFF_SECONDS * 2**tries)
+        self._backoff_until[endpoint_id] = now + seconds
         fact = self._facts.get(endpoint_id)
-        if fact is not None and not refused:
+        if fact is not None and not is_refused:
             self.zones.failed(fact.zone, endpoint_id, now)
 
-    def reached(self, endpoint_id: str, now: float) -> None:
+    def record_contact(self, endpoint_id: str, now: float) -> None:
         """Note that an endpoint has sent something."""
-        self._reached_at[endpoint_id] = now
+        self._last_contact_at[endpoint_id] = now
         if endpoint_id in self._connect_failures:
             del self._connect_failures[endpoint_id]
         fact = self._facts.get(endpoint_id)
         if fact is not None:
             self.zones.spoke(fact.zone, now)
 
-    def reached_at(self, endpoint_id: str) -> float:
+    def last_contact_at(self, endpoint_id: str) -> float:
         """Return when an endpoint last sent something; minus infinity if it never did."""
-        return self._reached_at.get(endpoint_id, -math.inf)
+        return self._last_contact_at.get(endpoint_id, -math.inf)
 
     def is_reachable(self, endpoint_id: str, now: float) -> bool:
         """Tell whether an endpoint seems to be reached from here."""
@@ -438,7 +456,7 @@
         return fact is not None and self._is_reachable(fact, now)
 
     def _is_reachable(self, fact: Fact, now: float) -> bool:
-        if self._unreachable.get(fact.vm_id, -math.inf) > now:
+        if self._backoff_until.get(fact.vm_id, -math.inf) > now:
             return False
         return not self.zones.is_cut_off(fact.zone, now)
 
@@ -473,28 +491,28 @@
         fact = self._facts.get(endpoint_id)
         return fact.zone if fact is not None else ""
 
-    def _usual_token_seconds(self, ids: Iterable[str]) -> float:
+    def _median_token_seconds(self, ids: Iterable[str]) -> float:
         known = sorted(self._token_seconds[each] for each in ids if each in self._token_seconds)
         return known[len(known) // 2] if known else 0.0
 
-    def _slowness(self, endpoint_id: str, usual: float) -> float:
+    def _slowness(self, endpoint_id: str, median: float) -> float:
         observed = self._token_seconds.get(endpoint_id)
-        if observed is None or usual <= 0:
+        if observed is None or median <= 0:
             return 1.0
-        return min(MAX_SLOWNESS, max(0.5, observed / usual))
+        return min(MAX_SLOWNESS_RATIO, max(0.5, observed / median))
 
     def forget(self, endpoint_id: str) -> None:
         """Drop what is known of an endpoint that is gone."""
         self.health.forget(endpoint_id)
         self.prefixes.forget(endpoint_id)
-        self.noted.forget(endpoint_id)
+        self.noted_prompts.forget(endpoint_id)
         tables = (
             self._reports,
             self._peer_backlog,
             self._token_seconds,
-            self._unreachable,
+            self._backoff_until,
             self._connect_failures,
-            self._reached_at,
+            self._last_contact_at,
         )
         for table in tables:
             table.pop(endpoint_id, None)
--- a/flamingofront/request/event_stream.py
+++ b/flamingofront/request/event_stream.py
@@ -6,7 +6,7 @@
 
 _EVENT_END = re.compile(rb"\r?\n\r?\n")
 _EVENT_ID = re.compile(rb"(?:^|\n)id:[ ]?([^\r\n]*)")
-_LIMIT = 1024 * 1024
+_MAX_EVENT_BYTES = 1024 * 1024
 
 
 class EventRelay:
@@ -24,11 +24,11 @@
         self._buffer = b""
 
     @property
-    def incomplete(self) -> bool:
+    def has_partial_event(self) -> bool:
         """True if bytes of an unfinished event are held."""
         return bool(self._buffer)
 
-    def restart(self) -> None:
+    def discard_partial_event(self) -> None:
         """Drop the unfinished event: another endpoint goes on behind the last whole one."""
         self._buffer = b""
 
@@ -43,14 +43,14 @@
         self._buffer += data
         end = 0
         for match in _EVENT_END.finditer(self._buffer):
-            self._note(self._buffer[end : match.end()])
+            self._record_event(self._buffer[end : match.end()])
             end = match.end()
         whole, self._buffer = self._buffer[:end], self._buffer[end:]
-        if len(self._buffer) > _LIMIT:
+        if len(self._buffer) > _MAX_EVENT_BYTES:
             raise ValueError("an event is too large")
         return whole
 
-    def _note(self, event: bytes) -> None:
+    def _record_event(self, event: bytes) -> None:
         self.count += 1
         match = _EVENT_ID.search(event)
         if match is None:
--- a/flamingofront/request/fingerprint.py
+++ b/flamingofront/request/fingerprint.py
@@ -12,13 +12,13 @@
 from flamingofront.request.forward_work import ForwardWork
 from flamingofront.request.records import ModelWork, PlainWork, RequestRecord
 
-__all__ = ["fingerprint_of"]
+__all__ = ["compute_fingerprint"]
 
 # 64 bits: among a million requests two differing ones share it once in 37 million cases.
 FINGERPRINT_BYTES = 8
 
 
-def fingerprint_of(record: RequestRecord) -> str:
+def compute_fingerprint(record: RequestRecord) -> str:
     """Return the fingerprint of a request: a digest of its caller, target and body.
 
     Notes
@@ -26,21 +26,21 @@
     A body of 12 KB takes 32 us (least of three runs of 2,000).
     """
     digest = hashlib.blake2b(digest_size=FINGERPRINT_BYTES)
-    for part in (record.workspace.encode(), *_parts(record)):
+    for field in (record.workspace.encode(), *_fingerprint_fields(record)):
         # The length keeps apart what would be the same bytes when joined.
-        digest.update(b"%d:" % len(part))
-        digest.update(part)
+        digest.update(b"%d:" % len(field))
+        digest.update(field)
     return digest.hexdigest()
 
 
-def _parts(record: RequestRecord) -> Iterable[bytes]:
+def _fingerprint_fields(record: RequestRecord) -> Iterable[bytes]:
     work = record.work
     if isinstance(work, ForwardWork):
         return work.method.encode(), work.host.lower().encode(), work.target.encode(), work.body
     if isinstance(work, PlainWork):
         return record.route.encode(), work.method.encode(), work.path.encode(), work.body
-    return _model_parts(work)
+    return _model_fields(work)
 
 
-def _model_parts(work: ModelWork) -> Iterable[bytes]:
+def _model_fields(work: ModelWork) -> Iterable[bytes]:
     return work.model.encode(), orjson.dumps([work.prompt, work.max_tokens])
--- a/flamingofront/request/guard.py
+++ b/flamingofront/request/guard.py
@@ -22,25 +22,25 @@
 from flamingofront.process.logs import Log
 from flamingofront.process.metrics import Metrics
 from flamingofront.process.timers import TimerService
-from flamingofront.request.endpoint_ends import EndpointEnds
-from flamingofront.request.fingerprint import fingerprint_of
-from flamingofront.request.intent_gate import IntentGate, NoIntents
+from flamingofront.request.endpoint_ends import CrashDetector
+from flamingofront.request.fingerprint import compute_fingerprint
+from flamingofront.request.intent_gate import IntentLog, NullIntentLog
 from flamingofront.request.records import RequestRecord
 
 if TYPE_CHECKING:
     from flamingofront.request.active import ActiveRequest
 
-__all__ = ["Evidence", "RequestGuard", "refusal_of"]
+__all__ = ["Evidence", "RequestGuard", "quarantine_error"]
 
 Evidence = Mapping[str, tuple[EndpointEnd, ...]]
 
 # Pause between two looks at what is too old.
-FORGET_SECONDS = 10.0
+CLEANUP_PERIOD_SECONDS = 10.0
 # Word of what others saw is told on in bundles: tens of processes tell of one end.
-BUNDLE_SECONDS = 0.03
+GOSSIP_BATCH_SECONDS = 0.03
 
 
-def refusal_of(hold: Hold, wall: float) -> RequestError:
+def quarantine_error(hold: Hold, wall: float) -> RequestError:
     """Return the error of a request that is not run, with what it has done."""
     ago = max(0.0, wall - hold.since)
     return RequestError(
@@ -82,54 +82,58 @@
         Returns when the entry processes that are known began, on the wall clock.
     claim : callable
         Claims a trial for this process alone: gets the hold, and what to call with the outcome.
-    intents : IntentGate
+    intents : IntentLog
         Records requests before they are sent; nothing unless it is set.
     """
 
     def __init__(
         self,
-        ends: EndpointEnds,
+        crash_detector: CrashDetector,
         timers: TimerService,
         metrics: Metrics,
         log: Log,
         active: Callable[[], Iterable["ActiveRequest"]],
     ):
-        self.ends = ends
-        ends.on_ended = self._ended
-        ends.on_unwitnessed = self._unwitnessed
-        ends.on_found = self._found_ended
+        self.crash_detector = crash_detector
+        crash_detector.on_crash = self._on_crash
+        crash_detector.on_unobserved_crash = self._on_unobserved_crash
+        crash_detector.on_crash_found = self._on_crash_found
         self.quarantine = Quarantine()
         self.wall: Callable[[], float] = timers.wall
-        self.on_news: Callable[[], None] = lambda: None
-        self.on_hold: Callable[[Hold, bool], None] = lambda hold, is_own: None
+        self.on_update: Callable[[], None] = lambda: None
+        self.on_quarantine_change: Callable[[Hold, bool], None] = lambda hold, is_local: None
         self.on_evidence: Callable[[Evidence], None] = lambda evidence: None
-        self.on_end: Callable[[str], None] = lambda endpoint_id: None
-        self.restarts: Callable[[], Sequence[float]] = lambda: ()
-        self.claim: Callable[[Hold, Callable[[bool], None]], None] = lambda hold, done: done(False)
-        self.intents: IntentGate = NoIntents()
+        self.on_endpoint_crash: Callable[[str], None] = lambda endpoint_id: None
+        self.entry_start_times: Callable[[], Sequence[float]] = lambda: ()
+        self.acquire_trial: Callable[[Hold, Callable[[bool], None]], None] = (
+            lambda hold, done: done(False)
+        )
+        self.intents: IntentLog = NullIntentLog()
         self._timers = timers
         self._metrics = metrics
         self._log = log
         self._active = active
         # Endpoints that ended with no witness.
-        self._unseen: deque[str] = deque(maxlen=MAX_UNWITNESSED)
+        self._unobserved: deque[str] = deque(maxlen=MAX_UNWITNESSED)
         # Requests at whose ends this process was a witness, until word of others has come.
-        self._witnessed: set[str] = set()
+        self._observed_fingerprints: set[str] = set()
         # Requests whose ends are in the store, as far as this process knows.
-        self._kept: OrderedDict[str, None] = OrderedDict()
-        self._telling = False
-        self._settling = False
-        timers.every(FORGET_SECONDS, self._forget, first=FORGET_SECONDS, relaxed=True)
+        self._persisted: OrderedDict[str, None] = OrderedDict()
+        self._gossip_scheduled = False
+        self._evaluation_scheduled = False
+        timers.every(
+            CLEANUP_PERIOD_SECONDS, self._remove_expired, first=CLEANUP_PERIOD_SECONDS, relaxed=True
+        )
 
     # Verdicts
 
-    def standing(self, fingerprint: str) -> Standing:
+    def quarantine_status(self, fingerprint: str) -> Standing:
         """Return what is known of a request."""
         if not self.quarantine:
             return Standing.CLEAR
         return self.quarantine.standing(fingerprint, self.wall())
 
-    def hold(self, fingerprint: str) -> Hold | None:
+    def quarantine_entry(self, fingerprint: str) -> Hold | None:
         """Return the hold of a request that is not run; None if it is run."""
         return self.quarantine.hold(fingerprint)
 
@@ -137,7 +141,7 @@
         """Return the requests that are suspected, and run."""
         return self.quarantine.suspects(self.wall())
 
-    def check(self, record: RequestRecord) -> None:
+    def reject_quarantined(self, record: RequestRecord) -> None:
         """Refuse a request that is not run.
 
         Raises
@@ -147,11 +151,11 @@
         """
         if not self.quarantine:
             return
-        fingerprint = fingerprint_of(record)
-        if self.standing(fingerprint) is Standing.HELD:
-            raise refusal_of(self.hold(fingerprint), self.wall())
+        fingerprint = compute_fingerprint(record)
+        if self.quarantine_status(fingerprint) is Standing.HELD:
+            raise quarantine_error(self.quarantine_entry(fingerprint), self.wall())
 
-    def keep_away(self, request: "ActiveRequest") -> frozenset[str]:
+    def endpoints_to_avoid(self, request: "ActiveRequest") -> frozenset[str]:
         """Return the endpoints that a suspect is kept away from while there are others.
 
         Notes
@@ -161,101 +165,106 @@
         """
         if not self.quarantine:
             return frozenset()
-        if not request.is_trial and self.standing(request.fingerprint) is not Standing.SUSPECTED:
+        if (
+            not request.is_trial
+            and self.quarantine_status(request.fingerprint) is not Standing.SUSPECTED
+        ):
             return frozenset()
         return frozenset(
             each.endpoint_id
             for each in self._active()
-            if each is not request and each.is_sent and self._keeps_away(request, each)
+            if each is not request and each.is_sent and self._must_separate(request, each)
         )
 
-    def _keeps_away(self, request: "ActiveRequest", other: "ActiveRequest") -> bool:
+    def _must_separate(self, request: "ActiveRequest", other: "ActiveRequest") -> bool:
         if other.fingerprint == request.fingerprint:
             return True
-        return request.is_trial or self.standing(other.fingerprint) is not Standing.CLEAR
+        return request.is_trial or self.quarantine_status(other.fingerprint) is not Standing.CLEAR
 
     # Facts
 
-    def _ended(self, end: EndpointEnd) -> None:
+    def _on_crash(self, end: EndpointEnd) -> None:
         """Take note of an end that this process has seen."""
         at = self.wall() - (self._timers.now() - end.at)
-        self.on_end(end.endpoint_id)
+        self.on_endpoint_crash(end.endpoint_id)
         if self.quarantine.ended(replace(end, at=at), self.wall()):
-            self._witnessed.update(end.requests)
-            self._judge(is_own=True)
-            self._keep_evidence(end.requests, ENDS_KEPT)
-            self.on_news()
-        self.intents.endpoint_ended(end.endpoint_id)
+            self._observed_fingerprints.update(end.requests)
+            self._evaluate(is_local=True)
+            self._persist_evidence(end.requests, ENDS_KEPT)
+            self.on_update()
+        self.intents.record_crash(end.endpoint_id)
 
-    def _is_noted(self, endpoint_id: str) -> bool:
-        return endpoint_id in self.quarantine.ended_endpoints() or endpoint_id in self._unseen
+    def _is_recorded(self, endpoint_id: str) -> bool:
+        return endpoint_id in self.quarantine.ended_endpoints() or endpoint_id in self._unobserved
 
-    def _unwitnessed(self, endpoint_id: str) -> None:
+    def _on_unobserved_crash(self, endpoint_id: str) -> None:
         """Take note of a row that went, with no request of this process there, nor word of one."""
-        if self._is_noted(endpoint_id):
+        if self._is_recorded(endpoint_id):
             return
-        if is_about_restart(self.wall(), self.restarts()):
-            self.ends.confirm(endpoint_id, lambda: self._note_unseen(endpoint_id, "row"))
+        if is_about_restart(self.wall(), self.entry_start_times()):
+            self.crash_detector.confirm_crash(
+                endpoint_id, lambda: self._record_unobserved(endpoint_id, "row")
+            )
         else:
-            self._note_unseen(endpoint_id, "row")
+            self._record_unobserved(endpoint_id, "row")
 
-    def _note_unseen(self, endpoint_id: str, source: str) -> None:
+    def _record_unobserved(self, endpoint_id: str, source: str) -> None:
         """Record requests from now on if whoever was a witness of an end may be gone."""
-        if endpoint_id in self._unseen:
+        if endpoint_id in self._unobserved:
             return
-        now, restarts = self.wall(), self.restarts()
-        self._unseen.append(endpoint_id)
+        now, start_times = self.wall(), self.entry_start_times()
+        self._unobserved.append(endpoint_id)
         self.quarantine.unwitnessed(endpoint_id, now)
         self._log.info("endpoint ended unseen", endpoint=endpoint_id, source=source)
-        if is_about_restart(now, restarts):
-            self.intents.unseen_end(endpoint_id)
-        self.intents.endpoint_ended(endpoint_id)
+        if is_about_restart(now, start_times):
+            self.intents.record_unobserved_crash(endpoint_id)
+        self.intents.record_crash(endpoint_id)
 
-    def _found_ended(self, endpoint_id: str) -> None:
+    def _on_crash_found(self, endpoint_id: str) -> None:
         """Tell others of an end with no witness that this process was the first to find."""
-        if self._is_noted(endpoint_id):
+        if self._is_recorded(endpoint_id):
             return
-        self._note_unseen(endpoint_id, "probe")
-        zone, now = self.ends.zone_of(endpoint_id), self.wall()
+        self._record_unobserved(endpoint_id, "probe")
+        zone, now = self.crash_detector.zone_of(endpoint_id), self.wall()
         self.quarantine.ended(EndpointEnd(endpoint_id, zone, now, ()), now)
-        self._tell_on()
+        self._schedule_gossip()
 
-    def _keep_evidence(self, fingerprints: Iterable[str], least: int) -> None:
+    def _persist_evidence(self, fingerprints: Iterable[str], least: int) -> None:
         """Keep the ends of requests that have so many in the store."""
         evidence = self.quarantine.evidence(fingerprints, least)
         if evidence:
-            self._note_kept(evidence)
+            self._mark_persisted(evidence)
             self.on_evidence(evidence)
 
-    def _note_kept(self, fingerprints: Iterable[str]) -> None:
-        self._kept.update(dict.fromkeys(fingerprints))
-        while len(self._kept) > MAX_SUSPECTS:
-            self._kept.popitem(last=False)
+    def _mark_persisted(self, fingerprints: Iterable[str]) -> None:
+        self._persisted.update(dict.fromkeys(fingerprints))
+        while len(self._persisted) > MAX_SUSPECTS:
+            self._persisted.popitem(last=False)
 
-    def take_evidence(self, ends: Iterable[EndpointEnd]) -> None:
+    def load_evidence(self, ends: Iterable[EndpointEnd]) -> None:
         """Take ends as the store has them."""
         news = []
         for each in ends:
-            self._note_kept(each.requests)
+            self._mark_persisted(each.requests)
             news.append(self.quarantine.ended(each, self.wall()))
         if any(news):
-            self._judge(is_own=False)
+            self._evaluate(is_local=False)
 
-    def answered(self, fingerprint: str) -> None:
+    def record_response(self, fingerprint: str) -> None:
         """Take note that an endpoint has answered a request."""
-        self.intents.answered(fingerprint)
+        self.intents.record_response(fingerprint)
         if not self.quarantine:
             return
         hold, now = self.quarantine.hold(fingerprint), self.wall()
         ends = self.quarantine.ends_under(fingerprint)
         if not self.quarantine.answered(fingerprint, now):
             return
-        if hold is not None or fingerprint in self._kept:
-            self._kept.pop(fingerprint, None)
+        if hold is not None or fingerprint in self._persisted:
+            self._persisted.pop(fingerprint, None)
             self.on_evidence({fingerprint: ()})
         if hold is not None:
-            self._released(hold, "answered")
-            self.on_hold(replace(hold, lifted=True), True)
+            self._log_release(hold, "answered")
+            self.on_quarantine_change(replace(hold, lifted=True), True)
         else:
             self._log.info(
                 "suspicion dropped",
@@ -263,77 +272,77 @@
                 reason="answered",
                 endpoints=[each.endpoint_id for each in ends],
             )
-        self.on_news()
+        self.on_update()
 
-    def hear(self, word: QuarantineWord | None) -> None:
+    def merge_update(self, update: QuarantineWord | None) -> None:
         """Take what another process tells."""
-        if word is None:
+        if update is None:
             return
         before = {each.fingerprint: each for each in self.quarantine.holds()}
         known = self.quarantine.ended_endpoints()
-        if not self.quarantine.hear(word, self.wall()):
+        if not self.quarantine.hear(update, self.wall()):
             return
         for endpoint_id in self.quarantine.ended_endpoints() - known:
-            self.on_end(endpoint_id)
+            self.on_endpoint_crash(endpoint_id)
             if self.quarantine.is_unexplained(endpoint_id):
-                self._note_unseen(endpoint_id, "peer")
+                self._record_unobserved(endpoint_id, "peer")
             else:
-                self.intents.endpoint_ended(endpoint_id)
-        self._compare(before, "peer")
-        self._judge(is_own=False)
-        self._tell_on()
+                self.intents.record_crash(endpoint_id)
+        self._apply_changes(before, "peer")
+        self._evaluate(is_local=False)
+        self._schedule_gossip()
 
-    def take_kept(self, hold: Hold) -> None:
+    def load_entry(self, hold: Hold) -> None:
         """Take a hold as the store has it."""
         before = {each.fingerprint: each for each in self.quarantine.holds()}
         if self.quarantine.take_hold(hold, self.wall()):
-            self._compare(before, "store")
-            self._tell_on()
+            self._apply_changes(before, "store")
+            self._schedule_gossip()
 
-    def word(self) -> QuarantineWord | None:
+    def build_update(self) -> QuarantineWord | None:
         """Return what others have to be told; None if that is nothing."""
         return self.quarantine.word(self.wall())
 
-    def _tell_on(self) -> None:
+    def _schedule_gossip(self) -> None:
         """Tell others soon of what was heard: some of them cannot hear its source."""
-        if not self._telling:
-            self._telling = True
-            self._timers.once(BUNDLE_SECONDS, self._told_on)
+        if not self._gossip_scheduled:
+            self._gossip_scheduled = True
+            self._timers.once(GOSSIP_BATCH_SECONDS, self._send_gossip)
 
-    def _told_on(self) -> None:
-        self._telling = False
-        self.on_news()
+    def _send_gossip(self) -> None:
+        self._gossip_scheduled = False
+        self.on_update()
 
     # What follows
 
-    def _compare(self, before: dict[str, Hold], source: str) -> None:
+    def _apply_changes(self, before: dict[str, Hold], source: str) -> None:
         """Act on holds that came or went by word of others."""
         after = {each.fingerprint: each for each in self.quarantine.holds()}
         for fingerprint, hold in after.items():
             if fingerprint not in before:
-                self._held(hold, source)
+                self._enforce_quarantine(hold, source)
         for fingerprint, hold in before.items():
             if fingerprint not in after:
-                self._released(hold, f"answered, says {source}")
+                self._log_release(hold, f"answered, says {source}")
 
-    def _judge(self, is_own: bool) -> None:
-        for hold in self.quarantine.judge(self.wall(), self.restarts()):
-            self._held(hold, "own" if is_own else "ends")
-            self.on_hold(hold, is_own)
-        if not self._settling:
-            self._settling = True
-            self._timers.once(SETTLED_SECONDS, self._settled)
+    def _evaluate(self, is_local: bool) -> None:
+        for hold in self.quarantine.judge(self.wall(), self.entry_start_times()):
+            self._enforce_quarantine(hold, "own" if is_local else "ends")
+            self.on_quarantine_change(hold, is_local)
+        if not self._evaluation_scheduled:
+            self._evaluation_scheduled = True
+            self._timers.once(SETTLED_SECONDS, self._evaluate_settled)
 
-    def _settled(self) -> None:
+    def _evaluate_settled(self) -> None:
         """Look again once word of all processes has come."""
-        self._settling = False
-        self._keep_evidence(self._witnessed, least=1)
-        self._witnessed.clear()
-        for hold in self.quarantine.judge(self.wall(), self.restarts()):
-            self._held(hold, "settled")
-            self.on_hold(hold, False)
-
-    def _held(self, hold: Hold, source: str) -> None:
+        self._evaluation_scheduled = False
+        self._persist_evidence(self._observed_fingerprints, least=1)
+        self._observed_fingerprints.clear()
+        for hold in self.quarantine.judge(self.wall(), self.entry_start_times()):
+            self._enforce_quarantine(hold, "settled")
+            self.on_quarantine_change(hold, False)
+
+    def _enforce_quarantine(self, hold: Hold, source: str) -> None:
         """Stop a request wherever this process has it."""
         self._metrics.count("requests_held_total", source=source)
         self._log.warning(
@@ -350,7 +359,7 @@
             if request.fingerprint == hold.fingerprint and not (is_begun or request.is_trial):
                 request.held_back()
 
-    def _released(self, hold: Hold, reason: str) -> None:
+    def _log_release(self, hold: Hold, reason: str) -> None:
         self._metrics.count("requests_released_total", reason=reason)
         self._log.info(
             "request served again",
@@ -363,13 +372,13 @@
 
     def claim_trial(self, fingerprint: str, on_done: Callable[[bool], None]) -> None:
         """Claim a trial of a request that is held back, for this process alone."""
-        hold = self.hold(fingerprint)
-        if hold is None or self.standing(fingerprint) is not Standing.TRIAL_DUE:
+        hold = self.quarantine_entry(fingerprint)
+        if hold is None or self.quarantine_status(fingerprint) is not Standing.TRIAL_DUE:
             on_done(hold is None)
             return
-        self.claim(hold, lambda granted: self._trial_claimed(hold, granted, on_done))
+        self.acquire_trial(hold, lambda granted: self._on_trial_claim(hold, granted, on_done))
 
-    def _trial_claimed(self, hold: Hold, granted: bool, on_done: Callable[[bool], None]) -> None:
+    def _on_trial_claim(self, hold: Hold, granted: bool, on_done: Callable[[bool], None]) -> None:
         result = "granted" if granted else "denied"
         self._metrics.count("request_trials_total", result=result)
         self._log.info(
@@ -381,7 +390,7 @@
         )
         on_done(granted)
 
-    def _forget(self) -> None:
+    def _remove_expired(self) -> None:
         before = {each.fingerprint: each for each in self.quarantine.holds()}
         for fingerprint in self.quarantine.forget(self.wall()):
-            self._released(before[fingerprint], "forgotten")
+            self._log_release(before[fingerprint], "forgotten")
--- a/flamingofront/request/host.py
+++ b/flamingofront/request/host.py
@@ -22,7 +22,7 @@
 from flamingofront.process.timers import TimerService
 from flamingofront.request.directory import EndpointDirectory
 from flamingofront.request.endpoint_limits import EndpointLimits
-from flamingofront.request.endpoint_pauses import EndpointPauses
+from flamingofront.request.endpoint_pauses import EndpointBackoffs
 from flamingofront.request.forward_work import ForwardProtocol
 from flamingofront.request.guard import RequestGuard
 from flamingofront.request.permits import Permits
@@ -32,10 +32,10 @@
 if TYPE_CHECKING:
     from flamingofront.request.active import ActiveRequest
 
-__all__ = ["HubSettings", "QUEUE_PATIENCE", "RequestHost"]
+__all__ = ["HubSettings", "QUEUE_WAIT_FRACTION", "RequestHost"]
 
 # Part of the first-token target that a request may wait: the rest is for its prefill.
-QUEUE_PATIENCE = 0.75
+QUEUE_WAIT_FRACTION = 0.75
 
 
 @dataclass(frozen=True)
@@ -44,9 +44,9 @@
 
     Parameters
     ----------
-    queue_patience : float
+    queue_wait_fraction : float
         Part of the first-token target that a request may wait for its start.
-    choice_patience : float or None
+    choice_wait_fraction : float or None
         Part of that target during which an endpoint is looked for when there is none; None to look
         for one until the deadline.
     """
@@ -55,8 +55,8 @@
     zone: str
     reattach_grace: float = 5.0
     answer_retention: float = 300.0
-    queue_patience: float = QUEUE_PATIENCE
-    choice_patience: float | None = None
+    queue_wait_fraction: float = QUEUE_WAIT_FRACTION
+    choice_wait_fraction: float | None = None
 
 
 class RequestHost(ABC):
@@ -74,7 +74,7 @@
         Requests that crash the endpoints that run them.
     limits : EndpointLimits
         Rates that endpoints take from all entry processes.
-    pauses : EndpointPauses
+    pauses : EndpointBackoffs
         Times for which endpoints want no requests of this process.
     on_leaving : callable
         Gets each endpoint that says in an answer that it leaves, and the id of the request.
@@ -99,25 +99,25 @@
     guard: RequestGuard
     limits: EndpointLimits
     permits: Permits
-    pauses: EndpointPauses
-    on_leaving: Callable[[str, str], None]
+    backoffs: EndpointBackoffs
+    on_endpoint_leaving: Callable[[str, str], None]
     completion: CompletionBounds
-    stop_left: Callable[[], float]
+    shutdown_seconds_left: Callable[[], float]
 
     @abstractmethod
     def now(self) -> float:
         """Return the time of the timer service."""
 
     @abstractmethod
-    def budget(self, service: Service) -> RetryBudget:
+    def retry_budget(self, service: Service) -> RetryBudget:
         """Return the retry budget of a service."""
 
     @abstractmethod
-    def choice_patience(self, record: RequestRecord) -> float:
+    def choice_timeout(self, record: RequestRecord) -> float:
         """Return the seconds during which an endpoint is looked for when there is none."""
 
     @abstractmethod
-    def choose(
+    def choose_endpoint(
         self, request: "ActiveRequest", exclude: frozenset[str], without_limits: bool = False
     ) -> Candidate | None:
         """Return the endpoint for an attempt, None if there is none with room.
@@ -129,11 +129,11 @@
         """
 
     @abstractmethod
-    def accepts_work(self, endpoint_id: str) -> bool:
+    def accepts_requests(self, endpoint_id: str) -> bool:
         """Tell whether an endpoint that was chosen a moment ago still takes new work."""
 
     @abstractmethod
-    def time_until_open(self, service: str, priority: float = math.inf) -> float:
+    def seconds_until_open(self, service: str, priority: float = math.inf) -> float:
         """Return the seconds until an endpoint of a service takes a request of a rank again.
 
         Parameters
@@ -143,23 +143,23 @@
         """
 
     @abstractmethod
-    def choice_delay(self, service: str, priority: float) -> float:
+    def choice_retry_delay(self, service: str, priority: float) -> float:
         """Return the seconds after which an endpoint may be found where there is none now."""
 
     @abstractmethod
-    def work_asked(self, service: str, tokens: int) -> None:
+    def record_load(self, service: str, tokens: int) -> None:
         """Count the work of a request, by the prompt tokens that its endpoint has to read."""
 
     @abstractmethod
-    def attempt_lost(
-        self, service: Service, endpoint_id: str, executed: Ran, reason: str, now: float
+    def record_attempt_loss(
+        self, service: Service, endpoint_id: str, ran: Ran, reason: str, now: float
     ) -> None:
         """Count a lost attempt and judge its endpoint."""
 
     @abstractmethod
-    def endpoint_failed(self, service: Service, endpoint_id: str, now: float) -> None:
+    def record_endpoint_failure(self, service: Service, endpoint_id: str, now: float) -> None:
         """Note a failure of an endpoint, which may eject it for a while."""
 
     @abstractmethod
-    def request_ended(self, request: "ActiveRequest") -> None:
+    def remove_request(self, request: "ActiveRequest") -> None:
         """Forget a request that has its answer or went elsewhere, and start the next one."""
--- a/flamingofront/request/hub.py
+++ b/flamingofront/request/hub.py
@@ -24,9 +24,9 @@
 from flamingofront.process.timers import Timer, TimerService
 from flamingofront.request.active import ActiveRequest
 from flamingofront.request.directory import EndpointDirectory
-from flamingofront.request.endpoint_ends import EndpointEnds
+from flamingofront.request.endpoint_ends import CrashDetector
 from flamingofront.request.endpoint_limits import EndpointLimits
-from flamingofront.request.endpoint_pauses import EndpointPauses
+from flamingofront.request.endpoint_pauses import EndpointBackoffs
 from flamingofront.request.finished import FinishedAnswer, FinishedAnswers
 from flamingofront.request.forward_work import ForwardProtocol, ForwardWork
 from flamingofront.request.forwarded_request import ForwardedRequest
@@ -41,12 +41,12 @@
 __all__ = ["HubSettings", "RequestHub"]
 
 # Part of the slots that admission fills: entry VMs cannot balance perfectly.
-FILLED_SHARE = 0.9
-EXPIRY_SECONDS = 0.1
-SECONDS_BETWEEN_CHOICES = 0.2
+ADMISSION_FILL_FRACTION = 0.9
+EXPIRY_PERIOD_SECONDS = 0.1
+CHOICE_RETRY_SECONDS = 0.2
 # Random part by which callers are told to come back later than the first endpoint opens.
-COMEBACK_JITTER = 0.1
-TOKENS_PER_COST = 64.0
+RETRY_JITTER_FRACTION = 0.1
+TOKENS_PER_COST_UNIT = 64.0
 
 
 def paced_budget(service: Service) -> RetryBudget:
@@ -88,34 +88,36 @@
         self.active: dict[str, ActiveRequest] = {}
         self.finished = FinishedAnswers()
         self.moved_to: OrderedDict[str, str] = OrderedDict()
-        self.on_idle: Callable[[], None] = lambda: None
+        self.on_request_end: Callable[[], None] = lambda: None
         self.capacity_share: Callable[[], float] = lambda: 1.0
         # Gets service, endpoint, and whether what came of an attempt there was bad.
-        self.on_outcome: Callable[[str, str, bool], None] = lambda service, endpoint_id, bad: None
+        self.on_outcome: Callable[[str, str, bool], None] = (
+            lambda service, endpoint_id, is_bad: None
+        )
         # Prompt tokens that an endpoint of a service can hold in its cache.
         self.cache_tokens: Callable[[str], float] = lambda service: math.inf
         self.rates = LearnedRates()
         self.completion = CompletionBounds()
-        self.stop_left: Callable[[], float] = lambda: math.inf
-        ends = EndpointEnds(transport, timers, directory, metrics, log)
+        self.shutdown_seconds_left: Callable[[], float] = lambda: math.inf
+        ends = CrashDetector(transport, timers, directory, metrics, log)
         self.guard = RequestGuard(ends, timers, metrics, log, lambda: tuple(self.active.values()))
-        self.guard.on_end = self._endpoint_ended
+        self.guard.on_endpoint_crash = self._on_endpoint_crash
         self.limits = EndpointLimits(timers, metrics, log)
         self.permits = Permits(self.limits, timers, metrics, rng)
-        self.pauses = EndpointPauses(timers, metrics, log, rng)
-        self.on_leaving: Callable[[str, str], None] = lambda endpoint_id, request: None
-        self.work = WorkMeter()
+        self.backoffs = EndpointBackoffs(timers, metrics, log, rng)
+        self.on_endpoint_leaving: Callable[[str, str], None] = lambda endpoint_id, request: None
+        self.load_meter = WorkMeter()
         self._policy = policy or CostChoice()
         self._admissions: dict[str, FairAdmission] = {}
         self._budgets: dict[str, RetryBudget] = {}
-        self._held: dict[str, int] = {}
-        self._expiry: Timer | None = None
+        self._in_flight: dict[str, int] = {}
+        self._expiry_timer: Timer | None = None
 
     def now(self) -> float:
         """Return the time of the timer service."""
         return self.timers.now()
 
-    def budget(self, service: Service) -> RetryBudget:
+    def retry_budget(self, service: Service) -> RetryBudget:
         """Return the retry budget of a service."""
         budget = self._budgets.get(service.name)
         if budget is None:
@@ -128,12 +130,14 @@
         if admission is None:
             admission = self._admissions[service.name] = FairAdmission(self.rng)
         share = self.capacity_share()
-        admission.set_capacity(max(1.0, self.directory.capacity(service) * share * FILLED_SHARE))
+        admission.set_capacity(
+            max(1.0, self.directory.capacity(service) * share * ADMISSION_FILL_FRACTION)
+        )
         return admission
 
-    def demand(self) -> dict[str, int]:
+    def in_flight_by_workspace(self) -> dict[str, int]:
         """Return the requests held here by workspace."""
-        return dict(self._held)
+        return dict(self._in_flight)
 
     def accept(
         self, record: RequestRecord, share: WorkspaceShare, resumed: bool = False
@@ -147,38 +151,38 @@
         """
         service = record.service
         if not resumed:
-            self.guard.check(record)
+            self.guard.reject_quarantined(record)
         if not resumed and self.directory.capacity(service) == 0:
             raise RequestError(ErrorKind.NO_ENDPOINT, retry_after=self._no_endpoint_delay())
         now = self.now()
         patience = record.deadline_left
         if not record.job and not resumed:
-            patience = min(patience, service.first_token_target * self.settings.queue_patience)
-        ticket = Ticket(record.request_id, share, _cost(record), now + patience, resumed)
+            patience = min(patience, service.first_token_target * self.settings.queue_wait_fraction)
+        ticket = Ticket(record.request_id, share, _relative_cost(record), now + patience, resumed)
         self.admission(service).offer(ticket, now)
         request = make_request(self, record, ticket)
         self.active[record.request_id] = request
-        self._held[record.workspace] = self._held.get(record.workspace, 0) + 1
+        self._in_flight[record.workspace] = self._in_flight.get(record.workspace, 0) + 1
         self.metrics.count("requests_accepted_total", service=service.name)
         if not resumed:
-            self.budget(service).accepted(now)
+            self.retry_budget(service).accepted(now)
         return request
 
-    def choice_patience(self, record: RequestRecord) -> float:
+    def choice_timeout(self, record: RequestRecord) -> float:
         """Return the seconds during which an endpoint is looked for when there is none."""
-        part = self.settings.choice_patience
+        part = self.settings.choice_wait_fraction
         return math.inf if part is None else record.service.first_token_target * part
 
     def _no_endpoint_delay(self) -> float:
         return 1.0 + self.rng.random()
 
-    def pump(self) -> None:
+    def start_ready_requests(self) -> None:
         """Start the requests that may start now."""
         for name in list(self._admissions):
-            self._pump_service(name)
-        self._watch_queue()
+            self._start_ready_of(name)
+        self._schedule_expiry()
 
-    def _pump_service(self, name: str) -> None:
+    def _start_ready_of(self, name: str) -> None:
         admission = self._admissions[name]
         while True:
             ticket = admission.next_ready(self.now())
@@ -190,9 +194,9 @@
             else:
                 admission.finished(ticket, self.now())
 
-    def _expire(self) -> None:
+    def _reject_expired(self) -> None:
         """Refuse at once what waited for too long, then start what fits."""
-        self._expiry = None
+        self._expiry_timer = None
         for admission in self._admissions.values():
             for ticket in admission.expired(self.now()):
                 request = self.active.get(ticket.request_id)
@@ -202,12 +206,12 @@
                         RequestError(ErrorKind.OVERLOADED, ran=Ran.NO, retry_after=retry_after)
                     )
         self.refresh_capacity()
-        self.pump()
+        self.start_ready_requests()
 
-    def _watch_queue(self) -> None:
+    def _schedule_expiry(self) -> None:
         """Look at the queue again soon, as long as a request waits in it."""
-        if self._expiry is None and self.waiting():
-            self._expiry = self.timers.once(EXPIRY_SECONDS, self._expire)
+        if self._expiry_timer is None and self.count_queued():
+            self._expiry_timer = self.timers.once(EXPIRY_PERIOD_SECONDS, self._reject_expired)
 
     def refresh_capacity(self) -> None:
         """Fit the capacity of each admission to the endpoints that are there."""
@@ -215,16 +219,19 @@
         for service in services.values():
             self.admission(service)
 
-    def choose(
+    def choose_endpoint(
         self, request: ActiveRequest, exclude: frozenset[str], without_limits: bool = False
     ) -> Candidate | None:
         """Return the endpoint for an attempt, None if there is none with room."""
         service, record = request.record.service, request.record
-        exclude |= self.guard.keep_away(request)
+        exclude |= self.guard.endpoints_to_avoid(request)
         rule = request.version_rule()
-        closed = self.permits.closed(request.ticket.share.priority) | self.pauses.closed()
+        closed = (
+            self.permits.closed_endpoints(request.ticket.share.priority)
+            | self.backoffs.endpoints_in_backoff()
+        )
         if without_limits:
-            closed |= self.limits.limited().keys()
+            closed |= self.limits.rates_by_endpoint().keys()
         for whole in (False, True):
             candidates = self.directory.candidates(
                 service,
@@ -236,32 +243,37 @@
                 rule,
                 closed,
             )
-            pool = _relaxed(candidates, record.side, exclude)
-            chosen = self._policy.choose(pool, self._estimate(record), self.rng)
+            pool = _select_candidates(candidates, record.side, exclude)
+            chosen = self._policy.choose(pool, self._estimate_work(record), self.rng)
             if chosen is not None:
                 return chosen
         return None
 
-    def accepts_work(self, endpoint_id: str) -> bool:
+    def accepts_requests(self, endpoint_id: str) -> bool:
         """Tell whether an endpoint that was chosen a moment ago still takes new work."""
-        return not self.directory.leaving(endpoint_id) and not self.pauses.remaining(endpoint_id)
+        return not self.directory.is_unavailable(
+            endpoint_id
+        ) and not self.backoffs.remaining_seconds(endpoint_id)
 
-    def time_until_open(self, service: str, priority: float = math.inf) -> float:
+    def seconds_until_open(self, service: str, priority: float = math.inf) -> float:
         """Return the seconds until the first endpoint of a service takes a request again."""
         waits = (
-            max(self.pauses.remaining(name), self.permits.wait((name,), priority))
+            max(
+                self.backoffs.remaining_seconds(name),
+                self.permits.wait_seconds((name,), priority),
+            )
             for name in self.directory.zones_of(service)
         )
         return min(waits, default=0.0)
 
-    def choice_delay(self, service: str, priority: float) -> float:
+    def choice_retry_delay(self, service: str, priority: float) -> float:
         """Return the seconds after which an endpoint may be found where there is none now."""
-        closed_for = self.time_until_open(service, priority)
+        closed_for = self.seconds_until_open(service, priority)
         if closed_for > 0:
-            return closed_for * (1 + COMEBACK_JITTER * self.rng.random())
-        return SECONDS_BETWEEN_CHOICES * (1 + self.rng.random())
+            return closed_for * (1 + RETRY_JITTER_FRACTION * self.rng.random())
+        return CHOICE_RETRY_SECONDS * (1 + self.rng.random())
 
-    def _estimate(self, record: RequestRecord) -> WorkEstimate:
+    def _estimate_work(self, record: RequestRecord) -> WorkEstimate:
         service, work = record.service, record.work
         prompt, output = 0, 1
         if isinstance(work, ModelWork):
@@ -278,24 +290,24 @@
             self.rates.of(service.name).now(),
         )
 
-    def work_asked(self, service: str, tokens: int) -> None:
+    def record_load(self, service: str, tokens: int) -> None:
         """Count the work of a request, by the prompt tokens that its endpoint has to read."""
-        self.work.add(service, self.rates.of(service).now().work(tokens), self.now())
+        self.load_meter.add(service, self.rates.of(service).now().work(tokens), self.now())
 
-    def attempt_lost(
-        self, service: Service, endpoint_id: str, executed: Ran, reason: str, now: float
+    def record_attempt_loss(
+        self, service: Service, endpoint_id: str, ran: Ran, reason: str, now: float
     ) -> None:
         """Count a lost attempt and judge its endpoint."""
         self.metrics.count("retries_total", reason=reason)
-        self.endpoint_failed(service, endpoint_id, now)
+        self.record_endpoint_failure(service, endpoint_id, now)
 
-    def endpoint_failed(self, service: Service, endpoint_id: str, now: float) -> None:
+    def record_endpoint_failure(self, service: Service, endpoint_id: str, now: float) -> None:
         """Note a failure of an endpoint, which may eject it for a while."""
         if self.directory.health.failed(endpoint_id, now):
             self.metrics.count("ejections_total", service=service.name)
             self.log.warning("endpoint ejected", service=service.name, endpoint=endpoint_id)
 
-    def _endpoint_ended(self, endpoint_id: str) -> None:
+    def _on_endpoint_crash(self, endpoint_id: str) -> None:
         """Leave an endpoint out that has ended, and give up what was kept open to it.
 
         Notes
@@ -304,12 +316,12 @@
         attempts were refused and some were reset on kept connections, which leaves open whether
         they ran.
         """
-        self.directory.connect_failed(endpoint_id, self.now(), refused=True)
+        self.directory.record_connect_failure(endpoint_id, self.now(), is_refused=True)
         address = self.directory.address_of(endpoint_id)
         if address:
             self.transport.drop_idle(address)
 
-    def _waiting_for(self, zone: str) -> list[ForwardedRequest]:
+    def _sent_to_zone(self, zone: str) -> list[ForwardedRequest]:
         """Return the forwarded requests that endpoints of a zone work on."""
         return [
             each
@@ -319,16 +331,16 @@
             and self.directory.zone_of(each.endpoint_id) == zone
         ]
 
-    def silent_since(self, zone: str) -> float:
+    def unanswered_since(self, zone: str) -> float:
         """Return the earliest time since which an answer from a zone is awaited."""
-        return min((each.silent_since() for each in self._waiting_for(zone)), default=math.inf)
+        return min((each.silent_since() for each in self._sent_to_zone(zone)), default=math.inf)
 
-    def zone_cut_off(self, zone: str) -> None:
+    def fail_over_zone(self, zone: str) -> None:
         """Let what waits for an endpoint of a zone that cannot be heard go on elsewhere."""
-        for request in self._waiting_for(zone):
+        for request in self._sent_to_zone(zone):
             request.zone_cut_off()
 
-    def endpoint_restarted(self, endpoint_id: str, at: float) -> None:
+    def handle_endpoint_restart(self, endpoint_id: str, at: float) -> None:
         """Let what ran at an endpoint before its new start go on elsewhere, or fail.
 
         Parameters
@@ -340,7 +352,7 @@
             if isinstance(request, ForwardedRequest) and request.endpoint_id == endpoint_id:
                 request.endpoint_restarted(at)
 
-    def request_ended(self, request: ActiveRequest) -> None:
+    def remove_request(self, request: ActiveRequest) -> None:
         """Forget a request that has its answer or went elsewhere, and start the next one."""
         if self.active.get(request.request_id) is not request:
             return
@@ -348,20 +360,20 @@
         now = self.now()
         record = request.record
         self._admissions[record.service.name].finished(request.ticket, now)
-        left = self._held.get(record.workspace, 0) - 1
+        left = self._in_flight.get(record.workspace, 0) - 1
         if left > 0:
-            self._held[record.workspace] = left
+            self._in_flight[record.workspace] = left
         else:
-            self._held.pop(record.workspace, None)
+            self._in_flight.pop(record.workspace, None)
         if request.answer is not None:
             self.metrics.count("requests_completed_total", service=record.service.name)
             self.metrics.observe("request_seconds", now - request.accepted_at)
             if request.retains_answer:
-                self._retain(request, now)
-        self.on_idle()
-        self._pump_service(record.service.name)
+                self._retain_answer(request, now)
+        self.on_request_end()
+        self._start_ready_of(record.service.name)
 
-    def _retain(self, request: ActiveRequest, now: float) -> None:
+    def _retain_answer(self, request: ActiveRequest, now: float) -> None:
         """Keep the answer for a caller who comes back."""
         record = request.record
         tokens = tuple(request.machine.assembler.tokens)
@@ -369,23 +381,23 @@
         finished = FinishedAnswer(record.workspace, request.answer, record, tokens, until)
         self.finished.put(request.request_id, finished)
 
-    def thaw(self, frozen: ActiveRequest) -> None:
+    def resume_frozen(self, frozen_request: ActiveRequest) -> None:
         """Go on with a frozen request that certainly nobody else has taken."""
-        if self.active.get(frozen.request_id) is not frozen:
+        if self.active.get(frozen_request.request_id) is not frozen_request:
             return
-        record = frozen.to_record()
-        request = make_request(self, record, frozen.ticket)
-        request.take_over(frozen)
+        record = frozen_request.to_record()
+        request = make_request(self, record, frozen_request.ticket)
+        request.take_over(frozen_request)
         self.active[record.request_id] = request
         request.begin()
 
-    def note_moved(self, request_id: str, vm_id: str) -> None:
+    def record_move(self, request_id: str, vm_id: str) -> None:
         """Remember where a request went."""
         self.moved_to[request_id] = vm_id
         while len(self.moved_to) > 10_000:
             self.moved_to.popitem(last=False)
 
-    def in_flight_of(self, service: str) -> int:
+    def count_in_flight(self, service: str) -> int:
         """Return the requests for a service that are held here."""
         return sum(each.record.service.name == service for each in self.active.values())
 
@@ -393,7 +405,7 @@
         """Return the requests held here, by service."""
         return dict(Counter(each.record.service.name for each in self.active.values()))
 
-    def waiting(self) -> int:
+    def count_queued(self) -> int:
         """Return the requests that wait for their first attempt."""
         return sum(not each.ticket.running for each in self.active.values())
 
@@ -406,15 +418,15 @@
     return cls(hub, record, ticket)
 
 
-def _cost(record: RequestRecord) -> float:
+def _relative_cost(record: RequestRecord) -> float:
     """Return the work of a request relative to a usual one."""
     work = record.work
     if not isinstance(work, ModelWork):
         return 1.0
-    return 1.0 + max(0, work.max_tokens - len(record.tokens)) / TOKENS_PER_COST
+    return 1.0 + max(0, work.max_tokens - len(record.tokens)) / TOKENS_PER_COST_UNIT
 
 
-def _relaxed(
+def _select_candidates(
     candidates: list[Candidate], side: str | None, exclude: frozenset[str]
 ) -> list[Candidate]:
     """Return the best non-empty selection: rules are relaxed one by one, but for barred endpoints.
--- a/flamingofront/request/migration.py
+++ b/flamingofront/request/migration.py
@@ -20,13 +20,13 @@
     StreamState,
 )
 
-__all__ = ["Migrations"]
+__all__ = ["StreamMigrator"]
 
 TRANSFER_TIMEOUT_SECONDS = 5.0
 JSON_HEADERS = (("Content-Type", "application/json"),)
 
 
-class Migrations:
+class StreamMigrator:
     """Carries out recovery plans.
 
     Parameters
@@ -50,7 +50,7 @@
         self._rates = rates or RecoveryRates()
         self._planned: set[str] = set()
 
-    def endpoint_leaving(self, endpoint_id: str, notice: float) -> None:
+    def migrate_streams(self, endpoint_id: str, notice_seconds: float) -> None:
         """Plan what becomes of the streams on an endpoint, once."""
         if endpoint_id in self._planned:
             return
@@ -59,10 +59,10 @@
         states = [_state_of(each) for each in requests.values()]
         total = self._hub.directory.load_of(endpoint_id)
         rates = replace(self._rates, contention=max(1.0, total / max(1, len(states))))
-        for plan in self._policy.plan(states, notice, rates):
+        for plan in self._policy.plan(states, notice_seconds, rates):
             self._schedule(requests[plan.request_id], plan)
 
-    def endpoint_gone(self, endpoint_id: str) -> None:
+    def forget_endpoint(self, endpoint_id: str) -> None:
         """Forget an endpoint that is gone."""
         self._planned.discard(endpoint_id)
 
@@ -91,17 +91,17 @@
     def _transfer(self, request: ModelRequest, attempt_id: str) -> None:
         if request.done or request.machine.attempt_id != attempt_id:
             return
-        chosen = self._hub.choose(request, frozenset({request.endpoint_id}))
+        chosen = self._hub.choose_endpoint(request, frozenset({request.endpoint_id}))
         if chosen is None or chosen.endpoint_id == request.endpoint_id:
             self._recompute(request, attempt_id)
             return
         source = self._address_of(request.endpoint_id)
         task = _transfer_cache(source, chosen.address, request.request_id, attempt_id)
         self._tasks.start(
-            task, lambda kv_handle: self._transferred(request, attempt_id, chosen, kv_handle)
+            task, lambda kv_handle: self._on_transferred(request, attempt_id, chosen, kv_handle)
         )
 
-    def _transferred(
+    def _on_transferred(
         self, request: ModelRequest, attempt_id: str, chosen: Candidate, kv_handle: str
     ) -> None:
         if request.done or request.machine.attempt_id != attempt_id:
--- a/flamingofront/request/permit_claims.py
+++ b/flamingofront/request/permit_claims.py
@@ -21,53 +21,53 @@
     def __init__(self, request: "ActiveRequest"):
         self._request = request
         self._attempt_id: str | None = None
-        self._count = 0
+        self._claim_count = 0
 
-    def exhausted(self, order: StartAttempt) -> bool:
+    def is_exhausted(self, action: StartAttempt) -> bool:
         """Tell whether an attempt has asked often enough: it goes where no permit is needed."""
-        return self._attempt_id == order.attempt_id and self._count >= MAX_CLAIMS
+        return self._attempt_id == action.attempt_id and self._claim_count >= MAX_CLAIMS
 
-    def ask(self, order: StartAttempt, chosen: Candidate) -> None:
+    def claim_permit(self, action: StartAttempt, chosen: Candidate) -> None:
         """Ask whether an endpoint with a limit takes one more request."""
-        if self._attempt_id != order.attempt_id:
-            self._attempt_id, self._count = order.attempt_id, 0
-        self._count += 1
+        if self._attempt_id != action.attempt_id:
+            self._attempt_id, self._claim_count = action.attempt_id, 0
+        self._claim_count += 1
         request = self._request
         request.hub.permits.claim(
             chosen.endpoint_id,
             request.ticket.share.priority,
             max(0.0, request.machine.facts.choose_until - request.hub.now()),
-            lambda permit: self._decided(order, chosen, permit),
+            lambda permit: self._on_decision(action, chosen, permit),
         )
 
-    def _is_current(self, order: StartAttempt) -> bool:
-        return not self._request.done and self._request.machine.attempt_id == order.attempt_id
+    def _is_current(self, action: StartAttempt) -> bool:
+        return not self._request.done and self._request.machine.attempt_id == action.attempt_id
 
-    def _decided(self, order: StartAttempt, chosen: Candidate, permit: Permit) -> None:
-        if permit.given and permit.decision.delay > 0 and self._is_current(order):
+    def _on_decision(self, action: StartAttempt, chosen: Candidate, permit: Permit) -> None:
+        if permit.is_granted and permit.decision.delay > 0 and self._is_current(action):
             self._request.hub.timers.once(
-                permit.decision.delay, lambda: self._use(order, chosen, permit)
+                permit.decision.delay, lambda: self._send_or_return(action, chosen, permit)
             )
-        elif permit.given:
-            self._use(order, chosen, permit)
-        elif self._is_current(order):
-            self._log_refusal(order, permit)
-            self._request.place(order)
+        elif permit.is_granted:
+            self._send_or_return(action, chosen, permit)
+        elif self._is_current(action):
+            self._log_denial(action, permit)
+            self._request.place(action)
 
-    def _use(self, order: StartAttempt, chosen: Candidate, permit: Permit) -> None:
+    def _send_or_return(self, action: StartAttempt, chosen: Candidate, permit: Permit) -> None:
         """Send an attempt whose turn has come, if it is still wanted and the endpoint takes it."""
         hub = self._request.hub
-        if self._is_current(order) and hub.accepts_work(chosen.endpoint_id):
-            self._request.launch(order, chosen)
+        if self._is_current(action) and hub.accepts_requests(chosen.endpoint_id):
+            self._request.launch(action, chosen)
             return
-        hub.permits.unused(permit)
-        if self._is_current(order):
-            self._request.place(order)
+        hub.permits.return_unused(permit)
+        if self._is_current(action):
+            self._request.place(action)
 
-    def _log_refusal(self, order: StartAttempt, permit: Permit) -> None:
+    def _log_denial(self, action: StartAttempt, permit: Permit) -> None:
         self._request.log.info(
             "permit refused",
-            attempt=order.attempt_id,
+            attempt=action.attempt_id,
             endpoint=permit.endpoint_id,
             rate_limit=permit.rate,
             priority=self._request.ticket.share.priority,
--- a/flamingofront/request/permits.py
+++ b/flamingofront/request/permits.py
@@ -9,13 +9,13 @@
 from flamingofront.process.metrics import Metrics
 from flamingofront.process.timers import TimerService
 from flamingofront.request.endpoint_limits import EndpointLimits
-from flamingofront.request.rate_gate import OwnRateGate, RateDecision, RateGate
+from flamingofront.request.rate_gate import LocalRateGate, RateDecision, RateGate
 
 __all__ = ["Permit", "Permits"]
 
 # Random part by which a pause is longer than told, so that processes that were refused together do
 # not come back together.
-JITTER = 0.25
+JITTER_FRACTION = 0.25
 
 
 @dataclass(frozen=True)
@@ -33,7 +33,7 @@
     decision: RateDecision
 
     @property
-    def given(self) -> bool:
+    def is_granted(self) -> bool:
         """True if the request may be sent."""
         return self.decision.wait <= 0
 
@@ -52,30 +52,34 @@
     def __init__(
         self, limits: EndpointLimits, timers: TimerService, metrics: Metrics, rng: random.Random
     ):
-        self.gate: RateGate = OwnRateGate(timers)
-        self.own_name = ""
+        self.gate: RateGate = LocalRateGate(timers)
+        self.process_name = ""
         self._limits = limits
         self._timers = timers
         self._metrics = metrics
         self._rng = rng
         # Until when an endpoint takes nothing, with the priority that was refused.
-        self._closed: dict[str, tuple[float, int]] = {}
-        limits.on_end = self._limit_ended
+        self._closed_until: dict[str, tuple[float, int]] = {}
+        limits.on_limit_ended = self._on_limit_ended
 
-    def needed(self, endpoint_id: str) -> bool:
+    def is_required(self, endpoint_id: str) -> bool:
         """Tell whether an attempt at an endpoint needs a permit."""
-        return self._limits.rate(endpoint_id) is not None
+        return self._limits.rate_of(endpoint_id) is not None
 
-    def closed(self, priority: int) -> frozenset[str]:
+    def closed_endpoints(self, priority: int) -> frozenset[str]:
         """Return the endpoints to which nothing of a priority can be sent now."""
-        if not self._closed:
+        if not self._closed_until:
             return frozenset()
         now = self._timers.now()
-        for name in [name for name, (until, _) in self._closed.items() if until <= now]:
-            del self._closed[name]
-        return frozenset(name for name, (_, refused) in self._closed.items() if priority >= refused)
-
-    def wait(self, endpoint_ids: Iterable[str], priority: float = math.inf) -> float:
+        for name in [name for name, (until, _) in self._closed_until.items() if until <= now]:
+            del self._closed_until[name]
+        return frozenset(
+            name
+            for name, (_, closed_priority) in self._closed_until.items()
+            if priority >= closed_priority
+        )
+
+    def wait_seconds(self, endpoint_ids: Iterable[str], priority: float = math.inf) -> float:
         """Return the seconds until the first of some endpoints may take a request; 0 if one may.
 
         Parameters
@@ -84,51 +88,51 @@
             Rank of the request; the least urgent one if it is not given.
         """
         now = self._timers.now()
-        waits = (self._wait_for(each, priority, now) for each in endpoint_ids)
+        waits = (self._wait_seconds(each, priority, now) for each in endpoint_ids)
         return max(0.0, min(waits, default=0.0))
 
-    def _wait_for(self, endpoint_id: str, priority: float, now: float) -> float:
-        until, refused = self._closed.get(endpoint_id, (now, 0))
-        return until - now if priority >= refused else 0.0
+    def _wait_seconds(self, endpoint_id: str, priority: float, now: float) -> float:
+        until, closed_priority = self._closed_until.get(endpoint_id, (now, 0))
+        return until - now if priority >= closed_priority else 0.0
 
     def claim(
-        self, endpoint_id: str, priority: int, patience: float, then: Callable[[Permit], None]
+        self, endpoint_id: str, priority: int, patience: float, on_outcome: Callable[[Permit], None]
     ) -> None:
-        """Ask for a permit for an endpoint that needs one; `then` gets the outcome.
+        """Ask for a permit for an endpoint that needs one; `on_outcome` gets the outcome.
 
         Parameters
         ----------
         patience : float
             Seconds for which the request can wait for it.
         """
-        rate = self._limits.rate(endpoint_id) or 0.0
-        claim = RateClaim(endpoint_id, rate, priority, patience, self.own_name)
-        self.gate.decide(claim, lambda decision: self._decided(claim, decision, then))
+        rate = self._limits.rate_of(endpoint_id) or 0.0
+        claim = RateClaim(endpoint_id, rate, priority, patience, self.process_name)
+        self.gate.decide(claim, lambda decision: self._on_decision(claim, decision, on_outcome))
 
-    def _decided(
-        self, claim: RateClaim, decision: RateDecision, then: Callable[[Permit], None]
+    def _on_decision(
+        self, claim: RateClaim, decision: RateDecision, on_outcome: Callable[[Permit], None]
     ) -> None:
         permit = Permit(claim.endpoint_id, claim.rate, decision)
-        outcome = "given" if permit.given else "refused"
+        outcome = "given" if permit.is_granted else "refused"
         self._metrics.count("endpoint_permits_total", outcome=outcome)
-        if not permit.given:
-            wait = decision.wait * (1.0 + JITTER * self._rng.random())
-            self._close(claim, self._timers.now() + wait)
-        then(permit)
+        if not permit.is_granted:
+            wait = decision.wait * (1.0 + JITTER_FRACTION * self._rng.random())
+            self._close_endpoint(claim, self._timers.now() + wait)
+        on_outcome(permit)
 
-    def _close(self, claim: RateClaim, until: float) -> None:
+    def _close_endpoint(self, claim: RateClaim, until: float) -> None:
         """Leave an endpoint alone; a more urgent refusal holds for less urgent requests, too."""
-        known = self._closed.get(claim.endpoint_id)
-        if known is not None and known[0] > self._timers.now() and known[1] < claim.priority:
+        current = self._closed_until.get(claim.endpoint_id)
+        if current is not None and current[0] > self._timers.now() and current[1] < claim.priority:
             return
-        self._closed[claim.endpoint_id] = (until, claim.priority)
+        self._closed_until[claim.endpoint_id] = (until, claim.priority)
 
-    def unused(self, permit: Permit) -> None:
+    def return_unused(self, permit: Permit) -> None:
         """Give a permit back that was not used."""
-        if self.needed(permit.endpoint_id):
+        if self.is_required(permit.endpoint_id):
             self.gate.unused(permit.endpoint_id, permit.decision)
 
-    def _limit_ended(self, endpoint_id: str) -> None:
+    def _on_limit_ended(self, endpoint_id: str) -> None:
         """Use an endpoint without permits again."""
-        self._closed.pop(endpoint_id, None)
+        self._closed_until.pop(endpoint_id, None)
         self.gate.forget(endpoint_id)
--- a/flamingofront/request/prefixes.py
+++ b/flamingofront/request/prefixes.py
@@ -43,7 +43,7 @@
         self._tokens: Counter[str] = Counter()
         self._holders: dict[str, set[str]] = {}
 
-    def stored(
+    def add_blocks(
         self,
         endpoint_id: str,
         hashes: Iterable[str],
@@ -66,9 +66,9 @@
             blocks.move_to_end(each)
             self._holders.setdefault(each, set()).add(endpoint_id)
         while len(blocks) > self._max_blocks or self._tokens[endpoint_id] > capacity:
-            old, size = blocks.popitem(last=False)
+            evicted_block, size = blocks.popitem(last=False)
             self._tokens[endpoint_id] -= size
-            self._drop_holder(old, endpoint_id)
+            self._drop_holder(evicted_block, endpoint_id)
 
     def _drop_holder(self, block: str, endpoint_id: str) -> None:
         holders = self._holders.get(block)
@@ -77,7 +77,7 @@
             if not holders:
                 del self._holders[block]
 
-    def evicted(self, endpoint_id: str, hashes: Iterable[str]) -> None:
+    def remove_blocks(self, endpoint_id: str, hashes: Iterable[str]) -> None:
         """Note blocks that an endpoint dropped."""
         blocks = self._blocks.get(endpoint_id, {})
         for each in hashes:
@@ -91,7 +91,7 @@
         for each in self._blocks.pop(endpoint_id, ()):
             self._drop_holder(each, endpoint_id)
 
-    def warmest(self, hashes: Sequence[str]) -> frozenset[str]:
+    def longest_prefix_holders(self, hashes: Sequence[str]) -> frozenset[str]:
         """Return the endpoints that hold the longest part of a prompt."""
         best: frozenset[str] = frozenset()
         for each in hashes:
--- a/flamingofront/request/quota_gate.py
+++ b/flamingofront/request/quota_gate.py
@@ -9,7 +9,7 @@
 from flamingofront.process.timers import TimerService
 from flamingofront.version.forwarding import ForwardedWorkspace
 
-__all__ = ["OwnQuotaGate", "QuotaDecision", "QuotaGate"]
+__all__ = ["LocalQuotaGate", "QuotaDecision", "QuotaGate"]
 
 
 @dataclass(frozen=True)
@@ -39,16 +39,16 @@
         self,
         workspace: ForwardedWorkspace,
         units: float,
-        then: Callable[[QuotaDecision], None],
+        on_decision: Callable[[QuotaDecision], None],
     ) -> None:
-        """Have a request decided on; `then` gets the decision, at once or soon."""
+        """Have a request decided on; `on_decision` gets the decision, at once or soon."""
 
     @abstractmethod
     def unused(self, workspace: ForwardedWorkspace, units: float, decision: QuotaDecision) -> None:
         """Give back what was allowed to a request that was not taken in the end."""
 
 
-class OwnQuotaGate(QuotaGate):
+class LocalQuotaGate(QuotaGate):
     """Decides by this process's copy of the quota alone."""
 
     def __init__(self, quota: QuotaPolicy, timers: TimerService):
@@ -59,10 +59,10 @@
         self,
         workspace: ForwardedWorkspace,
         units: float,
-        then: Callable[[QuotaDecision], None],
+        on_decision: Callable[[QuotaDecision], None],
     ) -> None:
         """Decide at once."""
-        then(QuotaDecision(self._quota.wait(workspace, units, self._timers.now())))
+        on_decision(QuotaDecision(self._quota.wait(workspace, units, self._timers.now())))
 
     def unused(self, workspace: ForwardedWorkspace, units: float, decision: QuotaDecision) -> None:
         """Do nothing: what is allowed here is only taken out once the request is accepted."""
--- a/flamingofront/request/rate_gate.py
+++ b/flamingofront/request/rate_gate.py
@@ -7,7 +7,7 @@
 from flamingofront.decisions.rate_limits import RateClaim, RateLimiter
 from flamingofront.process.timers import TimerService
 
-__all__ = ["OwnRateGate", "RateDecision", "RateGate"]
+__all__ = ["LocalRateGate", "RateDecision", "RateGate"]
 
 
 @dataclass(frozen=True)
@@ -34,8 +34,8 @@
     """Decides whether a request may be sent to an endpoint with a limit."""
 
     @abstractmethod
-    def decide(self, claim: RateClaim, then: Callable[[RateDecision], None]) -> None:
-        """Have a claim decided on; `then` gets the decision, at once or soon."""
+    def decide(self, claim: RateClaim, on_decision: Callable[[RateDecision], None]) -> None:
+        """Have a claim decided on; `on_decision` gets the decision, at once or soon."""
 
     @abstractmethod
     def unused(self, endpoint_id: str, decision: RateDecision) -> None:
@@ -46,7 +46,7 @@
         """Forget what was let through to an endpoint: it names no limit any more."""
 
 
-class OwnRateGate(RateGate):
+class LocalRateGate(RateGate):
     """Keeps this process to its part of each limit, without a word to the others.
 
     Parameters
@@ -55,15 +55,15 @@
         Returns this process's part, 0 to 1.
     """
 
-    def __init__(self, timers: TimerService, part: Callable[[], float] = lambda: 1.0):
+    def __init__(self, timers: TimerService, local_share: Callable[[], float] = lambda: 1.0):
         self._timers = timers
-        self._part = part
+        self._local_share = local_share
         self._limiter = RateLimiter()
 
-    def decide(self, claim: RateClaim, then: Callable[[RateDecision], None]) -> None:
+    def decide(self, claim: RateClaim, on_decision: Callable[[RateDecision], None]) -> None:
         """Decide at once."""
-        verdict = self._limiter.decide(claim, self._part(), self._timers.now())
-        then(RateDecision(verdict.delay, verdict.wait))
+        verdict = self._limiter.decide(claim, self._local_share(), self._timers.now())
+        on_decision(RateDecision(verdict.delay, verdict.wait))
 
     def unused(self, endpoint_id: str, decision: RateDecision) -> None:
         """Give a permit back that was not used."""
--- a/flamingofront/request/recovery.py
+++ b/flamingofront/request/recovery.py
@@ -20,7 +20,7 @@
 ]
 
 
-LATE_START_SAFETY = 1.25
+LATE_START_FACTOR = 1.25
 
 
 class RecoveryAction(StrEnum):
@@ -87,19 +87,22 @@
 
     @abstractmethod
     def plan(
-        self, streams: Sequence[StreamState], notice: float, rates: RecoveryRates
+        self, streams: Sequence[StreamState], notice_seconds: float, rates: RecoveryRates
     ) -> list[RecoveryPlan]:
-        """Return a plan for each stream, `notice` seconds before the reclaim."""
+        """Return a plan for each stream, `notice_seconds` seconds before the reclaim."""
 
 
 class ResumeOnLoss(RecoveryPolicy):
     """The naive version: go on until the VM is gone, then compute everything again."""
 
     def plan(
-        self, streams: Sequence[StreamState], notice: float, rates: RecoveryRates
+        self, streams: Sequence[StreamState], notice_seconds: float, rates: RecoveryRates
     ) -> list[RecoveryPlan]:
         """Return a recomputation for each stream at the end of the notice."""
-        return [RecoveryPlan(each.request_id, RecoveryAction.RECOMPUTE, notice) for each in streams]
+        return [
+            RecoveryPlan(each.request_id, RecoveryAction.RECOMPUTE, notice_seconds)
+            for each in streams
+        ]
 
 
 class CostRecovery(RecoveryPolicy):
@@ -114,42 +117,49 @@
     """
 
     def plan(
-        self, streams: Sequence[StreamState], notice: float, rates: RecoveryRates
+        self, streams: Sequence[StreamState], notice_seconds: float, rates: RecoveryRates
     ) -> list[RecoveryPlan]:
         """Return a plan for each stream."""
-        usable = max(0.0, notice - rates.margin)
+        usable_seconds = max(0.0, notice_seconds - rates.margin)
         finishing = [
-            each for each in streams if each.remaining_tokens * rates.token_seconds <= usable
+            each
+            for each in streams
+            if each.remaining_tokens * rates.token_seconds <= usable_seconds
         ]
         done = {each.request_id for each in finishing}
-        rest = [each for each in streams if each.request_id not in done]
-        rest.sort(key=lambda each: (-each.context_tokens, each.request_id))
-        plans = [RecoveryPlan(each.request_id, RecoveryAction.FINISH, notice) for each in finishing]
-        transfers, left = self._fit_transfers(rest, usable, rates)
-        return plans + transfers + self._spread(left, usable)
+        moving = [each for each in streams if each.request_id not in done]
+        moving.sort(key=lambda each: (-each.context_tokens, each.request_id))
+        plans = [
+            RecoveryPlan(each.request_id, RecoveryAction.FINISH, notice_seconds)
+            for each in finishing
+        ]
+        transfers, unfitted = self._fit_transfers(moving, usable_seconds, rates)
+        return plans + transfers + self._spread(unfitted, usable_seconds)
 
     def _fit_transfers(
-        self, streams: list[StreamState], usable: float, rates: RecoveryRates
+        self, streams: list[StreamState], usable_seconds: float, rates: RecoveryRates
     ) -> tuple[list[RecoveryPlan], list[StreamState]]:
         plans = []
-        left = []
+        unfitted = []
         busy_until = 0.0
         for each in streams:
             needed = rates.transfer_setup + each.context_tokens * rates.transfer_token_seconds
-            if busy_until + needed <= usable:
+            if busy_until + needed <= usable_seconds:
                 plans.append(RecoveryPlan(each.request_id, RecoveryAction.TRANSFER, busy_until))
                 busy_until += needed
             else:
-                left.append(each)
+                unfitted.append(each)
         # As late as is safe: until then the leaving VM still makes tokens that others need not.
         all_transfers = busy_until * rates.contention
-        wait = max(0.0, usable - all_transfers * LATE_START_SAFETY)
-        return [replace(each, start_in=each.start_in + wait) for each in plans], left
+        wait = max(0.0, usable_seconds - all_transfers * LATE_START_FACTOR)
+        return [replace(each, start_in=each.start_in + wait) for each in plans], unfitted
 
-    def _spread(self, streams: list[StreamState], usable: float) -> list[RecoveryPlan]:
-        window = usable / 2
+    def _spread(self, streams: list[StreamState], usable_seconds: float) -> list[RecoveryPlan]:
+        window = usable_seconds / 2
         step = window / max(1, len(streams))
         return [
-            RecoveryPlan(each.request_id, RecoveryAction.RECOMPUTE, usable - window + index * step)
+            RecoveryPlan(
+                each.request_id, RecoveryAction.RECOMPUTE, usable_seconds - window + index * step
+            )
             for index, each in enumerate(streams)
         ]
--- a/flamingofront/request/tests/test_endpoint_ends.py
+++ b/flamingofront/request/tests/test_endpoint_ends.py
@@ -8,7 +8,7 @@
 from flamingofront.process.metrics import Metrics
 from flamingofront.process.timers import ManualClock, TimerService
 from flamingofront.request.directory import EndpointDirectory
-from flamingofront.request.endpoint_ends import MAX_PROBES, EndpointEnds
+from flamingofront.request.endpoint_ends import MAX_PROBES, CrashDetector
 
 ADDRESS = "10.0.0.1:80"
 
@@ -38,15 +38,15 @@
         self.directory = EndpointDirectory(facts, None)
         self.transport = Probes(self.timers)
         self.metrics = Metrics()
-        self.watch = EndpointEnds(
+        self.watch = CrashDetector(
             self.transport, self.timers, self.directory, self.metrics, Log("test")
         )
         self.ends = []
-        self.watch.on_ended = self.ends.append
+        self.watch.on_crash = self.ends.append
 
     def broke(self, *requests):
         for each in requests:
-            self.watch.broke("e-1", ADDRESS, each)
+            self.watch.record_connection_loss("e-1", ADDRESS, each)
 
     def run(self, seconds):
         end = self.clock.time + seconds
@@ -78,7 +78,7 @@
         world = Watch()
         world.broke("one")
         world.run(0.015)
-        world.directory.reached("e-1", world.clock.now())
+        world.directory.record_contact("e-1", world.clock.now())
         world.run(10.0)
         assert not world.ends
 
@@ -95,7 +95,7 @@
         world.broke("one")
         world.run(2.5)
         assert not world.ends
-        world.watch.gone("e-1")
+        world.watch.record_row_removal("e-1")
         assert [each.requests for each in world.ends] == [("one",)]
 
     def test_silent_endpoint_that_comes_back_has_not_ended(self):
@@ -105,7 +105,7 @@
         world.run(1.5)
         world.transport.reach = Reach.CONNECTED
         world.run(20.0)
-        world.watch.gone("e-1")
+        world.watch.record_row_removal("e-1")
         assert not world.ends and world.transport.count < MAX_PROBES
 
     def test_what_is_noticed_late_is_told_as_part_of_the_same_end(self):
@@ -118,6 +118,6 @@
 
     def test_new_start_of_an_endpoint_shows_the_end_of_the_one_before(self):
         world = Watch()
-        world.watch.restarted("e-1", frozenset({"one"}))
-        world.watch.restarted("e-1", frozenset({"two"}))
+        world.watch.record_restart("e-1", frozenset({"one"}))
+        world.watch.record_restart("e-1", frozenset({"two"}))
         assert [each.requests for each in world.ends] == [("one",), ("two",)]
--- a/flamingofront/request/unknown_gate.py
+++ b/flamingofront/request/unknown_gate.py
@@ -3,10 +3,10 @@
 from abc import ABC, abstractmethod
 from collections.abc import Callable
 
-__all__ = ["NoUnknownGate", "UnknownGate"]
+__all__ = ["AssumedFreshness", "ConfigFreshness"]
 
 
-class UnknownGate(ABC):
+class ConfigFreshness(ABC):
     """Tells whether a route or key that is not known here is unknown everywhere."""
 
     @abstractmethod
@@ -14,17 +14,17 @@
         """Tell whether the configuration in force is known to be the newest."""
 
     @abstractmethod
-    def verify(self, then: Callable[[bool], None]) -> None:
-        """Find that out; `then` gets the outcome, soon."""
+    def verify(self, on_result: Callable[[bool], None]) -> None:
+        """Find that out; `on_result` gets the outcome, soon."""
 
 
-class NoUnknownGate(UnknownGate):
+class AssumedFreshness(ConfigFreshness):
     """Takes the configuration in force for the newest."""
 
     def is_current(self) -> bool:
         """Return True."""
         return True
 
-    def verify(self, then: Callable[[bool], None]) -> None:
+    def verify(self, on_result: Callable[[bool], None]) -> None:
         """Answer at once."""
-        then(True)
+        on_result(True)
