--- a/bench/known_failure_mutations.py
+++ b/bench/known_failure_mutations.py
@@ -112,8 +112,8 @@
     Mutation(
         "S a single end is kept",
         "request/guard.py",
-        "self._persist_evidence(self._observed_fingerprints, least=1)",
-        "self._persist_evidence(self._observed_fingerprints, least=2)",
+        "self._persist_evidence(self._observed_fingerprints, min_crashes=1)",
+        "self._persist_evidence(self._observed_fingerprints, min_crashes=2)",
         CRASHING,
     ),
 )
--- a/bench/platform_mutations.py
+++ b/bench/platform_mutations.py
@@ -47,8 +47,8 @@
     Mutation(
         "P only whole events pass",
         "request/event_stream.py",
-        "whole, self._buffer = self._buffer[:end], self._buffer[end:]",
-        'whole, self._buffer = self._buffer, b""',
+        "events, self._buffer = self._buffer[:end], self._buffer[end:]",
+        'events, self._buffer = self._buffer, b""',
         FORWARDING,
     ),
     Mutation(
--- a/flamingofront/request/__init__.py
+++ b/flamingofront/request/__init__.py
@@ -1,3 +1,3 @@
-"""What lives for a request: admission, choice of endpoint, attempts, assembly, claims."""
+"""Request handling: admission, endpoint choice, attempts, response assembly and claims."""
 
 __all__ = []
--- a/flamingofront/request/answer_reader.py
+++ b/flamingofront/request/answer_reader.py
@@ -1,4 +1,4 @@
-"""What an endpoint answers to one attempt of a forwarded request, event by event."""
+"""Reader of the response of an endpoint to one attempt of a forwarded request."""
 
 from typing import TYPE_CHECKING
 
@@ -17,7 +17,7 @@
 
 
 class ResponseReader:
-    """Take the events of one attempt."""
+    """Handles the transport events of one attempt and reports its outcome to the request."""
 
     def __init__(self, request: "ForwardedRequest", attempt_id: str):
         self._request = request
@@ -30,7 +30,7 @@
         request.relay.discard_partial_event()
 
     def __call__(self, event: CallEvent) -> None:
-        """Take one event; the last one ends the attempt."""
+        """Handle one event; `ResponseEnd` and `CallFailed` end the attempt."""
         if isinstance(event, ResponseHead):
             self._on_head(event)
         elif isinstance(event, ResponseData):
@@ -46,7 +46,7 @@
     def _on_head(self, head: ResponseHead) -> None:
         response = self._request.protocol.judge(self._request.work.caller_id, head)
         if not response.crossed and not response.wrong_endpoint:
-            # Before the attempt ends: the next one is chosen by it.
+            # Applied before the attempt ends, because the next choice of an endpoint depends on it.
             self._apply_rate_limit(response)
             self._apply_availability(response)
         if response.crossed:
@@ -63,7 +63,10 @@
             directory.record_contact(self._request.endpoint_id, self._request.hub.now())
 
     def _apply_rate_limit(self, response: EndpointAnswer) -> None:
-        """Take what the endpoint says of the rate that it takes, whatever else it answers."""
+        """Store the rate limit that the response advertises, whatever its status.
+
+        A malformed limit is ignored; a response without one ends the stored limit.
+        """
         if response.names_limit and response.rate_limit is None:
             return
         self._request.hub.limits.record_response(
@@ -71,7 +74,7 @@
         )
 
     def _apply_availability(self, response: EndpointAnswer) -> None:
-        """Take what the endpoint says of further requests: none at all, or none for a while."""
+        """Record that the endpoint is leaving, or that it asks for or ends a back-off."""
         request = self._request
         if response.leaving:
             request.hub.on_endpoint_leaving(self._endpoint_id, request.request_id)
@@ -95,12 +98,12 @@
 
     def _relay_events(self, data: bytes) -> None:
         try:
-            whole = self._request.relay.feed(data)
+            events = self._request.relay.feed(data)
         except ValueError as exc:
             self._fail_attempt(Ran.UNKNOWN, str(exc))
             return
-        if whole:
-            self._request.pass_events(self._attempt_id, self._response, whole)
+        if events:
+            self._request.pass_events(self._attempt_id, self._response, events)
 
     def _on_end(self) -> None:
         response = self._response
--- a/flamingofront/request/attempt_pace.py
+++ b/flamingofront/request/attempt_pace.py
@@ -1,24 +1,25 @@
-"""How long an attempt takes against what is usual: a version of which many take long is bad."""
+"""Detection of slow attempts, compared between software versions during a rollout."""
 
 from flamingofront.decisions.engine_rates import EngineRates
 
 __all__ = ["AttemptLatency"]
 
-# An answer is slow that takes so many times as long as expected, and so many seconds more. A single
-# one may be so by a queue or a cold cache: only the share of them is compared, between versions.
+# An attempt is slow if it takes longer than SLOW_FACTOR times the expected time plus
+# SLOW_MARGIN_SECONDS. A queue or a cold cache can slow a single attempt, so versions are compared
+# by their share of slow attempts.
 SLOW_FACTOR = 3.0
 SLOW_MARGIN_SECONDS = 0.1
 
 
 class AttemptLatency:
-    """Judges one attempt.
+    """Measures the latency of one attempt against the expected latency.
 
     Parameters
     ----------
     sent_at : float
-        Time at which it was sent.
-    expected : float
-        Seconds to its first event, or to its whole answer, by the learned rates.
+        Time at which the attempt was sent, on the clock of the timer service.
+    expected_seconds : float
+        Expected seconds to the first event or to the complete response, by the learned rates.
     """
 
     def __init__(self, sent_at: float = 0.0, expected_seconds: float = 0.0):
@@ -28,18 +29,20 @@
         self._is_slow = False
 
     def record_start(self, now: float) -> None:
-        """Take note of a first event, or of a whole answer; later ones change nothing."""
+        """Record the time of the first event or complete response; later calls do nothing."""
         if self._started_at is None:
             self._started_at = now
             self._is_slow = now - self._sent_at > _slow_threshold(self._expected_seconds)
 
     def is_slow(self, now: float, events: int, rates: EngineRates) -> bool:
-        """Tell whether the attempt took too long, at its end.
+        """Return True if the attempt, which ends now, was slow.
 
         Parameters
         ----------
         events : int
-            Events of its stream; 0 for a whole answer.
+            Number of events in the stream; 0 for a response that is not a stream.
+        rates : EngineRates
+            Learned rates, for the expected time between two events.
         """
         self.record_start(now)
         streaming_seconds = now - self._started_at
@@ -47,5 +50,5 @@
 
 
 def _slow_threshold(expected_seconds: float) -> float:
-    """Return the seconds from which on something is slow that takes so many usually."""
+    """Return the seconds above which something with this expected duration is slow."""
     return SLOW_FACTOR * expected_seconds + SLOW_MARGIN_SECONDS
--- a/flamingofront/request/directory.py
+++ b/flamingofront/request/directory.py
@@ -1,7 +1,7 @@
-"""What a process knows of the endpoints, as candidates for the choice.
+"""Directory of the endpoints, which provides the candidates for endpoint choice.
 
-Sources are merged here: membership facts, drains in the configuration, load reports, this process's
-own attempts, ejections and prefix hints.
+It merges membership facts, drains in the configuration, load reports, the attempts of this process,
+ejections and prefix hints.
 """
 
 import math
@@ -26,7 +26,7 @@
 MAX_SLOWNESS_RATIO = 20.0
 MAX_REPORT_AGE_SECONDS = 10.0
 DEFAULT_RECLAIM_RISK = 0.05
-# Endpoints that cannot be connected to are left out for a time that doubles up to the longest one.
+# Backoff after failed connection attempts: it doubles with each failure up to the maximum.
 INITIAL_BACKOFF_SECONDS = 1.0
 MAX_BACKOFF_SECONDS = 4.0
 MAX_CANDIDATES = 32
@@ -34,7 +34,7 @@
 
 
 def is_drained(fact: Fact, cfg: Configuration) -> bool:
-    """Tell whether an operator has drained an endpoint, its side or its zone."""
+    """Return True if an operator has drained an endpoint, its VM, its side or its zone."""
     return (
         fact.vm_id in cfg.drained(DrainKind.ENDPOINT)
         or fact.vm_id in cfg.drained(DrainKind.VM)
@@ -45,7 +45,15 @@
 
 @dataclass(frozen=True)
 class SharedPrefix:
-    """Leading part of a prompt that other requests have too."""
+    """Leading part of a prompt that is shared with other requests.
+
+    Parameters
+    ----------
+    key : str
+        Hash of the prefix.
+    tokens : int
+        Number of tokens in the prefix.
+    """
 
     key: str
     tokens: int
@@ -59,7 +67,7 @@
 
 
 class _ServiceEndpoints:
-    """Live endpoints of one service, and which of them are drained."""
+    """Live endpoints of one service, by id, and the ids of the drained ones among them."""
 
     def __init__(self, facts: Mapping[str, Fact], drained: frozenset[str]):
         self.facts = facts
@@ -72,14 +80,16 @@
 
 @dataclass(frozen=True)
 class _ChoiceContext:
-    """What is the same for all candidates of one choice.
+    """Values that all candidates of one choice have in common.
 
     Parameters
     ----------
-    home : str
-        Endpoint at which all processes expect the shared part of the prompt.
+    median_token_seconds : float
+        Median time between tokens over the candidates; 0 if none was measured.
+    prefix_owner : str
+        Endpoint that all processes expect to cache the shared prefix of the prompt.
     prefix_owner_tokens : int
-        Tokens of that shared part.
+        Number of tokens in the shared prefix.
     """
 
     now: float
@@ -94,26 +104,31 @@
 
 
 class EndpointDirectory:
-    """Endpoints of all services, as this process sees them.
+    """Local view of the endpoints of all services.
 
     Parameters
     ----------
     facts : FactTable
-        Shared with the membership.
+        Membership facts, shared with the membership.
     zone : str
         Availability zone of this process.
 
     Attributes
     ----------
     sample_size : callable
-        Returns how many endpoints of a service are looked at for one choice.
-    first : callable
-        Returns the endpoints that are looked at first, of those of a service with their zones;
-        none if all are looked at alike.
-    on_load : callable
-        Gets each change of this process's load: endpoint, attempts and prompt tokens.
-    before_choice : callable
-        Called before loads are looked at, to bring those of other processes up to date.
+        Returns the number of endpoints of a service that are sampled for one choice.
+    preferred_endpoints : callable
+        Gets the zones of usable endpoints by id and returns the ids to sample first; empty if there
+        is no preference.
+    on_load_change : callable
+        Called with each change of the load from this process: endpoint id, change of attempts and
+        change of unread prompt tokens.
+    refresh_loads : callable
+        Called before each choice, to update the loads from other processes.
+    local_share : callable
+        Returns the share of the load that comes from this process, from 0 to 1.
+    noted_prompts : NotedPrompts
+        Prompts that other processes have sent since their last load reports.
     """
 
     def __init__(self, facts: FactTable, rng: random.Random, zone: str = ""):
@@ -146,7 +161,7 @@
         self._index_key = (-1, -1)
 
     def _endpoints_of(self, service: str) -> "_ServiceEndpoints":
-        """Return the live endpoints of a service, from an index kept with facts and drains."""
+        """Return the live endpoints of a service, rebuilding the index after a change."""
         index_key = (self._facts.changes, self.configuration.revision)
         if index_key != self._index_key:
             self._index_key = index_key
@@ -166,14 +181,14 @@
         }
 
     def is_unavailable(self, endpoint_id: str) -> bool:
-        """Tell whether an endpoint gets no new work."""
+        """Return True if an endpoint gets no new requests: it is unknown, not live, or drained."""
         fact = self._facts.get(endpoint_id)
         if fact is None or fact.state is not VmState.LIVE:
             return True
         return is_drained(fact, self.configuration)
 
     def is_leaving(self, endpoint_id: str) -> bool:
-        """Tell whether an endpoint is there and has announced that it leaves."""
+        """Return True if an endpoint is known and has announced its shutdown."""
         fact = self._facts.get(endpoint_id)
         return fact is not None and fact.state is VmState.LEAVING
 
@@ -188,25 +203,27 @@
         rule: VersionRule | None = None,
         closed: frozenset[str] = frozenset(),
     ) -> list[Candidate]:
-        """Return live endpoints of a service to choose from.
+        """Return the live endpoints of a service among which to choose.
 
         Parameters
         ----------
+        hashes : tuple of str
+            Hashes of the prefix blocks of the prompt.
         shared : SharedPrefix, optional
-            Part of the prompt that other requests have too. Processes do not tell one another what
-            the caches hold; they all expect it at the same endpoint, by its hash.
+            Prefix of the prompt that is shared with other requests. Processes do not exchange cache
+            contents; they all expect the prefix at the endpoint chosen by rendezvous hashing.
         include_all : bool
-            Return all endpoints, also where there are many.
+            Return all endpoints instead of a sample.
         rule : VersionRule, optional
-            Which versions may be chosen, during a roll-out.
+            Versions that may be chosen during a rollout.
         closed : frozenset of str
-            Endpoints that take nothing now by what they have said themselves.
+            Endpoints that accept no requests now, by their rate limit or a back-off they asked for.
 
         Notes
         -----
-        Of many endpoints only a random part is looked at, with those that hold the prompt's prefix:
-        the time of a choice then does not grow with the fleet, and processes that all have the same
-        late word of the loads do not all pick the same endpoint.
+        If there are many endpoints, a random sample is returned, plus the endpoints that cache a
+        prefix of the prompt. The time of a choice then does not grow with the fleet, and processes
+        that work with the same stale load reports do not all choose the same endpoint.
         """
         self.refresh_loads()
         endpoints = self._endpoints_of(service.name)
@@ -251,22 +268,23 @@
     def _sample_endpoints(
         self,
         endpoints: "_ServiceEndpoints",
-        ejected: Collection[str],
+        excluded: Collection[str],
         required: Iterable[str],
         now: float,
         rng: random.Random,
     ) -> list[Fact]:
-        """Return some endpoints that can be used, and the wanted.
+        """Return a sample of the usable endpoints, plus the required ones.
 
         Notes
         -----
-        They are those that this process uses first, or else half of them of its own zone.
+        The sample starts with the preferred endpoints; if there are none, half of it is taken from
+        the zone of this process.
         """
         usable = [
             name
             for name, fact in endpoints.facts.items()
             if name not in endpoints.drained
-            and name not in ejected
+            and name not in excluded
             and self._is_reachable(fact, now)
         ]
         if not usable:
@@ -276,8 +294,8 @@
             self.preferred_endpoints({name: endpoints.facts[name].zone for name in usable})
         )
         if not chosen:
-            near = [each for each in usable if endpoints.facts[each].zone == self._zone]
-            chosen = dict.fromkeys(rng.sample(near, min(size // 2, len(near))))
+            local = [each for each in usable if endpoints.facts[each].zone == self._zone]
+            chosen = dict.fromkeys(rng.sample(local, min(size // 2, len(local))))
         chosen.update(dict.fromkeys(rng.sample(usable, min(size - len(chosen), len(usable)))))
         chosen.update(dict.fromkeys(each for each in required if each in endpoints.facts))
         return [endpoints.facts[each] for each in chosen]
@@ -316,20 +334,20 @@
     def _cached_tokens(
         self, endpoint_id: str, hashes: tuple[str, ...], context: "_ChoiceContext"
     ) -> int:
-        known = self.prefixes.cached_tokens(endpoint_id, hashes)
+        cached = self.prefixes.cached_tokens(endpoint_id, hashes)
         return (
-            max(known, context.prefix_owner_tokens)
+            max(cached, context.prefix_owner_tokens)
             if endpoint_id == context.prefix_owner
-            else known
+            else cached
         )
 
     def capacity(self, service: Service) -> int:
-        """Return the slots of the endpoints that may get new work."""
+        """Return the total slots of the endpoints of a service that may get new requests."""
         endpoints = self._endpoints_of(service.name)
         return service.slots * (len(endpoints.facts) - len(endpoints.drained))
 
     def zones_of(self, service: str) -> dict[str, str]:
-        """Return the zone of each endpoint that may get new work of a service."""
+        """Return the zones, by id, of the endpoints of a service that may get new requests."""
         endpoints = self._endpoints_of(service)
         return {
             name: fact.zone
@@ -338,52 +356,60 @@
         }
 
     def advertised_slots(self, service: str) -> int:
-        """Return the slots that the endpoints of a service tell; 0 if they tell none."""
+        """Return the most slots that an endpoint of a service advertises; 0 if none does."""
         facts = self._endpoints_of(service).facts
         return max((fact.slots for fact in facts.values()), default=0)
 
     def mark_address_reused(self, endpoint_id: str) -> None:
-        """Leave an endpoint out whose address belongs to another one now."""
+        """Mark an endpoint as gone because another endpoint now has its address."""
         self._facts.mark(endpoint_id, VmState.GONE)
 
     def record_attempt_start(self, endpoint_id: str) -> None:
-        """Note an attempt that runs on an endpoint."""
+        """Count an attempt of this process that starts at an endpoint."""
         self._in_flight[endpoint_id] += 1
         self.on_load_change(endpoint_id, 1, 0)
 
     def record_attempt_end(self, endpoint_id: str) -> None:
-        """Note that an attempt is over."""
+        """Stop counting an attempt of this process at an endpoint."""
         self._in_flight[endpoint_id] -= 1
         self.on_load_change(endpoint_id, -1, 0)
         if self._in_flight[endpoint_id] <= 0:
             del self._in_flight[endpoint_id]
 
     def in_flight_at(self, endpoint_id: str) -> int:
-        """Return the attempts of this process on an endpoint."""
+        """Return the number of attempts of this process in flight at an endpoint."""
         return self._in_flight[endpoint_id]
 
     def add_backlog(self, endpoint_id: str, tokens: int) -> None:
-        """Note prompt tokens that an endpoint has to read."""
+        """Add prompt tokens that an endpoint has to prefill for this process."""
         self._backlog[endpoint_id] += tokens
         self.on_load_change(endpoint_id, 0, tokens)
 
     def remove_backlog(self, endpoint_id: str, tokens: int) -> None:
-        """Note that an endpoint has read them, or need not any more."""
+        """Remove prompt tokens that an endpoint has prefilled or no longer has to."""
         self._backlog[endpoint_id] -= tokens
         self.on_load_change(endpoint_id, 0, -tokens)
         if self._backlog[endpoint_id] <= 0:
             del self._backlog[endpoint_id]
 
     def backlog_by_endpoint(self) -> dict[str, int]:
-        """Return the prompt tokens that wait on behalf of this process, by endpoint."""
+        """Return the prompt tokens of this process that wait for prefill, by endpoint."""
         return dict(self._backlog)
 
     def set_peer_backlog(self, tokens: Mapping[str, int]) -> None:
-        """Take the prompt tokens that wait on behalf of the other processes."""
+        """Replace the prompt tokens of other processes that wait for prefill, by endpoint."""
         self._peer_backlog = dict(tokens)
 
     def apply_peer_change(self, endpoint_id: str, requests: int, tokens: int) -> None:
-        """Take what another process has just begun or ended at an endpoint."""
+        """Apply a change of the load from another process at an endpoint.
+
+        Parameters
+        ----------
+        requests : int
+            Change of the number of attempts.
+        tokens : int
+            Change of the prompt tokens that wait for prefill.
+        """
         self._peer_backlog[endpoint_id] = max(0, self._peer_backlog.get(endpoint_id, 0) + tokens)
         report = self._reports.get(endpoint_id)
         if report is not None:
@@ -391,54 +417,57 @@
             self._reports[endpoint_id] = replace(report, load=load)
 
     def in_flight_by_endpoint(self) -> dict[str, int]:
-        """Return the attempts of this process, by endpoint."""
+        """Return the number of attempts of this process in flight, by endpoint."""
         return dict(self._in_flight)
 
     def load_of(self, endpoint_id: str) -> float:
-        """Return the requests that an endpoint runs, by its last report and own attempts."""
+        """Return the requests that an endpoint runs, by its last report and the local attempts."""
         report = self._reports.get(endpoint_id)
-        own = float(self._in_flight[endpoint_id])
+        local_load = float(self._in_flight[endpoint_id])
         if report is None:
-            return own
-        return max(own, report.load + own - report.local_in_flight)
+            return local_load
+        return max(local_load, report.load + local_load - report.local_in_flight)
 
     def load_report_age(self, now: float) -> float | None:
-        """Return the seconds since the last load reports; None if there were none."""
+        """Return the seconds since the last load report; None if there was none."""
         return None if self._reported_at is None else round(now - self._reported_at, 3)
 
     def apply_load_reports(self, loads: Mapping[str, float], now: float) -> None:
-        """Take load reports."""
+        """Store reported loads, by endpoint id, in requests."""
         self._reported_at = now
         for endpoint_id, load in loads.items():
             self._reports[endpoint_id] = _LoadReport(load, self._in_flight[endpoint_id], now)
 
     def record_token_time(self, endpoint_id: str, token_seconds: float) -> None:
-        """Take the time between tokens that an attempt saw."""
-        known = self._token_seconds.get(endpoint_id, token_seconds)
-        self._token_seconds[endpoint_id] = known + SLOWNESS_EWMA_WEIGHT * (token_seconds - known)
+        """Update the moving average of the seconds between tokens of an endpoint."""
+        average = self._token_seconds.get(endpoint_id, token_seconds)
+        self._token_seconds[endpoint_id] = average + SLOWNESS_EWMA_WEIGHT * (
+            token_seconds - average
+        )
 
     def record_connect_failure(
         self, endpoint_id: str, now: float, is_refused: bool = False
     ) -> None:
-        """Leave an endpoint out for a moment because it could not be connected to.
+        """Exclude an endpoint for an exponential backoff after a failed connection attempt.
 
         Parameters
         ----------
-        refused : bool
-            True if its VM answered that no process listens there: that says nothing against its
-            zone. Counted as for a silent one, the ends of eight engines had seven processes take
-            zones for cut off 30 times in eight seconds, and leave out what served on there.
+        is_refused : bool
+            True if the VM refused the connection. This shows that the zone is reachable, so it is
+            not counted as a failure of the zone. When it was counted, crashes of eight engines made
+            seven processes treat zones as partitioned 30 times in eight seconds and exclude healthy
+            endpoints there.
         """
-        tries = self._connect_failures[endpoint_id]
+        failures = self._connect_failures[endpoint_id]
         self._connect_failures[endpoint_id] += 1
-        seconds = min(MAX_BACKOFF_SECONDS, INITIAL_BACKOFF_SECONDS * 2**tries)
+        seconds = min(MAX_BACKOFF_SECONDS, INITIAL_BACKOFF_SECONDS * 2**failures)
         self._backoff_until[endpoint_id] = now + seconds
         fact = self._facts.get(endpoint_id)
         if fact is not None and not is_refused:
             self.zones.failed(fact.zone, endpoint_id, now)
 
     def record_contact(self, endpoint_id: str, now: float) -> None:
-        """Note that an endpoint has sent something."""
+        """Record that data from an endpoint has been received."""
         self._last_contact_at[endpoint_id] = now
         if endpoint_id in self._connect_failures:
             del self._connect_failures[endpoint_id]
@@ -447,11 +476,11 @@
             self.zones.spoke(fact.zone, now)
 
     def last_contact_at(self, endpoint_id: str) -> float:
-        """Return when an endpoint last sent something; minus infinity if it never did."""
+        """Return the time of the last data from an endpoint; minus infinity if there was none."""
         return self._last_contact_at.get(endpoint_id, -math.inf)
 
     def is_reachable(self, endpoint_id: str, now: float) -> bool:
-        """Tell whether an endpoint seems to be reached from here."""
+        """Return True if an endpoint is not in connect backoff and its zone is not partitioned."""
         fact = self._facts.get(endpoint_id)
         return fact is not None and self._is_reachable(fact, now)
 
@@ -461,39 +490,39 @@
         return not self.zones.is_cut_off(fact.zone, now)
 
     def version_of(self, endpoint_id: str) -> str:
-        """Return the version of an endpoint's software; empty if it is not known."""
+        """Return the software version of an endpoint; empty if the endpoint is unknown."""
         fact = self._facts.get(endpoint_id)
         return fact.side if fact is not None else ""
 
     def address_of(self, endpoint_id: str) -> str:
-        """Return the address of an endpoint; empty if it is not known."""
+        """Return the address of an endpoint; empty if the endpoint is unknown."""
         fact = self._facts.get(endpoint_id)
         return fact.address if fact is not None else ""
 
     def is_replaced(self, endpoint_id: str) -> bool:
-        """Tell whether another endpoint is known at the address of one that is gone."""
+        """Return True if another live or leaving endpoint has the address of this one."""
         address = self.address_of(endpoint_id)
         states = (VmState.LIVE, VmState.LEAVING)
-        others = (each for state in states for each in self._facts.select(Role.ENDPOINT, state))
-        return any(each.address == address and each.vm_id != endpoint_id for each in others)
+        endpoints = (each for state in states for each in self._facts.select(Role.ENDPOINT, state))
+        return any(each.address == address and each.vm_id != endpoint_id for each in endpoints)
 
     def service_of(self, endpoint_id: str) -> str:
-        """Return the service of an endpoint; empty if it is not known."""
+        """Return the service of an endpoint; empty if the endpoint is unknown."""
         fact = self._facts.get(endpoint_id)
         return fact.service if fact is not None else ""
 
     def ready_endpoints(self) -> list[str]:
-        """Return the endpoints that are there and do not leave."""
+        """Return the ids of all live endpoints, without those that are leaving."""
         return [each.vm_id for each in self._facts.select(Role.ENDPOINT, VmState.LIVE)]
 
     def zone_of(self, endpoint_id: str) -> str:
-        """Return the availability zone of an endpoint; empty if it is not known."""
+        """Return the availability zone of an endpoint; empty if the endpoint is unknown."""
         fact = self._facts.get(endpoint_id)
         return fact.zone if fact is not None else ""
 
     def _median_token_seconds(self, ids: Iterable[str]) -> float:
-        known = sorted(self._token_seconds[each] for each in ids if each in self._token_seconds)
-        return known[len(known) // 2] if known else 0.0
+        seconds = sorted(self._token_seconds[each] for each in ids if each in self._token_seconds)
+        return seconds[len(seconds) // 2] if seconds else 0.0
 
     def _slowness(self, endpoint_id: str, median: float) -> float:
         observed = self._token_seconds.get(endpoint_id)
@@ -502,7 +531,7 @@
         return min(MAX_SLOWNESS_RATIO, max(0.5, observed / median))
 
     def forget(self, endpoint_id: str) -> None:
-        """Drop what is known of an endpoint that is gone."""
+        """Remove all state of an endpoint that has left."""
         self.health.forget(endpoint_id)
         self.prefixes.forget(endpoint_id)
         self.noted_prompts.forget(endpoint_id)
--- a/flamingofront/request/endpoint_ends.py
+++ b/flamingofront/request/endpoint_ends.py
@@ -1,8 +1,8 @@
-"""Endpoints that ended while requests ran there: the end itself, apart from a broken connection.
+"""Detection of endpoints that crash while they run requests.
 
-A connection that breaks says little: the endpoint may have lost one answer, or reset one connection
-of many. It has ended if nothing more comes from it and no process listens there any more, or if its
-row goes without notice. An endpoint that had announced its leaving ends for its own reason.
+A lost connection alone does not show a crash: the endpoint may have reset one of many connections.
+It has crashed if it sends no more data and no process listens at its address, or if its row is
+deleted without notice. An endpoint that announced its shutdown does not count as crashed.
 """
 
 from collections.abc import Callable
@@ -17,46 +17,54 @@
 
 __all__ = ["CrashDetector"]
 
-# As for any attempt: an endpoint in reach accepts within a few milliseconds.
+# The same as for any attempt; a reachable endpoint accepts within a few milliseconds.
 PROBE_TIMEOUT_SECONDS = 0.25
-# What an endpoint sent before its end may still be read for so long after the first connection
-# broke: all that it held broke within 4 ms (241 connections of seven processes).
+# Data sent before a crash may still be read this long after the first connection is lost. In a
+# crash, all connections were lost within 4 ms (241 connections of seven processes).
 LAST_DATA_SECONDS = 0.01
 SETTLE_DELAY_SECONDS = 0.02
-# An endpoint that does not answer at all is asked again, until its row has had the time to lapse.
+# Probes that get no reply are repeated until the row of the endpoint has had time to expire.
 PROBE_RETRY_SECONDS = 1.0
 MAX_PROBES = 6
-# Connections that break so long after an endpoint's end were still part of it: what the system
-# notices by silence takes two to three seconds.
+# Connections lost up to this long after a crash still belong to it, because detection by timeout
+# takes two to three seconds.
 CRASH_RETENTION_SECONDS = 3.0
-# Requests that one line names.
 MAX_LOGGED_REQUESTS = 16
 
 
 @dataclass
 class _CrashCheck:
-    """An endpoint of which connections broke."""
+    """Check whether an endpoint has crashed, started by the loss of a connection.
+
+    Parameters
+    ----------
+    lost_at : float
+        Time of the first lost connection, on the clock of the timer service.
+    fingerprints : set of str
+        Fingerprints of the requests whose connections were lost.
+    """
 
     address: str
     zone: str
-    at: float
-    requests: set[str] = field(default_factory=set)
+    lost_at: float
+    fingerprints: set[str] = field(default_factory=set)
     probe_count: int = 0
     is_crashed: bool = False
 
 
 class CrashDetector:
-    """Tells endpoints that have ended from broken connections.
+    """Distinguishes crashed endpoints from lost connections.
 
     Attributes
     ----------
-    on_ended : callable
-        Gets each `EndpointEnd`, with its time on the clock of the timer service. A second one of
-        the same end names what was noticed later.
-    on_unwitnessed : callable
-        Gets each endpoint whose row went without notice while no request of this process was there.
-    on_found : callable
-        Gets each endpoint that this process found ended before its row went.
+    on_crash : callable
+        Called with each `EndpointEnd`, with its time on the clock of the timer service. Another
+        call for the same crash has the requests that were detected later.
+    on_unobserved_crash : callable
+        Called with each endpoint whose row was deleted without notice while this process had no
+        request there.
+    on_crash_found : callable
+        Called with each endpoint that this process finds crashed before its row is deleted.
     """
 
     def __init__(
@@ -77,29 +85,35 @@
         self.on_unobserved_crash: Callable[[str], None] = lambda endpoint_id: None
         self.on_crash_found: Callable[[str], None] = lambda endpoint_id: None
 
-    def record_connection_loss(self, endpoint_id: str, address: str, request: str) -> None:
-        """Take note that the connection of a request to an endpoint broke after it was sent."""
+    def record_connection_loss(self, endpoint_id: str, address: str, fingerprint: str) -> None:
+        """Record that the connection of a request that was sent to an endpoint was lost.
+
+        Parameters
+        ----------
+        fingerprint : str
+            Fingerprint of the request.
+        """
         check = self._checks.get(endpoint_id)
         if check is not None:
-            if request not in check.requests:
-                check.requests.add(request)
+            if fingerprint not in check.fingerprints:
+                check.fingerprints.add(fingerprint)
                 if check.is_crashed:
-                    self._notify_crash(endpoint_id, check, frozenset((request,)))
+                    self._notify_crash(endpoint_id, check, frozenset((fingerprint,)))
             return
         if self._directory.is_unavailable(endpoint_id):
             return
         zone = self._directory.zone_of(endpoint_id)
-        check = _CrashCheck(address, zone, self._timers.now(), {request})
+        check = _CrashCheck(address, zone, self._timers.now(), {fingerprint})
         self._checks[endpoint_id] = check
         self._send_probe(endpoint_id, check)
 
     def record_row_removal(self, endpoint_id: str, announced: bool = False) -> None:
-        """Take note that an endpoint's row went.
+        """Record that the row of an endpoint was deleted or has expired.
 
         Parameters
         ----------
         announced : bool
-            True if it had said before that it leaves.
+            True if the endpoint announced its shutdown before.
         """
         check = self._checks.get(endpoint_id)
         if check is None and not announced:
@@ -108,7 +122,7 @@
             self._declare_crash(endpoint_id, check)
 
     def confirm_crash(self, endpoint_id: str, on_confirmed: Callable[[], None]) -> None:
-        """Call `on_confirmed` unless the endpoint still listens."""
+        """Probe an endpoint whose row was deleted; call `on_confirmed` unless it still listens."""
         address = self._directory.address_of(endpoint_id)
         if not address:
             on_confirmed()
@@ -124,29 +138,29 @@
         self, endpoint_id: str, reach: Reach, on_confirmed: Callable[[], None]
     ) -> None:
         if reach is Reach.CONNECTED and not self._directory.is_replaced(endpoint_id):
-            self._log.info("endpoint leaves without notice", endpoint=endpoint_id)
+            self._log.info("endpoint still listens after its row was deleted", endpoint=endpoint_id)
         else:
             on_confirmed()
 
     def zone_of(self, endpoint_id: str) -> str:
-        """Return the availability zone of an endpoint; empty if it is not known."""
+        """Return the availability zone of an endpoint; empty if the endpoint is unknown."""
         return self._directory.zone_of(endpoint_id)
 
     def record_closed_port(self, endpoint_id: str) -> None:
-        """Take note that no process listens at the address of an endpoint, whatever ran there."""
+        """Record that no process listens at the address of an endpoint."""
         if endpoint_id in self._checks or self._directory.is_leaving(endpoint_id):
             return
         self._directory.record_connect_failure(endpoint_id, self._timers.now(), is_refused=True)
         self.on_crash_found(endpoint_id)
 
-    def record_restart(self, endpoint_id: str, requests: frozenset[str]) -> None:
-        """Take note that an endpoint has started again while requests were there."""
+    def record_restart(self, endpoint_id: str, fingerprints: frozenset[str]) -> None:
+        """Record that an endpoint restarted while it had requests, given by their fingerprints."""
         check = self._checks.get(endpoint_id)
         if check is None:
             zone = self._directory.zone_of(endpoint_id)
             check = self._checks[endpoint_id] = _CrashCheck("", zone, self._timers.now())
-        added = requests - check.requests
-        check.requests |= added
+        added = fingerprints - check.fingerprints
+        check.fingerprints |= added
         if not check.is_crashed:
             self._declare_crash(endpoint_id, check)
         elif added:
@@ -176,10 +190,10 @@
             del self._checks[endpoint_id]
 
     def _conclude_check(self, endpoint_id: str, check: _CrashCheck) -> None:
-        """Take an endpoint for ended that refuses connections, unless it still sends."""
+        """Declare a crash of an endpoint that refuses connections, unless it still sends data."""
         if self._checks.get(endpoint_id) is not check or check.is_crashed:
             return
-        if self._directory.last_contact_at(endpoint_id) > check.at + LAST_DATA_SECONDS:
+        if self._directory.last_contact_at(endpoint_id) > check.lost_at + LAST_DATA_SECONDS:
             del self._checks[endpoint_id]
         else:
             self._declare_crash(endpoint_id, check)
@@ -189,14 +203,18 @@
         self._timers.once(CRASH_RETENTION_SECONDS, lambda: self._checks.pop(endpoint_id, None))
         self._metrics.count("endpoint_ends_total")
         self._log.warning(
-            "endpoint ended",
+            "endpoint crashed",
             endpoint=endpoint_id,
             zone_of_endpoint=check.zone,
-            ago=round(self._timers.now() - check.at, 3),
-            running=len(check.requests),
-            work=sorted(check.requests)[:MAX_LOGGED_REQUESTS],
+            ago=round(self._timers.now() - check.lost_at, 3),
+            running=len(check.fingerprints),
+            work=sorted(check.fingerprints)[:MAX_LOGGED_REQUESTS],
         )
-        self._notify_crash(endpoint_id, check, frozenset(check.requests))
+        self._notify_crash(endpoint_id, check, frozenset(check.fingerprints))
 
-    def _notify_crash(self, endpoint_id: str, check: _CrashCheck, requests: frozenset[str]) -> None:
-        self.on_crash(EndpointEnd(endpoint_id, check.zone, check.at, tuple(sorted(requests))))
+    def _notify_crash(
+        self, endpoint_id: str, check: _CrashCheck, fingerprints: frozenset[str]
+    ) -> None:
+        self.on_crash(
+            EndpointEnd(endpoint_id, check.zone, check.lost_at, tuple(sorted(fingerprints)))
+        )
--- a/flamingofront/request/endpoint_limits.py
+++ b/flamingofront/request/endpoint_limits.py
@@ -1,8 +1,8 @@
-"""Rate limits that endpoints name in their answers, as this process knows them.
+"""Local view of the rate limits that endpoints advertise in their responses.
 
-An overloaded endpoint names in each answer the requests a second that it accepts from all entry
-processes together. A limit ends with the first answer that does not name one, or with the start of
-the endpoint that named it.
+An overloaded endpoint advertises in each response the requests per second that it accepts from all
+entry processes together. A limit ends with the first response without one, or with a restart of the
+endpoint.
 """
 
 from collections.abc import Callable, Iterable
@@ -14,27 +14,27 @@
 
 __all__ = ["EndpointLimit", "EndpointLimits"]
 
-# Answers on different connections overtake one another, and clocks of VMs differ: an answer without
-# a limit counts only if its request was sent so long after the limit was last named.
+# Responses on different connections can be reordered, and the clocks of VMs differ: a response
+# without a limit counts only if its request was sent this long after the last advertisement.
 REORDERING_MARGIN_SECONDS = 0.25
-# A change is told to the other processes for so long: some reports, of which a few may be lost.
+# A change is gossiped for this long, in several reports, because some of them may be lost.
 GOSSIP_SECONDS = 3.0
-# Most changes in one report; the latest ones go first.
+# Maximum number of changes in one report; the latest ones are sent first.
 MAX_GOSSIPED_LIMITS = 32
 
 
 @dataclass(frozen=True)
 class EndpointLimit:
-    """What an endpoint has last said of the rate that it takes.
+    """Last rate limit that an endpoint advertised.
 
     Parameters
     ----------
-    born : int
-        Unix milliseconds of the start of the endpoint; 0 if it does not say.
+    started_ms : int
+        Start time of the endpoint in Unix milliseconds; 0 if unknown.
     rate : float or None
-        Requests a second from all entry processes together; None if it names no limit any more.
+        Requests per second from all entry processes together; None if the limit has ended.
     advertised_at : float
-        Wall time of the last answer that said so, in seconds.
+        Wall time, in seconds, of the last response that advertised this rate.
     """
 
     endpoint_id: str
@@ -44,16 +44,16 @@
 
 
 class EndpointLimits:
-    """Keeps what endpoints say of the rate that they take.
+    """Stores the rate limits that endpoints advertise, and merges those from other processes.
 
     Attributes
     ----------
     wall : callable
-        Returns the wall clock that the processes agree on.
-    born_of : callable
-        Returns when an endpoint started, in Unix milliseconds; None if it is not known here.
-    on_end : callable
-        Gets each endpoint that names no limit any more.
+        Returns the wall time on which the entry processes agree, in seconds.
+    start_ms_of : callable
+        Returns the start time of an endpoint in Unix milliseconds; None for an unknown endpoint.
+    on_limit_ended : callable
+        Called with each endpoint that no longer advertises a limit.
     """
 
     def __init__(self, timers: TimerService, metrics: Metrics, log: Log):
@@ -67,30 +67,30 @@
         self._changed_at: dict[str, float] = {}
 
     def rate_of(self, endpoint_id: str) -> float | None:
-        """Return the requests a second that an endpoint takes from all; None if it sets none."""
+        """Return the rate limit of an endpoint in requests per second; None if it has none."""
         cached = self._limits.get(endpoint_id)
         return None if cached is None else cached.rate
 
     def rates_by_endpoint(self) -> dict[str, float]:
-        """Return the rates of all endpoints that name one."""
+        """Return all current rate limits in requests per second, by endpoint."""
         return {name: each.rate for name, each in self._limits.items() if each.rate is not None}
 
     def limit_of(self, endpoint_id: str) -> EndpointLimit | None:
-        """Return what an endpoint has last said; None if nothing is known."""
+        """Return the last stored limit of an endpoint; None if there is none."""
         return self._limits.get(endpoint_id)
 
     def record_response(
         self, endpoint_id: str, rate: float | None, sent_at: float, request_id: str
     ) -> None:
-        """Take what an answer says.
+        """Store the limit that a response advertises, or its absence.
 
         Parameters
         ----------
         rate : float or None
-            Requests a second that it names; None if it names none.
+            Advertised requests per second; None if the response advertises no limit.
         sent_at : float
-            When the request was sent, on the clock of the timer service.
-        request : str
+            Time at which the request was sent, on the clock of the timer service.
+        request_id : str
             Id of the request, for the log.
         """
         started_ms = self.start_ms_of(endpoint_id)
@@ -99,7 +99,7 @@
         self._store_limit(EndpointLimit(endpoint_id, started_ms, rate, self.wall()), request_id)
 
     def _can_clear_limit(self, endpoint_id: str, sent_at: float) -> bool:
-        """Tell whether an answer without a limit ends the one that is known."""
+        """Return True if a response without a limit ends the stored limit."""
         cached = self._limits.get(endpoint_id)
         if cached is None or cached.rate is None:
             return False
@@ -107,10 +107,10 @@
         return sent_wall > cached.advertised_at + REORDERING_MARGIN_SECONDS
 
     def merge(self, limits: Iterable[EndpointLimit]) -> None:
-        """Merge what other processes know, where it is newer."""
+        """Merge limits from other processes that are newer than the stored ones."""
         wall = self.wall()
         for each in limits:
-            # A clock that is ahead must not outweigh what is said later.
+            # A sender with a fast clock must not override later advertisements.
             update = replace(each, advertised_at=min(each.advertised_at, wall))
             if self._is_newer(update):
                 self._store_limit(update, "")
@@ -126,18 +126,18 @@
         return update.rate != cached.rate and update.advertised_at > cached.advertised_at + margin
 
     def recent_changes(self) -> tuple[EndpointLimit, ...]:
-        """Return what changed lately, to be told to the other processes."""
+        """Return the limits that changed recently, to be gossiped to other processes."""
         since = self._timers.now() - GOSSIP_SECONDS
         self._changed_at = {name: at for name, at in self._changed_at.items() if at > since}
         latest = sorted(self._changed_at, key=lambda name: -self._changed_at[name])
         return tuple(self._limits[name] for name in latest[:MAX_GOSSIPED_LIMITS])
 
     def forget(self, endpoint_id: str) -> None:
-        """Forget an endpoint that is gone or has started again."""
+        """Remove the limit of an endpoint that has left or restarted."""
         cached = self._limits.pop(endpoint_id, None)
         self._changed_at.pop(endpoint_id, None)
         if cached is not None and cached.rate is not None:
-            self._log.info("endpoint limit forgotten", endpoint=endpoint_id, rate=cached.rate)
+            self._log.info("endpoint limit removed", endpoint=endpoint_id, rate=cached.rate)
             self.on_limit_ended(endpoint_id)
 
     def _store_limit(self, limit: EndpointLimit, request_id: str) -> None:
@@ -154,7 +154,7 @@
     def _log_change(
         self, limit: EndpointLimit, cached: EndpointLimit | None, request_id: str
     ) -> None:
-        """Log and count a change of what is known."""
+        """Log and count a change of a stored limit."""
         previous_rate = None if cached is None else cached.rate
         change = "ended" if limit.rate is None else "named" if previous_rate is None else "changed"
         self._metrics.count("endpoint_limits_total", change=change)
--- a/flamingofront/request/endpoint_pauses.py
+++ b/flamingofront/request/endpoint_pauses.py
@@ -1,4 +1,4 @@
-"""Pauses that endpoints request of this process when they reject a request."""
+"""Back-off periods that endpoints request, with Retry-After, when they reject a request."""
 
 import random
 from dataclasses import dataclass, replace
@@ -9,27 +9,26 @@
 
 __all__ = ["EndpointBackoffs"]
 
-# Longest pause that is believed, in seconds: an endpoint that named a day by mistake would be left
-# alone for that day.
+# Longer requests are cut to this: an endpoint that requests a day by mistake would otherwise get no
+# requests for a day.
 MAX_BACKOFF_SECONDS = 60.0
 
 
-# Random part by which a pause is longer than was asked for: processes that were refused together do
-# not come back together.
+# A back-off is extended by a random fraction up to this one, so that processes that were rejected
+# together do not retry together.
 JITTER_FRACTION = 0.25
-# After a pause one request shows whether the endpoint takes them again; the others wait for its
-# answer for so long, in seconds.
+# After a back-off, one trial request is sent first; other requests wait this long for its response.
 TRIAL_TIMEOUT_SECONDS = 1.0
 
 
 @dataclass(frozen=True)
 class _Backoff:
-    """A pause on the clock of the timer service.
+    """Back-off of one endpoint, with times on the clock of the timer service.
 
     Parameters
     ----------
     trial_at : float or None
-        When the first request after the pause was sent; None before.
+        Time at which the trial request after the back-off was sent; None before.
     """
 
     requested_at: float
@@ -38,10 +37,11 @@
 
 
 class EndpointBackoffs:
-    """Keeps until when this process sends nothing to an endpoint.
+    """Tracks the endpoints to which this process sends no requests for a while.
 
-    A success in between does not end a pause. After it one request goes first, and the others
-    follow once it is answered otherwise.
+    The success of an earlier request does not end a back-off. When it is over, one trial request is
+    sent, as in a half-open circuit breaker; other requests follow when it is not rejected or after
+    `TRIAL_TIMEOUT_SECONDS`.
     """
 
     def __init__(self, timers: TimerService, metrics: Metrics, log: Log, rng: random.Random):
@@ -52,20 +52,22 @@
         self._backoffs: dict[str, _Backoff] = {}
 
     def start(self, endpoint_id: str, seconds: float, request_id: str) -> None:
-        """Start the pause that an endpoint requested; a running one is never shortened.
+        """Start the back-off that an endpoint requested; a running one is never shortened.
 
         Parameters
         ----------
-        request : str
-            Id of the request that was refused, for the log.
+        seconds : float
+            Requested duration.
+        request_id : str
+            Id of the rejected request, for the log.
         """
         now = self._timers.now()
         backoff = self._backoffs.get(endpoint_id)
-        limited_seconds = min(seconds, MAX_BACKOFF_SECONDS)
-        until = now + limited_seconds * (1.0 + JITTER_FRACTION * self._rng.random())
+        capped_seconds = min(seconds, MAX_BACKOFF_SECONDS)
+        until = now + capped_seconds * (1.0 + JITTER_FRACTION * self._rng.random())
         self._metrics.count("endpoint_pauses_total")
         self._log.info(
-            "endpoint requested a pause",
+            "endpoint requested back-off",
             endpoint=endpoint_id,
             seconds=seconds,
             left_before=None if backoff is None else round(backoff.until - now, 3),
@@ -76,7 +78,7 @@
             self._backoffs[endpoint_id] = _Backoff(now, until)
 
     def remaining_seconds(self, endpoint_id: str) -> float:
-        """Return the seconds that are left of an endpoint's pause; 0 if it has none."""
+        """Return the remaining seconds of the back-off of an endpoint; 0 if it has none."""
         backoff = self._backoffs.get(endpoint_id)
         if backoff is None:
             return 0.0
@@ -86,26 +88,32 @@
         return max(0.0, until - self._timers.now())
 
     def endpoints_in_backoff(self) -> frozenset[str]:
-        """Return the endpoints that are paused now."""
+        """Return the endpoints that are in back-off, or whose trial request is in flight."""
         return frozenset(name for name in self._backoffs if self.remaining_seconds(name) > 0)
 
     def record_send(self, endpoint_id: str) -> None:
-        """Take note of a request that was sent: after a pause it is the first one."""
+        """Record that a request was sent; the first one after a back-off is the trial request."""
         backoff = self._backoffs.get(endpoint_id)
         if backoff is not None and self.remaining_seconds(endpoint_id) <= 0:
             self._backoffs[endpoint_id] = replace(backoff, trial_at=self._timers.now())
 
     def record_response(self, endpoint_id: str, sent_at: float) -> None:
-        """Take an answer that asks for no pause: one to a request after the pause ends it."""
+        """Record a response that requests no back-off; a response to the trial request ends it.
+
+        Parameters
+        ----------
+        sent_at : float
+            Time at which the request was sent, on the clock of the timer service.
+        """
         backoff = self._backoffs.get(endpoint_id)
         if backoff is not None and backoff.trial_at is not None and sent_at >= backoff.trial_at:
             del self._backoffs[endpoint_id]
             self._log.info(
-                "endpoint takes requests again",
+                "endpoint back-off ended",
                 endpoint=endpoint_id,
                 pause_age=round(self._timers.now() - backoff.requested_at, 3),
             )
 
     def forget(self, endpoint_id: str) -> None:
-        """Forget an endpoint that is gone or has started again."""
+        """Remove the back-off of an endpoint that has left or restarted."""
         self._backoffs.pop(endpoint_id, None)
--- a/flamingofront/request/event_stream.py
+++ b/flamingofront/request/event_stream.py
@@ -1,4 +1,4 @@
-"""Server-sent events that pass through: whole events only, each id once and in order."""
+"""Relay of server-sent events: only complete events, with ids that increase."""
 
 import re
 
@@ -10,12 +10,19 @@
 
 
 class EventRelay:
-    """Cut an endpoint's bytes into whole events.
+    """Splits the bytes of a response stream into complete events.
+
+    Attributes
+    ----------
+    last_id : str
+        Id of the last complete event that had one; empty before.
+    count : int
+        Number of complete events so far.
 
     Notes
     -----
-    An endpoint may stop in the middle of an event. Only whole events are passed on, so that another
-    endpoint can go on behind the last one.
+    An endpoint may stop in the middle of an event. Only complete events are passed on, so that
+    another endpoint can continue the stream after the last one.
     """
 
     def __init__(self):
@@ -25,30 +32,31 @@
 
     @property
     def has_partial_event(self) -> bool:
-        """True if bytes of an unfinished event are held."""
+        """True if the buffer holds the beginning of an event."""
         return bool(self._buffer)
 
     def discard_partial_event(self) -> None:
-        """Drop the unfinished event: another endpoint goes on behind the last whole one."""
+        """Discard the incomplete event, before another endpoint continues the stream."""
         self._buffer = b""
 
     def feed(self, data: bytes) -> bytes:
-        """Take bytes and return the whole events among them.
+        """Append received bytes and return all events that are now complete, as bytes.
 
         Raises
         ------
         ValueError
-            If an event does not follow the last one, or is larger than any event may be.
+            If a numeric event id is not greater than the last one, or an incomplete event exceeds
+            1 MiB.
         """
         self._buffer += data
         end = 0
         for match in _EVENT_END.finditer(self._buffer):
             self._record_event(self._buffer[end : match.end()])
             end = match.end()
-        whole, self._buffer = self._buffer[:end], self._buffer[end:]
+        events, self._buffer = self._buffer[:end], self._buffer[end:]
         if len(self._buffer) > _MAX_EVENT_BYTES:
             raise ValueError("an event is too large")
-        return whole
+        return events
 
     def _record_event(self, event: bytes) -> None:
         self.count += 1
--- a/flamingofront/request/fingerprint.py
+++ b/flamingofront/request/fingerprint.py
@@ -1,7 +1,7 @@
-"""What a request asks for, whoever carries it: the same for each repeat, under whatever id.
+"""Fingerprints that identify repeated requests.
 
-Callers repeat a request under a new id, at another entry VM, on another connection. Only what is
-asked and who asks tells that it is the same work.
+Callers repeat a request under a new id, at another entry VM, on another connection. The fingerprint
+depends only on the workspace and the content of the request, so repeats have the same one.
 """
 
 import hashlib
@@ -14,20 +14,20 @@
 
 __all__ = ["compute_fingerprint"]
 
-# 64 bits: among a million requests two differing ones share it once in 37 million cases.
+# With 64 bits, the probability of a collision among a million requests is 1 in 37 million.
 FINGERPRINT_BYTES = 8
 
 
 def compute_fingerprint(record: RequestRecord) -> str:
-    """Return the fingerprint of a request: a digest of its caller, target and body.
+    """Return the fingerprint of a request: a hex digest of its workspace, target and body.
 
     Notes
     -----
-    A body of 12 KB takes 32 us (least of three runs of 2,000).
+    A body of 12 KB takes 32 us (best of three runs of 2,000).
     """
     digest = hashlib.blake2b(digest_size=FINGERPRINT_BYTES)
     for field in (record.workspace.encode(), *_fingerprint_fields(record)):
-        # The length keeps apart what would be the same bytes when joined.
+        # The length prefix distinguishes fields that would concatenate to the same bytes.
         digest.update(b"%d:" % len(field))
         digest.update(field)
     return digest.hexdigest()
--- a/flamingofront/request/guard.py
+++ b/flamingofront/request/guard.py
@@ -1,7 +1,7 @@
-"""Keeps requests that crash endpoints away from them, for one process.
+"""Quarantine of poison requests, which crash the endpoints that run them, in one process.
 
-`flamingofront.decisions.quarantine` decides; here its facts come from the attempts of this process
-and the word of others, and its verdicts reach the requests.
+`flamingofront.decisions.quarantine` decides. `RequestGuard` provides it with crashes observed by
+this process and with gossip from other processes, and enforces its decisions on the requests.
 """
 
 from collections import OrderedDict, deque
@@ -34,56 +34,64 @@
 
 Evidence = Mapping[str, tuple[EndpointEnd, ...]]
 
-# Pause between two looks at what is too old.
+# Period of the removal of expired entries.
 CLEANUP_PERIOD_SECONDS = 10.0
-# Word of what others saw is told on in bundles: tens of processes tell of one end.
+# Received updates are forwarded in batches, because tens of processes report the same crash.
 GOSSIP_BATCH_SECONDS = 0.03
 
 
-def quarantine_error(hold: Hold, wall: float) -> RequestError:
-    """Return the error of a request that is not run, with what it has done."""
-    ago = max(0.0, wall - hold.since)
+def quarantine_error(entry: Hold, wall: float) -> RequestError:
+    """Return the error for a quarantined request, with the crashes that it caused.
+
+    Parameters
+    ----------
+    wall : float
+        Current wall time, in seconds.
+    """
+    ago = max(0.0, wall - entry.since)
     return RequestError(
         ErrorKind.CRASHES_ENDPOINTS,
-        f"{len(hold.endpoints)} endpoints ended while they ran this request, the last one "
+        f"{len(entry.endpoints)} endpoints ended while they ran this request, the last one "
         f"{ago:.1f} s ago; do not repeat it",
         inputs={
-            "work": hold.fingerprint,
-            "endpoints": hold.endpoints,
+            "work": entry.fingerprint,
+            "endpoints": entry.endpoints,
             "last_end_age": round(ago, 3),
-            "trials": hold.trials,
-            "next_trial_in": round(hold.next_trial - wall, 1),
+            "trials": entry.trials,
+            "next_trial_in": round(entry.next_trial - wall, 1),
         },
     )
 
 
 class RequestGuard:
-    """What this process knows of requests that crash endpoints.
+    """Local state of the quarantine of poison requests.
 
     Parameters
     ----------
     active : callable
-        Returns the requests that this process holds.
+        Returns the requests in flight in this process.
 
     Attributes
     ----------
     wall : callable
-        Returns the wall clock that the processes agree on.
-    on_news : callable
-        Called when others have to be told.
-    on_hold : callable
-        Gets each hold that is new or was lifted, and whether this process found it out itself.
+        Returns the wall time on which the entry processes agree, in seconds.
+    on_update : callable
+        Called when an update has to be sent to the other processes.
+    on_quarantine_change : callable
+        Called with each quarantine entry that is new or cleared, and True if this process detected
+        the change itself.
     on_evidence : callable
-        Gets the ends by request that are to outlast this process; no ends where an answer has
-        cleared it.
-    on_end : callable
-        Gets each endpoint that has ended, as this process saw it or was told.
-    restarts : callable
-        Returns when the entry processes that are known began, on the wall clock.
-    claim : callable
-        Claims a trial for this process alone: gets the hold, and what to call with the outcome.
+        Called with the crashes to persist, by fingerprint; none for a request that a response has
+        cleared.
+    on_endpoint_crash : callable
+        Called with each endpoint that has crashed, whether observed here or reported.
+    entry_start_times : callable
+        Returns the start times of the known entry processes, as wall times in seconds.
+    acquire_trial : callable
+        Claims a trial exclusively for this process; gets the quarantine entry and a callback for
+        the outcome.
     intents : IntentLog
-        Records requests before they are sent; nothing unless it is set.
+        Write-ahead log of sends; a `NullIntentLog` by default.
     """
 
     def __init__(
@@ -101,23 +109,23 @@
         self.quarantine = Quarantine()
         self.wall: Callable[[], float] = timers.wall
         self.on_update: Callable[[], None] = lambda: None
-        self.on_quarantine_change: Callable[[Hold, bool], None] = lambda hold, is_local: None
+        self.on_quarantine_change: Callable[[Hold, bool], None] = lambda entry, is_local: None
         self.on_evidence: Callable[[Evidence], None] = lambda evidence: None
         self.on_endpoint_crash: Callable[[str], None] = lambda endpoint_id: None
         self.entry_start_times: Callable[[], Sequence[float]] = lambda: ()
         self.acquire_trial: Callable[[Hold, Callable[[bool], None]], None] = (
-            lambda hold, done: done(False)
+            lambda entry, done: done(False)
         )
         self.intents: IntentLog = NullIntentLog()
         self._timers = timers
         self._metrics = metrics
         self._log = log
         self._active = active
-        # Endpoints that ended with no witness.
+        # Endpoints that crashed while no process had a request there, as far as is known.
         self._unobserved: deque[str] = deque(maxlen=MAX_UNWITNESSED)
-        # Requests at whose ends this process was a witness, until word of others has come.
+        # Requests of crashes observed here, until the reports of all processes have been received.
         self._observed_fingerprints: set[str] = set()
-        # Requests whose ends are in the store, as far as this process knows.
+        # Requests whose crashes are persisted in the store, by the local view.
         self._persisted: OrderedDict[str, None] = OrderedDict()
         self._gossip_scheduled = False
         self._evaluation_scheduled = False
@@ -125,29 +133,29 @@
             CLEANUP_PERIOD_SECONDS, self._remove_expired, first=CLEANUP_PERIOD_SECONDS, relaxed=True
         )
 
-    # Verdicts
+    # Quarantine status
 
     def quarantine_status(self, fingerprint: str) -> Standing:
-        """Return what is known of a request."""
+        """Return the quarantine status of a request."""
         if not self.quarantine:
             return Standing.CLEAR
         return self.quarantine.standing(fingerprint, self.wall())
 
     def quarantine_entry(self, fingerprint: str) -> Hold | None:
-        """Return the hold of a request that is not run; None if it is run."""
+        """Return the quarantine entry of a request; None if it is not quarantined."""
         return self.quarantine.hold(fingerprint)
 
     def suspects(self) -> frozenset[str]:
-        """Return the requests that are suspected, and run."""
+        """Return the fingerprints of requests that are suspect but not quarantined."""
         return self.quarantine.suspects(self.wall())
 
     def reject_quarantined(self, record: RequestRecord) -> None:
-        """Refuse a request that is not run.
+        """Reject a request that is quarantined.
 
         Raises
         ------
         RequestError
-            At once, with the endpoints that ended under it.
+            If the request is quarantined; with the endpoints that it crashed.
         """
         if not self.quarantine:
             return
@@ -156,12 +164,12 @@
             raise quarantine_error(self.quarantine_entry(fingerprint), self.wall())
 
     def endpoints_to_avoid(self, request: "ActiveRequest") -> frozenset[str]:
-        """Return the endpoints that a suspect is kept away from while there are others.
+        """Return the endpoints that a suspect request should avoid while there are others.
 
         Notes
         -----
-        Two suspects at one endpoint cannot be told apart by its end. What is tried once more is
-        kept from all that runs here.
+        If two suspects run at one endpoint, its crash does not show which of them caused it. A
+        trial request avoids the endpoints of all other requests of this process.
         """
         if not self.quarantine:
             return frozenset()
@@ -181,24 +189,24 @@
             return True
         return request.is_trial or self.quarantine_status(other.fingerprint) is not Standing.CLEAR
 
-    # Facts
+    # Crashes and responses
 
-    def _on_crash(self, end: EndpointEnd) -> None:
-        """Take note of an end that this process has seen."""
-        at = self.wall() - (self._timers.now() - end.at)
-        self.on_endpoint_crash(end.endpoint_id)
-        if self.quarantine.ended(replace(end, at=at), self.wall()):
-            self._observed_fingerprints.update(end.requests)
+    def _on_crash(self, crash: EndpointEnd) -> None:
+        """Record a crash that this process has observed."""
+        at = self.wall() - (self._timers.now() - crash.at)
+        self.on_endpoint_crash(crash.endpoint_id)
+        if self.quarantine.ended(replace(crash, at=at), self.wall()):
+            self._observed_fingerprints.update(crash.requests)
             self._evaluate(is_local=True)
-            self._persist_evidence(end.requests, ENDS_KEPT)
+            self._persist_evidence(crash.requests, ENDS_KEPT)
             self.on_update()
-        self.intents.record_crash(end.endpoint_id)
+        self.intents.record_crash(crash.endpoint_id)
 
     def _is_recorded(self, endpoint_id: str) -> bool:
         return endpoint_id in self.quarantine.ended_endpoints() or endpoint_id in self._unobserved
 
     def _on_unobserved_crash(self, endpoint_id: str) -> None:
-        """Take note of a row that went, with no request of this process there, nor word of one."""
+        """Record a deleted row of an endpoint at which no request is known."""
         if self._is_recorded(endpoint_id):
             return
         if is_about_restart(self.wall(), self.entry_start_times()):
@@ -209,19 +217,22 @@
             self._record_unobserved(endpoint_id, "row")
 
     def _record_unobserved(self, endpoint_id: str, source: str) -> None:
-        """Record requests from now on if whoever was a witness of an end may be gone."""
+        """Record an unobserved crash; close to a restart, start to record requests before sending.
+
+        The process that had a request at the endpoint may be the one that restarted.
+        """
         if endpoint_id in self._unobserved:
             return
         now, start_times = self.wall(), self.entry_start_times()
         self._unobserved.append(endpoint_id)
         self.quarantine.unwitnessed(endpoint_id, now)
-        self._log.info("endpoint ended unseen", endpoint=endpoint_id, source=source)
+        self._log.info("unobserved endpoint crash", endpoint=endpoint_id, source=source)
         if is_about_restart(now, start_times):
             self.intents.record_unobserved_crash(endpoint_id)
         self.intents.record_crash(endpoint_id)
 
     def _on_crash_found(self, endpoint_id: str) -> None:
-        """Tell others of an end with no witness that this process was the first to find."""
+        """Record and gossip an unobserved crash that this process is the first to find."""
         if self._is_recorded(endpoint_id):
             return
         self._record_unobserved(endpoint_id, "probe")
@@ -229,9 +240,9 @@
         self.quarantine.ended(EndpointEnd(endpoint_id, zone, now, ()), now)
         self._schedule_gossip()
 
-    def _persist_evidence(self, fingerprints: Iterable[str], least: int) -> None:
-        """Keep the ends of requests that have so many in the store."""
-        evidence = self.quarantine.evidence(fingerprints, least)
+    def _persist_evidence(self, fingerprints: Iterable[str], min_crashes: int) -> None:
+        """Persist the crashes of requests that have at least `min_crashes` of them."""
+        evidence = self.quarantine.evidence(fingerprints, min_crashes)
         if evidence:
             self._mark_persisted(evidence)
             self.on_evidence(evidence)
@@ -241,70 +252,70 @@
         while len(self._persisted) > MAX_SUSPECTS:
             self._persisted.popitem(last=False)
 
-    def load_evidence(self, ends: Iterable[EndpointEnd]) -> None:
-        """Take ends as the store has them."""
-        news = []
-        for each in ends:
+    def load_evidence(self, crashes: Iterable[EndpointEnd]) -> None:
+        """Merge crashes that were read from the store."""
+        changes = []
+        for each in crashes:
             self._mark_persisted(each.requests)
-            news.append(self.quarantine.ended(each, self.wall()))
-        if any(news):
+            changes.append(self.quarantine.ended(each, self.wall()))
+        if any(changes):
             self._evaluate(is_local=False)
 
     def record_response(self, fingerprint: str) -> None:
-        """Take note that an endpoint has answered a request."""
+        """Record that an endpoint has responded to a request, which clears it."""
         self.intents.record_response(fingerprint)
         if not self.quarantine:
             return
-        hold, now = self.quarantine.hold(fingerprint), self.wall()
-        ends = self.quarantine.ends_under(fingerprint)
+        entry, now = self.quarantine.hold(fingerprint), self.wall()
+        crashes = self.quarantine.ends_under(fingerprint)
         if not self.quarantine.answered(fingerprint, now):
             return
-        if hold is not None or fingerprint in self._persisted:
+        if entry is not None or fingerprint in self._persisted:
             self._persisted.pop(fingerprint, None)
             self.on_evidence({fingerprint: ()})
-        if hold is not None:
-            self._log_release(hold, "answered")
-            self.on_quarantine_change(replace(hold, lifted=True), True)
+        if entry is not None:
+            self._log_release(entry, "answered")
+            self.on_quarantine_change(replace(entry, lifted=True), True)
         else:
             self._log.info(
-                "suspicion dropped",
+                "request no longer suspect",
                 work=fingerprint,
                 reason="answered",
-                endpoints=[each.endpoint_id for each in ends],
+                endpoints=[each.endpoint_id for each in crashes],
             )
         self.on_update()
 
     def merge_update(self, update: QuarantineWord | None) -> None:
-        """Take what another process tells."""
+        """Merge an update from another process; None is ignored."""
         if update is None:
             return
-        before = {each.fingerprint: each for each in self.quarantine.holds()}
-        known = self.quarantine.ended_endpoints()
+        previous = {each.fingerprint: each for each in self.quarantine.holds()}
+        known_crashes = self.quarantine.ended_endpoints()
         if not self.quarantine.hear(update, self.wall()):
             return
-        for endpoint_id in self.quarantine.ended_endpoints() - known:
+        for endpoint_id in self.quarantine.ended_endpoints() - known_crashes:
             self.on_endpoint_crash(endpoint_id)
             if self.quarantine.is_unexplained(endpoint_id):
                 self._record_unobserved(endpoint_id, "peer")
             else:
                 self.intents.record_crash(endpoint_id)
-        self._apply_changes(before, "peer")
+        self._apply_changes(previous, "peer")
         self._evaluate(is_local=False)
         self._schedule_gossip()
 
-    def load_entry(self, hold: Hold) -> None:
-        """Take a hold as the store has it."""
-        before = {each.fingerprint: each for each in self.quarantine.holds()}
-        if self.quarantine.take_hold(hold, self.wall()):
-            self._apply_changes(before, "store")
+    def load_entry(self, entry: Hold) -> None:
+        """Merge a quarantine entry that was read from the store."""
+        previous = {each.fingerprint: each for each in self.quarantine.holds()}
+        if self.quarantine.take_hold(entry, self.wall()):
+            self._apply_changes(previous, "store")
             self._schedule_gossip()
 
     def build_update(self) -> QuarantineWord | None:
-        """Return what others have to be told; None if that is nothing."""
+        """Return the update for other processes; None if there is nothing to send."""
         return self.quarantine.word(self.wall())
 
     def _schedule_gossip(self) -> None:
-        """Tell others soon of what was heard: some of them cannot hear its source."""
+        """Schedule the forwarding of an update: some processes cannot reach its source."""
         if not self._gossip_scheduled:
             self._gossip_scheduled = True
             self._timers.once(GOSSIP_BATCH_SECONDS, self._send_gossip)
@@ -313,84 +324,91 @@
         self._gossip_scheduled = False
         self.on_update()
 
-    # What follows
+    # Enforcement
 
-    def _apply_changes(self, before: dict[str, Hold], source: str) -> None:
-        """Act on holds that came or went by word of others."""
+    def _apply_changes(self, previous: dict[str, Hold], source: str) -> None:
+        """Enforce entries that an update added, and log those that it removed."""
         after = {each.fingerprint: each for each in self.quarantine.holds()}
-        for fingerprint, hold in after.items():
-            if fingerprint not in before:
-                self._enforce_quarantine(hold, source)
-        for fingerprint, hold in before.items():
+        for fingerprint, entry in after.items():
+            if fingerprint not in previous:
+                self._enforce_quarantine(entry, source)
+        for fingerprint, entry in previous.items():
             if fingerprint not in after:
-                self._log_release(hold, f"answered, says {source}")
+                self._log_release(entry, f"answered, says {source}")
 
     def _evaluate(self, is_local: bool) -> None:
-        for hold in self.quarantine.judge(self.wall(), self.entry_start_times()):
-            self._enforce_quarantine(hold, "own" if is_local else "ends")
-            self.on_quarantine_change(hold, is_local)
+        for entry in self.quarantine.judge(self.wall(), self.entry_start_times()):
+            self._enforce_quarantine(entry, "own" if is_local else "ends")
+            self.on_quarantine_change(entry, is_local)
         if not self._evaluation_scheduled:
             self._evaluation_scheduled = True
             self._timers.once(SETTLED_SECONDS, self._evaluate_settled)
 
     def _evaluate_settled(self) -> None:
-        """Look again once word of all processes has come."""
+        """Evaluate again once the reports of all processes have been received."""
         self._evaluation_scheduled = False
-        self._persist_evidence(self._observed_fingerprints, least=1)
+        self._persist_evidence(self._observed_fingerprints, min_crashes=1)
         self._observed_fingerprints.clear()
-        for hold in self.quarantine.judge(self.wall(), self.entry_start_times()):
-            self._enforce_quarantine(hold, "settled")
-            self.on_quarantine_change(hold, False)
+        for entry in self.quarantine.judge(self.wall(), self.entry_start_times()):
+            self._enforce_quarantine(entry, "settled")
+            self.on_quarantine_change(entry, False)
 
-    def _enforce_quarantine(self, hold: Hold, source: str) -> None:
-        """Stop a request wherever this process has it."""
+    def _enforce_quarantine(self, entry: Hold, source: str) -> None:
+        """Log a new quarantine entry and quarantine the matching requests in flight here."""
         self._metrics.count("requests_held_total", source=source)
         self._log.warning(
-            "request held",
-            work=hold.fingerprint,
+            "request quarantined",
+            work=entry.fingerprint,
             source=source,
-            endpoints=hold.endpoints,
-            last_end_age=round(self.wall() - hold.since, 3),
-            trials=hold.trials,
-            next_trial_in=round(hold.next_trial - self.wall(), 1),
+            endpoints=entry.endpoints,
+            last_end_age=round(self.wall() - entry.since, 3),
+            trials=entry.trials,
+            next_trial_in=round(entry.next_trial - self.wall(), 1),
         )
         for request in self._active():
-            is_begun = request.machine.ran is Ran.YES
-            if request.fingerprint == hold.fingerprint and not (is_begun or request.is_trial):
+            has_started = request.machine.ran is Ran.YES
+            if request.fingerprint == entry.fingerprint and not (has_started or request.is_trial):
                 request.held_back()
 
-    def _log_release(self, hold: Hold, reason: str) -> None:
+    def _log_release(self, entry: Hold, reason: str) -> None:
         self._metrics.count("requests_released_total", reason=reason)
         self._log.info(
-            "request served again",
-            work=hold.fingerprint,
+            "request released from quarantine",
+            work=entry.fingerprint,
             reason=reason,
-            endpoints=hold.endpoints,
-            held_for=round(self.wall() - hold.since, 1),
-            trials=hold.trials,
+            endpoints=entry.endpoints,
+            held_for=round(self.wall() - entry.since, 1),
+            trials=entry.trials,
         )
 
     def claim_trial(self, fingerprint: str, on_done: Callable[[bool], None]) -> None:
-        """Claim a trial of a request that is held back, for this process alone."""
-        hold = self.quarantine_entry(fingerprint)
-        if hold is None or self.quarantine_status(fingerprint) is not Standing.TRIAL_DUE:
-            on_done(hold is None)
+        """Claim a trial of a quarantined request, exclusively for this process.
+
+        Parameters
+        ----------
+        on_done : callable
+            Called with True if the request may be sent: the trial was granted, or the request is no
+            longer quarantined.
+        """
+        entry = self.quarantine_entry(fingerprint)
+        if entry is None or self.quarantine_status(fingerprint) is not Standing.TRIAL_DUE:
+            on_done(entry is None)
             return
-        self.acquire_trial(hold, lambda granted: self._on_trial_claim(hold, granted, on_done))
+        self.acquire_trial(entry, lambda granted: self._on_trial_claim(entry, granted, on_done))
 
-    def _on_trial_claim(self, hold: Hold, granted: bool, on_done: Callable[[bool], None]) -> None:
+    def _on_trial_claim(self, entry: Hold, granted: bool, on_done: Callable[[bool], None]) -> None:
         result = "granted" if granted else "denied"
         self._metrics.count("request_trials_total", result=result)
         self._log.info(
-            "request trial",
-            work=hold.fingerprint,
+            "trial claim decided",
+            work=entry.fingerprint,
             result=result,
-            trials=hold.trials,
-            held_for=round(self.wall() - hold.since, 1),
+            trials=entry.trials,
+            held_for=round(self.wall() - entry.since, 1),
         )
         on_done(granted)
 
     def _remove_expired(self) -> None:
-        before = {each.fingerprint: each for each in self.quarantine.holds()}
+        previous = {each.fingerprint: each for each in self.quarantine.holds()}
         for fingerprint in self.quarantine.forget(self.wall()):
-            self._log_release(before[fingerprint], "forgotten")
+            self._log_release(previous[fingerprint], "forgotten")
--- a/flamingofront/request/host.py
+++ b/flamingofront/request/host.py
@@ -1,7 +1,6 @@
-"""What a request in flight needs of the process that holds it.
+"""Interface between a request in flight and the process that runs it.
 
-Requests know this interface only, so that they can be read and tested without the hub that keeps
-all of them.
+Requests depend only on this interface, so that they can be read and tested without the hub.
 """
 
 import math
@@ -34,21 +33,29 @@
 
 __all__ = ["HubSettings", "QUEUE_WAIT_FRACTION", "RequestHost"]
 
-# Part of the first-token target that a request may wait: the rest is for its prefill.
+# Fraction of the first-token target that a request may wait in the queue; the rest is for prefill.
 QUEUE_WAIT_FRACTION = 0.75
 
 
 @dataclass(frozen=True)
 class HubSettings:
-    """Settings that requests need; times in seconds.
+    """Settings of request handling.
 
     Parameters
     ----------
+    vm_id : str
+        Id of this entry VM.
+    zone : str
+        Availability zone of this entry VM.
+    reattach_grace : float
+        Seconds for which a request is kept after its caller disconnected.
+    answer_retention : float
+        Seconds for which a finished response is kept.
     queue_wait_fraction : float
-        Part of the first-token target that a request may wait for its start.
+        Fraction of the first-token target that a request may wait in the queue.
     choice_wait_fraction : float or None
-        Part of that target during which an endpoint is looked for when there is none; None to look
-        for one until the deadline.
+        Fraction of the first-token target for which the choice of an endpoint is retried while none
+        is available; None to retry until the deadline.
     """
 
     vm_id: str
@@ -60,30 +67,30 @@
 
 
 class RequestHost(ABC):
-    """Shared parts of a process and the decisions that span its requests.
+    """Components of a process that its requests share, and decisions that span them.
 
     Attributes
     ----------
     protocol : ForwardProtocol or None
-        Header names of forwarded requests; None where none are forwarded.
+        Protocol of forwarded requests; None if no requests are forwarded.
     cache_tokens : callable
-        Returns the prompt tokens that an endpoint of a service can hold in its cache.
+        Returns the prompt tokens that the cache of an endpoint of a service can hold.
     rates : LearnedRates
-        What the endpoints can do, as their answers showed.
+        Processing rates of the endpoints, learned from their responses.
     guard : RequestGuard
-        Requests that crash the endpoints that run them.
+        Quarantine of poison requests.
     limits : EndpointLimits
-        Rates that endpoints take from all entry processes.
-    pauses : EndpointBackoffs
-        Times for which endpoints want no requests of this process.
-    on_leaving : callable
-        Gets each endpoint that says in an answer that it leaves, and the id of the request.
+        Rate limits that endpoints advertise.
+    backoffs : EndpointBackoffs
+        Back-off periods that endpoints have requested.
+    on_endpoint_leaving : callable
+        Called with each endpoint that announces its shutdown in a response, and the request id.
     permits : Permits
-        Permits to send to endpoints with such a rate.
+        Permits to send to endpoints with a rate limit.
     completion : CompletionBounds
-        How long streams can last, as those that ended showed.
-    stop_left : callable
-        Returns the seconds until this process ends; infinity while it does not stop.
+        Bounds on the duration of streams, learned from completed ones.
+    shutdown_seconds_left : callable
+        Returns the seconds until this process exits; infinity unless it is shutting down.
     """
 
     settings: HubSettings
@@ -106,7 +113,7 @@
 
     @abstractmethod
     def now(self) -> float:
-        """Return the time of the timer service."""
+        """Return the current time of the timer service, in seconds."""
 
     @abstractmethod
     def retry_budget(self, service: Service) -> RetryBudget:
@@ -114,52 +121,54 @@
 
     @abstractmethod
     def choice_timeout(self, record: RequestRecord) -> float:
-        """Return the seconds during which an endpoint is looked for when there is none."""
+        """Return the seconds for which the choice of an endpoint is retried."""
 
     @abstractmethod
     def choose_endpoint(
         self, request: "ActiveRequest", exclude: frozenset[str], without_limits: bool = False
     ) -> Candidate | None:
-        """Return the endpoint for an attempt, None if there is none with room.
+        """Return the endpoint for an attempt; None if no endpoint can take it.
 
         Parameters
         ----------
+        exclude : frozenset of str
+            Endpoints to avoid while there are others.
         without_limits : bool
-            True to leave endpoints out that take a limited rate.
+            True to exclude endpoints that advertise a rate limit.
         """
 
     @abstractmethod
     def accepts_requests(self, endpoint_id: str) -> bool:
-        """Tell whether an endpoint that was chosen a moment ago still takes new work."""
+        """Return True if an endpoint still accepts requests a moment after it was chosen."""
 
     @abstractmethod
     def seconds_until_open(self, service: str, priority: float = math.inf) -> float:
-        """Return the seconds until an endpoint of a service takes a request of a rank again.
+        """Return the seconds until an endpoint of a service accepts a request; 0 if one does now.
 
         Parameters
         ----------
         priority : float
-            Rank of the request; the least urgent one if it is not given.
+            Priority of the request, lower is more urgent; the least urgent one by default.
         """
 
     @abstractmethod
     def choice_retry_delay(self, service: str, priority: float) -> float:
-        """Return the seconds after which an endpoint may be found where there is none now."""
+        """Return the seconds until the next choice of an endpoint after one that found none."""
 
     @abstractmethod
     def record_load(self, service: str, tokens: int) -> None:
-        """Count the work of a request, by the prompt tokens that its endpoint has to read."""
+        """Record the load of a request, by the prompt tokens that its endpoint has to prefill."""
 
     @abstractmethod
     def record_attempt_loss(
         self, service: Service, endpoint_id: str, ran: Ran, reason: str, now: float
     ) -> None:
-        """Count a lost attempt and judge its endpoint."""
+        """Count a failed attempt and record the failure of its endpoint."""
 
     @abstractmethod
     def record_endpoint_failure(self, service: Service, endpoint_id: str, now: float) -> None:
-        """Note a failure of an endpoint, which may eject it for a while."""
+        """Record a failure of an endpoint, which may eject it temporarily."""
 
     @abstractmethod
     def remove_request(self, request: "ActiveRequest") -> None:
-        """Forget a request that has its answer or went elsewhere, and start the next one."""
+        """Remove a request that is complete or handed over, and start requests that wait."""
--- a/flamingofront/request/hub.py
+++ b/flamingofront/request/hub.py
@@ -1,4 +1,4 @@
-"""All requests in flight in this process, and what they share."""
+"""Hub of all requests in flight in this process and of the components that they share."""
 
 import math
 import random
@@ -40,27 +40,31 @@
 
 __all__ = ["HubSettings", "RequestHub"]
 
-# Part of the slots that admission fills: entry VMs cannot balance perfectly.
+# Fraction of the slots that admission fills, because entry VMs cannot balance load perfectly.
 ADMISSION_FILL_FRACTION = 0.9
 EXPIRY_PERIOD_SECONDS = 0.1
 CHOICE_RETRY_SECONDS = 0.2
-# Random part by which callers are told to come back later than the first endpoint opens.
+# The wait for the first endpoint to open is extended by a random fraction up to this one.
 RETRY_JITTER_FRACTION = 0.1
 TOKENS_PER_COST_UNIT = 64.0
 
 
 def paced_budget(service: Service) -> RetryBudget:
-    """Return the retry budget of a service that this process paces on its own."""
+    """Return a retry budget for a service that only this process enforces."""
     return PacedRetryBudget(service.retry_ratio)
 
 
 class RequestHub(RequestHost):
-    """Admits, starts and keeps track of requests.
+    """Admits, starts and tracks requests.
 
-    Parameters
+    Attributes
     ----------
-    on_idle : callable
-        Called whenever a request has ended.
+    on_request_end : callable
+        Called whenever a request has been removed.
+    on_outcome : callable
+        Called with service, endpoint id, and True if the outcome of an attempt there was bad.
+    capacity_share : callable
+        Returns the share of the capacity of all endpoints that this process may use, from 0 to 1.
     """
 
     def __init__(
@@ -90,17 +94,17 @@
         self.moved_to: OrderedDict[str, str] = OrderedDict()
         self.on_request_end: Callable[[], None] = lambda: None
         self.capacity_share: Callable[[], float] = lambda: 1.0
-        # Gets service, endpoint, and whether what came of an attempt there was bad.
         self.on_outcome: Callable[[str, str, bool], None] = (
             lambda service, endpoint_id, is_bad: None
         )
-        # Prompt tokens that an endpoint of a service can hold in its cache.
         self.cache_tokens: Callable[[str], float] = lambda service: math.inf
         self.rates = LearnedRates()
         self.completion = CompletionBounds()
         self.shutdown_seconds_left: Callable[[], float] = lambda: math.inf
-        ends = CrashDetector(transport, timers, directory, metrics, log)
-        self.guard = RequestGuard(ends, timers, metrics, log, lambda: tuple(self.active.values()))
+        crash_detector = CrashDetector(transport, timers, directory, metrics, log)
+        self.guard = RequestGuard(
+            crash_detector, timers, metrics, log, lambda: tuple(self.active.values())
+        )
         self.guard.on_endpoint_crash = self._on_endpoint_crash
         self.limits = EndpointLimits(timers, metrics, log)
         self.permits = Permits(self.limits, timers, metrics, rng)
@@ -114,7 +118,7 @@
         self._expiry_timer: Timer | None = None
 
     def now(self) -> float:
-        """Return the time of the timer service."""
+        """Return the current time of the timer service, in seconds."""
         return self.timers.now()
 
     def retry_budget(self, service: Service) -> RetryBudget:
@@ -125,7 +129,7 @@
         return budget
 
     def admission(self, service: Service) -> FairAdmission:
-        """Return the admission of a service."""
+        """Return the admission queue of a service, with its capacity updated."""
         admission = self._admissions.get(service.name)
         if admission is None:
             admission = self._admissions[service.name] = FairAdmission(self.rng)
@@ -136,18 +140,23 @@
         return admission
 
     def in_flight_by_workspace(self) -> dict[str, int]:
-        """Return the requests held here by workspace."""
+        """Return the number of requests in flight in this process, by workspace."""
         return dict(self._in_flight)
 
     def accept(
         self, record: RequestRecord, share: WorkspaceShare, resumed: bool = False
     ) -> ActiveRequest:
-        """Take a request in.
+        """Admit a request to the queue of its service.
+
+        Parameters
+        ----------
+        resumed : bool
+            True if the request was admitted before, by this or another process.
 
         Raises
         ------
         RequestError
-            At once, if the request is over a limit or could not start in time.
+            If the request is quarantined, over a limit or could not start in time.
         """
         service = record.service
         if not resumed:
@@ -155,10 +164,10 @@
         if not resumed and self.directory.capacity(service) == 0:
             raise RequestError(ErrorKind.NO_ENDPOINT, retry_after=self._no_endpoint_delay())
         now = self.now()
-        patience = record.deadline_left
+        max_wait = record.deadline_left
         if not record.job and not resumed:
-            patience = min(patience, service.first_token_target * self.settings.queue_wait_fraction)
-        ticket = Ticket(record.request_id, share, _relative_cost(record), now + patience, resumed)
+            max_wait = min(max_wait, service.first_token_target * self.settings.queue_wait_fraction)
+        ticket = Ticket(record.request_id, share, _relative_cost(record), now + max_wait, resumed)
         self.admission(service).offer(ticket, now)
         request = make_request(self, record, ticket)
         self.active[record.request_id] = request
@@ -169,20 +178,20 @@
         return request
 
     def choice_timeout(self, record: RequestRecord) -> float:
-        """Return the seconds during which an endpoint is looked for when there is none."""
-        part = self.settings.choice_wait_fraction
-        return math.inf if part is None else record.service.first_token_target * part
+        """Return the seconds for which the choice of an endpoint is retried."""
+        fraction = self.settings.choice_wait_fraction
+        return math.inf if fraction is None else record.service.first_token_target * fraction
 
     def _no_endpoint_delay(self) -> float:
         return 1.0 + self.rng.random()
 
     def start_ready_requests(self) -> None:
-        """Start the requests that may start now."""
+        """Start all queued requests that may start now."""
         for name in list(self._admissions):
-            self._start_ready_of(name)
+            self._start_service(name)
         self._schedule_expiry()
 
-    def _start_ready_of(self, name: str) -> None:
+    def _start_service(self, name: str) -> None:
         admission = self._admissions[name]
         while True:
             ticket = admission.next_ready(self.now())
@@ -195,7 +204,7 @@
                 admission.finished(ticket, self.now())
 
     def _reject_expired(self) -> None:
-        """Refuse at once what waited for too long, then start what fits."""
+        """Reject requests that waited too long, then start requests that may start now."""
         self._expiry_timer = None
         for admission in self._admissions.values():
             for ticket in admission.expired(self.now()):
@@ -209,12 +218,12 @@
         self.start_ready_requests()
 
     def _schedule_expiry(self) -> None:
-        """Look at the queue again soon, as long as a request waits in it."""
+        """Schedule the next rejection of expired requests while a request is queued."""
         if self._expiry_timer is None and self.count_queued():
             self._expiry_timer = self.timers.once(EXPIRY_PERIOD_SECONDS, self._reject_expired)
 
     def refresh_capacity(self) -> None:
-        """Fit the capacity of each admission to the endpoints that are there."""
+        """Update the capacity of each admission queue to the current endpoints."""
         services = {each.record.service.name: each.record.service for each in self.active.values()}
         for service in services.values():
             self.admission(service)
@@ -222,7 +231,7 @@
     def choose_endpoint(
         self, request: ActiveRequest, exclude: frozenset[str], without_limits: bool = False
     ) -> Candidate | None:
-        """Return the endpoint for an attempt, None if there is none with room."""
+        """Return the endpoint for an attempt; None if no endpoint can take it."""
         service, record = request.record.service, request.record
         exclude |= self.guard.endpoints_to_avoid(request)
         rule = request.version_rule()
@@ -232,14 +241,14 @@
         )
         if without_limits:
             closed |= self.limits.rates_by_endpoint().keys()
-        for whole in (False, True):
+        for include_all in (False, True):
             candidates = self.directory.candidates(
                 service,
                 request.hashes(),
                 self.now(),
                 self.rng,
                 request.shared_prefix(),
-                whole,
+                include_all,
                 rule,
                 closed,
             )
@@ -250,13 +259,13 @@
         return None
 
     def accepts_requests(self, endpoint_id: str) -> bool:
-        """Tell whether an endpoint that was chosen a moment ago still takes new work."""
+        """Return True if an endpoint still accepts requests a moment after it was chosen."""
         return not self.directory.is_unavailable(
             endpoint_id
         ) and not self.backoffs.remaining_seconds(endpoint_id)
 
     def seconds_until_open(self, service: str, priority: float = math.inf) -> float:
-        """Return the seconds until the first endpoint of a service takes a request again."""
+        """Return the seconds until an endpoint of a service accepts a request; 0 if one does."""
         waits = (
             max(
                 self.backoffs.remaining_seconds(name),
@@ -267,10 +276,10 @@
         return min(waits, default=0.0)
 
     def choice_retry_delay(self, service: str, priority: float) -> float:
-        """Return the seconds after which an endpoint may be found where there is none now."""
-        closed_for = self.seconds_until_open(service, priority)
-        if closed_for > 0:
-            return closed_for * (1 + RETRY_JITTER_FRACTION * self.rng.random())
+        """Return the seconds until the next choice of an endpoint after one that found none."""
+        wait = self.seconds_until_open(service, priority)
+        if wait > 0:
+            return wait * (1 + RETRY_JITTER_FRACTION * self.rng.random())
         return CHOICE_RETRY_SECONDS * (1 + self.rng.random())
 
     def _estimate_work(self, record: RequestRecord) -> WorkEstimate:
@@ -291,30 +300,30 @@
         )
 
     def record_load(self, service: str, tokens: int) -> None:
-        """Count the work of a request, by the prompt tokens that its endpoint has to read."""
+        """Record the load of a request, by the prompt tokens that its endpoint has to prefill."""
         self.load_meter.add(service, self.rates.of(service).now().work(tokens), self.now())
 
     def record_attempt_loss(
         self, service: Service, endpoint_id: str, ran: Ran, reason: str, now: float
     ) -> None:
-        """Count a lost attempt and judge its endpoint."""
+        """Count a failed attempt and record the failure of its endpoint."""
         self.metrics.count("retries_total", reason=reason)
         self.record_endpoint_failure(service, endpoint_id, now)
 
     def record_endpoint_failure(self, service: Service, endpoint_id: str, now: float) -> None:
-        """Note a failure of an endpoint, which may eject it for a while."""
+        """Record a failure of an endpoint, which may eject it temporarily."""
         if self.directory.health.failed(endpoint_id, now):
             self.metrics.count("ejections_total", service=service.name)
             self.log.warning("endpoint ejected", service=service.name, endpoint=endpoint_id)
 
     def _on_endpoint_crash(self, endpoint_id: str) -> None:
-        """Leave an endpoint out that has ended, and give up what was kept open to it.
+        """Exclude a crashed endpoint and close the idle connections to it.
 
         Notes
         -----
-        Each process found out by itself before: of a fleet that had ended within 1.3 s, 298 further
-        attempts were refused and some were reset on kept connections, which leaves open whether
-        they ran.
+        When each process had to detect the crash itself, 298 further attempts were refused after a
+        fleet crashed within 1.3 s. Others were reset on idle connections, which leaves it unknown
+        whether they ran.
         """
         self.directory.record_connect_failure(endpoint_id, self.now(), is_refused=True)
         address = self.directory.address_of(endpoint_id)
@@ -322,7 +331,7 @@
             self.transport.drop_idle(address)
 
     def _sent_to_zone(self, zone: str) -> list[ForwardedRequest]:
-        """Return the forwarded requests that endpoints of a zone work on."""
+        """Return the forwarded requests that are sent to endpoints of a zone."""
         return [
             each
             for each in self.active.values()
@@ -332,37 +341,40 @@
         ]
 
     def unanswered_since(self, zone: str) -> float:
-        """Return the earliest time since which an answer from a zone is awaited."""
+        """Return the earliest time since which a request to a zone has received no data.
+
+        Infinity if no request is sent to the zone.
+        """
         return min((each.silent_since() for each in self._sent_to_zone(zone)), default=math.inf)
 
     def fail_over_zone(self, zone: str) -> None:
-        """Let what waits for an endpoint of a zone that cannot be heard go on elsewhere."""
+        """Retry elsewhere the forwarded requests that are sent to a partitioned zone."""
         for request in self._sent_to_zone(zone):
             request.zone_cut_off()
 
     def handle_endpoint_restart(self, endpoint_id: str, at: float) -> None:
-        """Let what ran at an endpoint before its new start go on elsewhere, or fail.
+        """Retry elsewhere, or fail, the requests that ran at an endpoint before its restart.
 
         Parameters
         ----------
         at : float
-            Time of the new start on the own clock.
+            Time of the restart, on the clock of the timer service.
         """
         for request in list(self.active.values()):
             if isinstance(request, ForwardedRequest) and request.endpoint_id == endpoint_id:
                 request.endpoint_restarted(at)
 
     def remove_request(self, request: ActiveRequest) -> None:
-        """Forget a request that has its answer or went elsewhere, and start the next one."""
+        """Remove a request that is complete or handed over, and start requests that wait."""
         if self.active.get(request.request_id) is not request:
             return
         del self.active[request.request_id]
         now = self.now()
         record = request.record
         self._admissions[record.service.name].finished(request.ticket, now)
-        left = self._in_flight.get(record.workspace, 0) - 1
-        if left > 0:
-            self._in_flight[record.workspace] = left
+        remaining = self._in_flight.get(record.workspace, 0) - 1
+        if remaining > 0:
+            self._in_flight[record.workspace] = remaining
         else:
             self._in_flight.pop(record.workspace, None)
         if request.answer is not None:
@@ -371,10 +383,10 @@
             if request.retains_answer:
                 self._retain_answer(request, now)
         self.on_request_end()
-        self._start_ready_of(record.service.name)
+        self._start_service(record.service.name)
 
     def _retain_answer(self, request: ActiveRequest, now: float) -> None:
-        """Keep the answer for a caller who comes back."""
+        """Keep the response for a caller that reattaches."""
         record = request.record
         tokens = tuple(request.machine.assembler.tokens)
         until = now + self.settings.answer_retention
@@ -382,7 +394,7 @@
         self.finished.put(request.request_id, finished)
 
     def resume_frozen(self, frozen_request: ActiveRequest) -> None:
-        """Go on with a frozen request that certainly nobody else has taken."""
+        """Resume a frozen request that no other process can have taken over."""
         if self.active.get(frozen_request.request_id) is not frozen_request:
             return
         record = frozen_request.to_record()
@@ -392,21 +404,21 @@
         request.begin()
 
     def record_move(self, request_id: str, vm_id: str) -> None:
-        """Remember where a request went."""
+        """Record the VM to which a request was handed over."""
         self.moved_to[request_id] = vm_id
         while len(self.moved_to) > 10_000:
             self.moved_to.popitem(last=False)
 
     def count_in_flight(self, service: str) -> int:
-        """Return the requests for a service that are held here."""
+        """Return the number of requests for a service in flight in this process."""
         return sum(each.record.service.name == service for each in self.active.values())
 
     def in_flight_by_service(self) -> dict[str, int]:
-        """Return the requests held here, by service."""
+        """Return the number of requests in flight in this process, by service."""
         return dict(Counter(each.record.service.name for each in self.active.values()))
 
     def count_queued(self) -> int:
-        """Return the requests that wait for their first attempt."""
+        """Return the number of requests that wait for their first attempt."""
         return sum(not each.ticket.running for each in self.active.values())
 
 
@@ -419,7 +431,7 @@
 
 
 def _relative_cost(record: RequestRecord) -> float:
-    """Return the work of a request relative to a usual one."""
+    """Return the admission cost of a request; 1 for the smallest."""
     work = record.work
     if not isinstance(work, ModelWork):
         return 1.0
@@ -429,11 +441,12 @@
 def _select_candidates(
     candidates: list[Candidate], side: str | None, exclude: frozenset[str]
 ) -> list[Candidate]:
-    """Return the best non-empty selection: rules are relaxed one by one, but for barred endpoints.
+    """Return the candidates that pass the most rules; barred endpoints are never selected.
 
     Notes
     -----
-    The side of a move goes last: only when it has no endpoint at all does the other side answer.
+    The exclusions are relaxed first, then the checks of `usable`. The side is relaxed last: the
+    other side is used only if the wanted one has no endpoint at all.
     """
     for wanted_side in (side, None):
         on_side = list(usable(candidates, wanted_side, frozenset()))
--- a/flamingofront/request/intent_gate.py
+++ b/flamingofront/request/intent_gate.py
@@ -1,4 +1,8 @@
-"""Requests that are recorded before they are sent, as the attempts see it."""
+"""Write-ahead log of sends, as the attempts use it.
+
+Some requests are recorded before they are sent, so that crashes can be attributed to them even if
+the sending process fails too.
+"""
 
 from abc import ABC, abstractmethod
 from collections.abc import Callable
@@ -24,23 +28,23 @@
 
 
 class RecordOutcome(StrEnum):
-    """What became of a record at the moment at which its request may be sent."""
+    """State of the record of a send at the time at which the request may be sent."""
 
     STORED = "done"
-    """The store has it."""
+    """The store has acknowledged the record."""
     CONCURRENT = "beside"
-    """The record is on its way: no earlier send of the request is known."""
+    """The record is written concurrently, because no earlier send of the request is known."""
     TIMED_OUT = "late"
-    """The store has not answered in time, or before; the record follows the request."""
+    """The store did not respond in time, now or before; the record is written later."""
     RATE_LIMITED = "paced"
-    """The store is asked no more often for now; the record follows the request."""
+    """The rate limit for store writes is reached; the record is written later."""
     NOT_NEEDED = "needless"
-    """An endpoint has answered the request meanwhile."""
+    """An endpoint has responded to the same request meanwhile."""
 
 
 @dataclass(frozen=True)
 class SendDetails:
-    """What is recorded of an attempt: the request's fingerprint, and where it goes."""
+    """Recorded details of an attempt: the fingerprint of the request and its target."""
 
     fingerprint: str
     endpoint_id: str
@@ -49,69 +53,69 @@
 
 
 class IntentHandle(ABC):
-    """A record that was asked for."""
+    """Handle of the record of one send."""
 
     @abstractmethod
     def withdraw(self) -> None:
-        """Take note that the request was not sent."""
+        """Remove the record because the request was not sent or not run."""
 
     @abstractmethod
     def close(self) -> None:
-        """Take note that the endpoint has the request no more, as far as is known here."""
+        """Record that the attempt is over, as far as this process knows."""
 
 
 class IntentLog(ABC):
-    """Records requests before they are sent."""
+    """Records requests before they are sent to an endpoint."""
 
     @abstractmethod
     def requires_record(self, fingerprint: str, service: str) -> bool:
-        """Tell whether a request to a service has to be recorded."""
+        """Return True if a request to a service has to be recorded before it is sent."""
 
     @abstractmethod
     def record_send(
         self, details: SendDetails, on_ready: Callable[[RecordOutcome], None]
     ) -> IntentHandle:
-        """Record a request; `on_ready` is called, later, when it may be sent."""
+        """Record a send and call `on_ready`, always later, when the request may be sent."""
 
     @abstractmethod
     def record_response(self, fingerprint: str) -> None:
-        """Take note that an endpoint has answered a request."""
+        """Record that an endpoint has responded to a request."""
 
     @abstractmethod
     def known_records(self) -> tuple[IntentRecord, ...]:
-        """Return what is known to be recorded."""
+        """Return the recorded intents that this process knows."""
 
     @abstractmethod
     def count_waiting(self, fingerprint: str) -> int:
-        """Return how many requests wait for a record, or for the outcome of earlier sends."""
+        """Return the number of requests that wait for their record or for earlier sends."""
 
     @abstractmethod
     def record_crash(self, endpoint_id: str) -> None:
-        """Take note that an endpoint has ended without notice."""
+        """Record that an endpoint has crashed."""
 
     @abstractmethod
     def record_unobserved_crash(self, endpoint_id: str) -> None:
-        """Take note of an end about a restart at which nobody knows of a request."""
+        """Record a crash close to a restart, at which no process knows of a request."""
 
 
 class NullIntentLog(IntentLog):
-    """Records nothing: a process without a store."""
+    """Intent log of a process without a store; records nothing."""
 
     def requires_record(self, fingerprint: str, service: str) -> bool:
-        """Tell whether a request has to be recorded."""
+        """Return False."""
         return False
 
     def record_send(
         self, details: SendDetails, on_ready: Callable[[RecordOutcome], None]
     ) -> IntentHandle:
-        """Raise, as nothing can be recorded."""
-        raise RuntimeError("there is no store to record a request in")
+        """Raise an error, because there is no store."""
+        raise RuntimeError("cannot record a send: the process has no store")
 
     def record_response(self, fingerprint: str) -> None:
-        """Take note of nothing."""
+        """Do nothing."""
 
     def known_records(self) -> tuple[IntentRecord, ...]:
-        """Return nothing."""
+        """Return an empty tuple."""
         return ()
 
     def count_waiting(self, fingerprint: str) -> int:
@@ -119,30 +123,30 @@
         return 0
 
     def record_crash(self, endpoint_id: str) -> None:
-        """Take note of nothing."""
+        """Do nothing."""
 
     def record_unobserved_crash(self, endpoint_id: str) -> None:
-        """Take note of nothing."""
+        """Do nothing."""
 
 
 class AttemptIntents:
-    """Records the attempts of one request, one at a time."""
+    """Records the attempts of one request, one attempt at a time."""
 
     def __init__(self, request: "ActiveRequest"):
         self._request = request
-        # Records that were asked for, by attempt, and that of the attempt which was sent.
+        # Handles of pending records by attempt id, and the handle of the attempt that was sent.
         self._pending: dict[str, IntentHandle] = {}
         self._sent: IntentHandle | None = None
 
     def requires_record(self) -> bool:
-        """Tell whether the next attempt has to be recorded before it is sent."""
+        """Return True if the next attempt has to be recorded before it is sent."""
         request = self._request
         return request.hub.guard.intents.requires_record(
             request.fingerprint, request.record.service.name
         )
 
     def record_attempt(self, action: StartAttempt, chosen: Candidate) -> None:
-        """Record an attempt, and send it then."""
+        """Record an attempt, then send it."""
         request, asked_at = self._request, self._request.hub.now()
         details = SendDetails(request.fingerprint, chosen.endpoint_id, chosen.address, chosen.zone)
         self._pending[action.attempt_id] = request.hub.guard.intents.record_send(
@@ -174,13 +178,13 @@
             request.place(action)
 
     def withdraw(self) -> None:
-        """Take note that the endpoint did not get the current attempt, or did not run it."""
+        """Remove the record of the current attempt, which was not received or not run."""
         handle, self._sent = self._sent, None
         if handle is not None:
             handle.withdraw()
 
     def close_current(self) -> None:
-        """Take note that the current attempt is over."""
+        """Record that the current attempt is over."""
         handle, self._sent = self._sent, None
         if handle is not None:
             handle.close()
--- a/flamingofront/request/migration.py
+++ b/flamingofront/request/migration.py
@@ -1,4 +1,4 @@
-"""Move streams off an endpoint that will be reclaimed, with their KV cache where time allows."""
+"""Migration of streams off endpoints that will be reclaimed, with the KV cache if time allows."""
 
 from collections.abc import Callable
 from dataclasses import replace
@@ -27,12 +27,12 @@
 
 
 class StreamMigrator:
-    """Carries out recovery plans.
+    """Carries out the recovery plans for streams of endpoints that will be reclaimed.
 
     Parameters
     ----------
     address_of : callable
-        Returns the address of an endpoint by its id, None if it is not known.
+        Returns the address of an endpoint by its id; None if the endpoint is unknown.
     """
 
     def __init__(
@@ -51,19 +51,25 @@
         self._planned: set[str] = set()
 
     def migrate_streams(self, endpoint_id: str, notice_seconds: float) -> None:
-        """Plan what becomes of the streams on an endpoint, once."""
+        """Plan and schedule the recovery of the streams on an endpoint; later calls do nothing.
+
+        Parameters
+        ----------
+        notice_seconds : float
+            Seconds until the VM of the endpoint is reclaimed.
+        """
         if endpoint_id in self._planned:
             return
         self._planned.add(endpoint_id)
         requests = {each.request_id: each for each in self._streams_on(endpoint_id)}
-        states = [_state_of(each) for each in requests.values()]
+        states = [_stream_state(each) for each in requests.values()]
         total = self._hub.directory.load_of(endpoint_id)
         rates = replace(self._rates, contention=max(1.0, total / max(1, len(states))))
         for plan in self._policy.plan(states, notice_seconds, rates):
             self._schedule(requests[plan.request_id], plan)
 
     def forget_endpoint(self, endpoint_id: str) -> None:
-        """Forget an endpoint that is gone."""
+        """Remove the record that the streams of an endpoint were planned."""
         self._planned.discard(endpoint_id)
 
     def _streams_on(self, endpoint_id: str) -> list[ModelRequest]:
@@ -79,8 +85,8 @@
         attempt_id = request.machine.attempt_id
         if attempt_id is None:
             return
-        carry = self._transfer if plan.action is RecoveryAction.TRANSFER else self._recompute
-        self._hub.timers.once(plan.start_in, lambda: carry(request, attempt_id))
+        move = self._transfer if plan.action is RecoveryAction.TRANSFER else self._recompute
+        self._hub.timers.once(plan.start_in, lambda: move(request, attempt_id))
 
     def _recompute(self, request: ModelRequest, attempt_id: str) -> None:
         if request.done or request.machine.attempt_id != attempt_id:
@@ -114,14 +120,14 @@
         request.carry(request.machine.replace(attempt_id))
 
 
-def _state_of(request: ActiveRequest) -> StreamState:
+def _stream_state(request: ActiveRequest) -> StreamState:
     work = request.record.work
     offset = request.machine.assembler.offset
     return StreamState(request.request_id, len(work.prompt) + offset, work.max_tokens - offset)
 
 
 def _transfer_cache(source: str, target: str, request_id: str, attempt_id: str) -> Task:
-    """Copy the KV cache of a stream; return its handle at the target, empty if that failed."""
+    """Copy the KV cache of a stream and return its handle at the target; empty on failure."""
     body = orjson.dumps({"request": request_id, "attempt": attempt_id})
     reply = yield OutboundCall(
         source, "POST", "/kv/export", body, JSON_HEADERS, TRANSFER_TIMEOUT_SECONDS
--- a/flamingofront/request/permit_claims.py
+++ b/flamingofront/request/permit_claims.py
@@ -1,4 +1,4 @@
-"""Permits that the attempts of one request ask for, before they are sent."""
+"""Permit claims of the attempts of one request, for endpoints with a rate limit."""
 
 from typing import TYPE_CHECKING
 
@@ -11,12 +11,12 @@
 
 __all__ = ["PermitClaims"]
 
-# Endpoints with a limit that one attempt asks for a permit: each costs a way there and back.
+# Each claim of an attempt costs a round trip to an arbiter.
 MAX_CLAIMS = 4
 
 
 class PermitClaims:
-    """Asks for permits on behalf of one request, one at a time."""
+    """Claims permits for the attempts of one request, one claim at a time."""
 
     def __init__(self, request: "ActiveRequest"):
         self._request = request
@@ -24,11 +24,11 @@
         self._claim_count = 0
 
     def is_exhausted(self, action: StartAttempt) -> bool:
-        """Tell whether an attempt has asked often enough: it goes where no permit is needed."""
+        """Return True if an attempt may claim no more permits and needs an unlimited endpoint."""
         return self._attempt_id == action.attempt_id and self._claim_count >= MAX_CLAIMS
 
     def claim_permit(self, action: StartAttempt, chosen: Candidate) -> None:
-        """Ask whether an endpoint with a limit takes one more request."""
+        """Claim a permit for the chosen endpoint; then send the attempt or choose again."""
         if self._attempt_id != action.attempt_id:
             self._attempt_id, self._claim_count = action.attempt_id, 0
         self._claim_count += 1
@@ -55,7 +55,7 @@
             self._request.place(action)
 
     def _send_or_return(self, action: StartAttempt, chosen: Candidate, permit: Permit) -> None:
-        """Send an attempt whose turn has come, if it is still wanted and the endpoint takes it."""
+        """Send the attempt if it is current and the endpoint accepts it, else return the permit."""
         hub = self._request.hub
         if self._is_current(action) and hub.accepts_requests(chosen.endpoint_id):
             self._request.launch(action, chosen)
@@ -66,7 +66,7 @@
 
     def _log_denial(self, action: StartAttempt, permit: Permit) -> None:
         self._request.log.info(
-            "permit refused",
+            "permit denied",
             attempt=action.attempt_id,
             endpoint=permit.endpoint_id,
             rate_limit=permit.rate,
--- a/flamingofront/request/permits.py
+++ b/flamingofront/request/permits.py
@@ -1,4 +1,4 @@
-"""Permits of this process to send to endpoints that name a limit, and when to ask for the next."""
+"""Permits to send requests to endpoints with a rate limit, and the waits after denied claims."""
 
 import math
 import random
@@ -13,19 +13,19 @@
 
 __all__ = ["Permit", "Permits"]
 
-# Random part by which a pause is longer than told, so that processes that were refused together do
-# not come back together.
+# Waits are extended by a random fraction up to this one, so that processes that were denied
+# together do not claim again together.
 JITTER_FRACTION = 0.25
 
 
 @dataclass(frozen=True)
 class Permit:
-    """Outcome of a claim.
+    """Outcome of a permit claim.
 
     Parameters
     ----------
     rate : float
-        Requests a second that the endpoint takes from all.
+        Requests per second that the endpoint accepts from all entry processes together.
     """
 
     endpoint_id: str
@@ -34,18 +34,18 @@
 
     @property
     def is_granted(self) -> bool:
-        """True if the request may be sent."""
+        """True if the request may be sent, after the delay of the decision."""
         return self.decision.wait <= 0
 
 
 class Permits:
-    """Asks for permits, and leaves an endpoint alone for as long as none is to be had.
+    """Claims permits, and closes an endpoint for the wait time that a denied claim returns.
 
     Attributes
     ----------
     gate : RateGate
-        Decides on claims; for this process alone if nothing else is set.
-    own_name : str
+        Decides on claims; a `LocalRateGate` by default.
+    process_name : str
         Name of this process in its claims.
     """
 
@@ -58,16 +58,16 @@
         self._timers = timers
         self._metrics = metrics
         self._rng = rng
-        # Until when an endpoint takes nothing, with the priority that was refused.
+        # By endpoint: the time until which it is closed, and the priority of the denied claim.
         self._closed_until: dict[str, tuple[float, int]] = {}
         limits.on_limit_ended = self._on_limit_ended
 
     def is_required(self, endpoint_id: str) -> bool:
-        """Tell whether an attempt at an endpoint needs a permit."""
+        """Return True if a request to an endpoint needs a permit."""
         return self._limits.rate_of(endpoint_id) is not None
 
     def closed_endpoints(self, priority: int) -> frozenset[str]:
-        """Return the endpoints to which nothing of a priority can be sent now."""
+        """Return the endpoints that are closed to requests of a priority."""
         if not self._closed_until:
             return frozenset()
         now = self._timers.now()
@@ -80,12 +80,12 @@
         )
 
     def wait_seconds(self, endpoint_ids: Iterable[str], priority: float = math.inf) -> float:
-        """Return the seconds until the first of some endpoints may take a request; 0 if one may.
+        """Return the seconds until the first of the endpoints opens; 0 if one is open.
 
         Parameters
         ----------
         priority : float
-            Rank of the request; the least urgent one if it is not given.
+            Priority of the request, lower is more urgent; the least urgent one by default.
         """
         now = self._timers.now()
         waits = (self._wait_seconds(each, priority, now) for each in endpoint_ids)
@@ -98,12 +98,14 @@
     def claim(
         self, endpoint_id: str, priority: int, patience: float, on_outcome: Callable[[Permit], None]
     ) -> None:
-        """Ask for a permit for an endpoint that needs one; `on_outcome` gets the outcome.
+        """Claim a permit for an endpoint with a rate limit and pass the outcome to `on_outcome`.
 
         Parameters
         ----------
+        priority : int
+            Priority of the request; lower is more urgent.
         patience : float
-            Seconds for which the request can wait for it.
+            Longest time that the request can wait for the permit, in seconds.
         """
         rate = self._limits.rate_of(endpoint_id) or 0.0
         claim = RateClaim(endpoint_id, rate, priority, patience, self.process_name)
@@ -121,18 +123,21 @@
         on_outcome(permit)
 
     def _close_endpoint(self, claim: RateClaim, until: float) -> None:
-        """Leave an endpoint alone; a more urgent refusal holds for less urgent requests, too."""
+        """Close an endpoint, unless it is already closed for a more urgent priority.
+
+        A denial at one priority also applies to all less urgent requests.
+        """
         current = self._closed_until.get(claim.endpoint_id)
         if current is not None and current[0] > self._timers.now() and current[1] < claim.priority:
             return
         self._closed_until[claim.endpoint_id] = (until, claim.priority)
 
     def return_unused(self, permit: Permit) -> None:
-        """Give a permit back that was not used."""
+        """Return a granted permit that was not used."""
         if self.is_required(permit.endpoint_id):
             self.gate.unused(permit.endpoint_id, permit.decision)
 
     def _on_limit_ended(self, endpoint_id: str) -> None:
-        """Use an endpoint without permits again."""
+        """Reopen an endpoint that no longer advertises a rate limit."""
         self._closed_until.pop(endpoint_id, None)
         self.gate.forget(endpoint_id)
--- a/flamingofront/request/prefixes.py
+++ b/flamingofront/request/prefixes.py
@@ -1,8 +1,7 @@
-"""Which endpoint is believed to hold which prompt prefix in its cache.
+"""Index of the prompt prefixes that each endpoint probably has in its KV cache.
 
-The belief comes from this process's own attempts and from the engines' cache events, which come
-late and with gaps. It is only a hint for the choice of endpoint: a wrong entry costs a prefill,
-nothing else.
+It is built from the attempts of this process and from cache events of the engines, which arrive
+late and with gaps. It is only a hint for endpoint choice: a wrong entry costs one prefill.
 """
 
 import hashlib
@@ -19,7 +18,7 @@
 
 
 def block_hashes(tokens: Sequence[str]) -> tuple[str, ...]:
-    """Return a hash for each whole block of a prompt, each covering all tokens before its end."""
+    """Return one hash per complete block of a prompt, each over all tokens up to its end."""
     digest = hashlib.blake2b(digest_size=_HASH_BYTES)
     hashes = []
     for start in range(0, len(tokens) - BLOCK_TOKENS + 1, BLOCK_TOKENS):
@@ -29,12 +28,12 @@
 
 
 class PrefixIndex:
-    """Least recently used prefix blocks of each endpoint.
+    """LRU index of the prefix blocks that each endpoint caches.
 
     Parameters
     ----------
     max_blocks : int
-        Blocks kept for an endpoint.
+        Maximum number of blocks kept per endpoint.
     """
 
     def __init__(self, max_blocks: int = MAX_BLOCKS):
@@ -50,14 +49,14 @@
         sizes: Iterable[int] | None = None,
         capacity: float = math.inf,
     ) -> None:
-        """Note blocks that an endpoint holds now.
+        """Add blocks that an endpoint now caches, and evict its least recently used ones.
 
         Parameters
         ----------
         sizes : iterable of int, optional
-            Tokens of each block, where blocks are not of one size.
+            Tokens of each block; `BLOCK_TOKENS` each by default.
         capacity : float
-            Tokens that the endpoint can hold: beyond them its oldest blocks yield.
+            Tokens that the cache of the endpoint can hold.
         """
         blocks = self._blocks.setdefault(endpoint_id, OrderedDict())
         for each, size in zip(hashes, sizes or itertools.repeat(BLOCK_TOKENS), strict=False):
@@ -78,7 +77,7 @@
                 del self._holders[block]
 
     def remove_blocks(self, endpoint_id: str, hashes: Iterable[str]) -> None:
-        """Note blocks that an endpoint dropped."""
+        """Remove blocks that an endpoint has evicted from its cache."""
         blocks = self._blocks.get(endpoint_id, {})
         for each in hashes:
             if each in blocks:
@@ -86,13 +85,13 @@
                 self._drop_holder(each, endpoint_id)
 
     def forget(self, endpoint_id: str) -> None:
-        """Drop all blocks of an endpoint: it is gone, or its events have a gap."""
+        """Remove all blocks of an endpoint that has left or whose cache events have a gap."""
         self._tokens.pop(endpoint_id, None)
         for each in self._blocks.pop(endpoint_id, ()):
             self._drop_holder(each, endpoint_id)
 
     def longest_prefix_holders(self, hashes: Sequence[str]) -> frozenset[str]:
-        """Return the endpoints that hold the longest part of a prompt."""
+        """Return the endpoints that cache the longest prefix of a prompt."""
         best: frozenset[str] = frozenset()
         for each in hashes:
             holders = self._holders.get(each)
@@ -103,7 +102,7 @@
         return best
 
     def cached_tokens(self, endpoint_id: str, hashes: Sequence[str]) -> int:
-        """Return how many leading tokens of a prompt an endpoint is believed to hold."""
+        """Return the number of leading tokens of a prompt that an endpoint probably caches."""
         blocks = self._blocks.get(endpoint_id)
         if not blocks:
             return 0
--- a/flamingofront/request/quota_gate.py
+++ b/flamingofront/request/quota_gate.py
@@ -1,4 +1,4 @@
-"""Where a request waits until it is known to be within its workspace's quota."""
+"""Quota checks: a request is admitted only if it is within the quota of its workspace."""
 
 from abc import ABC, abstractmethod
 from collections.abc import Callable
@@ -14,16 +14,16 @@
 
 @dataclass(frozen=True)
 class QuotaDecision:
-    """Whether a request may pass.
+    """Outcome of the quota check of one request.
 
     Parameters
     ----------
     wait : float
-        0 if it may, else the seconds after which it would.
+        0 if the request is within the quota, else the seconds until it would be.
     arbiter : str
-        IP number of the process that decided; empty for this one.
+        IP address of the arbiter that decided; empty if this process decided.
     state : QuotaState or None
-        What decided there; None if it was decided here.
+        Quota state on which the arbiter decided; None if this process decided.
     """
 
     wait: float
@@ -32,7 +32,7 @@
 
 
 class QuotaGate(ABC):
-    """Decides on requests of workspaces that have a quota."""
+    """Decides whether requests of workspaces with a quota are admitted."""
 
     @abstractmethod
     def decide(
@@ -41,15 +41,21 @@
         units: float,
         on_decision: Callable[[QuotaDecision], None],
     ) -> None:
-        """Have a request decided on; `on_decision` gets the decision, at once or soon."""
+        """Check a request and pass the decision to `on_decision`, at once or later.
+
+        Parameters
+        ----------
+        units : float
+            Quota units that the request consumes.
+        """
 
     @abstractmethod
     def unused(self, workspace: ForwardedWorkspace, units: float, decision: QuotaDecision) -> None:
-        """Give back what was allowed to a request that was not taken in the end."""
+        """Return the units of an admitted request that was rejected afterwards."""
 
 
 class LocalQuotaGate(QuotaGate):
-    """Decides by this process's copy of the quota alone."""
+    """Decides by the quota state of this process, without an arbiter."""
 
     def __init__(self, quota: QuotaPolicy, timers: TimerService):
         self._quota = quota
@@ -61,8 +67,8 @@
         units: float,
         on_decision: Callable[[QuotaDecision], None],
     ) -> None:
-        """Decide at once."""
+        """Check a request against the local quota and pass on the decision at once."""
         on_decision(QuotaDecision(self._quota.wait(workspace, units, self._timers.now())))
 
     def unused(self, workspace: ForwardedWorkspace, units: float, decision: QuotaDecision) -> None:
-        """Do nothing: what is allowed here is only taken out once the request is accepted."""
+        """Do nothing: the local quota is charged only when the request is accepted."""
--- a/flamingofront/request/rate_gate.py
+++ b/flamingofront/request/rate_gate.py
@@ -1,4 +1,4 @@
-"""Where an attempt gets its permit to be sent to an endpoint that names a limit."""
+"""Permits to send attempts to endpoints that advertise a rate limit."""
 
 from abc import ABC, abstractmethod
 from collections.abc import Callable
@@ -12,17 +12,17 @@
 
 @dataclass(frozen=True)
 class RateDecision:
-    """Whether a request may be sent to an endpoint with a limit.
+    """Decision on one permit claim for an endpoint with a rate limit.
 
     Parameters
     ----------
     delay : float
-        Seconds after which it may be sent, if it may.
+        Seconds after which the request may be sent, if the permit is granted.
     wait : float
-        0 if it may, else the seconds until the next claim.
+        0 if the permit is granted, else the seconds until it can be claimed again.
     arbiter : str or None
-        IP number of the process that decided for all, empty for this one; None if this process
-        decided by its own part.
+        IP address of the arbiter that decided for all processes, empty if that is this process;
+        None if this process decided by its local share of the limit.
     """
 
     delay: float
@@ -31,28 +31,28 @@
 
 
 class RateGate(ABC):
-    """Decides whether a request may be sent to an endpoint with a limit."""
+    """Decides on permit claims for endpoints with a rate limit."""
 
     @abstractmethod
     def decide(self, claim: RateClaim, on_decision: Callable[[RateDecision], None]) -> None:
-        """Have a claim decided on; `on_decision` gets the decision, at once or soon."""
+        """Decide on a claim and pass the decision to `on_decision`, at once or later."""
 
     @abstractmethod
     def unused(self, endpoint_id: str, decision: RateDecision) -> None:
-        """Give a permit back that was not used."""
+        """Return a granted permit that was not used."""
 
     @abstractmethod
     def forget(self, endpoint_id: str) -> None:
-        """Forget what was let through to an endpoint: it names no limit any more."""
+        """Discard the permits granted for an endpoint that no longer advertises a limit."""
 
 
 class LocalRateGate(RateGate):
-    """Keeps this process to its part of each limit, without a word to the others.
+    """Limits this process to its share of each rate limit, without an arbiter.
 
     Parameters
     ----------
-    part : callable
-        Returns this process's part, 0 to 1.
+    local_share : callable
+        Returns the share of each limit that belongs to this process, from 0 to 1.
     """
 
     def __init__(self, timers: TimerService, local_share: Callable[[], float] = lambda: 1.0):
@@ -61,14 +61,14 @@
         self._limiter = RateLimiter()
 
     def decide(self, claim: RateClaim, on_decision: Callable[[RateDecision], None]) -> None:
-        """Decide at once."""
+        """Decide on a claim by the local share and pass on the decision at once."""
         verdict = self._limiter.decide(claim, self._local_share(), self._timers.now())
         on_decision(RateDecision(verdict.delay, verdict.wait))
 
     def unused(self, endpoint_id: str, decision: RateDecision) -> None:
-        """Give a permit back that was not used."""
+        """Return a granted permit that was not used."""
         self._limiter.give_back(endpoint_id)
 
     def forget(self, endpoint_id: str) -> None:
-        """Forget what was let through to an endpoint."""
+        """Discard the permits granted for an endpoint."""
         self._limiter.forget(endpoint_id)
--- a/flamingofront/request/recovery.py
+++ b/flamingofront/request/recovery.py
@@ -1,7 +1,7 @@
-"""What to do with the streams of an endpoint that will be reclaimed.
+"""Recovery plans for the streams of an endpoint that will be reclaimed.
 
-The time that a notice leaves is short and the transfer of KV cache off the VM is serial, so streams
-compete for it.
+The time between the notice and the reclaim is short and KV cache transfers off the VM are serial,
+so the streams compete for it.
 """
 
 from abc import ABC, abstractmethod
@@ -24,7 +24,7 @@
 
 
 class RecoveryAction(StrEnum):
-    """What becomes of one stream."""
+    """Action for one stream: finish in place, transfer the KV cache, or recompute elsewhere."""
 
     FINISH = "finish"
     TRANSFER = "transfer"
@@ -38,9 +38,9 @@
     Parameters
     ----------
     context_tokens : int
-        Prompt and generated tokens; what a resume without KV cache computes again.
+        Prompt and generated tokens, which a resume without KV cache recomputes.
     remaining_tokens : int
-        Tokens expected until the end.
+        Tokens that are still to be generated, at most.
     """
 
     request_id: str
@@ -50,7 +50,7 @@
 
 @dataclass(frozen=True)
 class RecoveryPlan:
-    """Action for one stream, to begin after `start_in` seconds."""
+    """Action for one stream, to be started after `start_in` seconds."""
 
     request_id: str
     action: RecoveryAction
@@ -59,20 +59,21 @@
 
 @dataclass(frozen=True)
 class RecoveryRates:
-    """Measured or configured rates.
+    """Measured or configured rates for recovery planning.
 
     Parameters
     ----------
     token_seconds : float
         Time between two tokens of a stream.
     transfer_setup : float
-        Seconds that each transfer takes besides its data.
+        Fixed overhead of each transfer, in seconds.
     transfer_token_seconds : float
         Seconds to export and import the cache of one token.
     margin : float
-        Seconds before the end of the notice when everything must be off the VM.
+        Seconds before the reclaim at which all streams must be off the VM.
     contention : float
-        Streams on the VM for each one of this process: the others' transfers take their time too.
+        Streams on the VM per stream of this process; the transfers of other processes share the
+        bandwidth.
     """
 
     token_seconds: float = 0.04
@@ -83,17 +84,17 @@
 
 
 class RecoveryPolicy(ABC):
-    """Plans what happens to the streams of a leaving endpoint."""
+    """Plans the recovery of the streams of a leaving endpoint."""
 
     @abstractmethod
     def plan(
         self, streams: Sequence[StreamState], notice_seconds: float, rates: RecoveryRates
     ) -> list[RecoveryPlan]:
-        """Return a plan for each stream, `notice_seconds` seconds before the reclaim."""
+        """Return a plan for each stream, `notice_seconds` before the reclaim."""
 
 
 class ResumeOnLoss(RecoveryPolicy):
-    """The naive version: go on until the VM is gone, then compute everything again."""
+    """Baseline policy: streams run until the VM is reclaimed and are then recomputed."""
 
     def plan(
         self, streams: Sequence[StreamState], notice_seconds: float, rates: RecoveryRates
@@ -106,35 +107,35 @@
 
 
 class CostRecovery(RecoveryPolicy):
-    """Let finish what can, transfer what saves most, move the rest before the end.
+    """Finishes short streams, transfers the longest contexts and recomputes the others.
 
     Notes
     -----
     A transfer of n tokens saves n recomputed tokens and takes ``setup + n * rate`` of the notice,
-    so by saved tokens a second the longest contexts come first. Streams that will not finish and
-    do not fit are resumed elsewhere by recomputation, spread over the last part of the notice: each
-    token made before is one less to make, and a spread keeps them from all arriving at once.
+    so the longest contexts save the most tokens per second and come first. Streams that can neither
+    finish nor be transferred in time are recomputed elsewhere, spread over the second half of the
+    usable time: later starts leave fewer tokens to generate, and the spread avoids a burst.
     """
 
     def plan(
         self, streams: Sequence[StreamState], notice_seconds: float, rates: RecoveryRates
     ) -> list[RecoveryPlan]:
-        """Return a plan for each stream."""
+        """Return a plan for each stream, `notice_seconds` before the reclaim."""
         usable_seconds = max(0.0, notice_seconds - rates.margin)
         finishing = [
             each
             for each in streams
             if each.remaining_tokens * rates.token_seconds <= usable_seconds
         ]
-        done = {each.request_id for each in finishing}
-        moving = [each for each in streams if each.request_id not in done]
+        finishing_ids = {each.request_id for each in finishing}
+        moving = [each for each in streams if each.request_id not in finishing_ids]
         moving.sort(key=lambda each: (-each.context_tokens, each.request_id))
         plans = [
             RecoveryPlan(each.request_id, RecoveryAction.FINISH, notice_seconds)
             for each in finishing
         ]
         transfers, unfitted = self._fit_transfers(moving, usable_seconds, rates)
-        return plans + transfers + self._spread(unfitted, usable_seconds)
+        return plans + transfers + self._spread_recomputes(unfitted, usable_seconds)
 
     def _fit_transfers(
         self, streams: list[StreamState], usable_seconds: float, rates: RecoveryRates
@@ -149,12 +150,14 @@
                 busy_until += needed
             else:
                 unfitted.append(each)
-        # As late as is safe: until then the leaving VM still makes tokens that others need not.
-        all_transfers = busy_until * rates.contention
-        wait = max(0.0, usable_seconds - all_transfers * LATE_START_FACTOR)
-        return [replace(each, start_in=each.start_in + wait) for each in plans], unfitted
+        # Transfers start as late as is safe: until then the leaving VM still generates tokens.
+        transfer_seconds = busy_until * rates.contention
+        start_offset = max(0.0, usable_seconds - transfer_seconds * LATE_START_FACTOR)
+        return [replace(each, start_in=each.start_in + start_offset) for each in plans], unfitted
 
-    def _spread(self, streams: list[StreamState], usable_seconds: float) -> list[RecoveryPlan]:
+    def _spread_recomputes(
+        self, streams: list[StreamState], usable_seconds: float
+    ) -> list[RecoveryPlan]:
         window = usable_seconds / 2
         step = window / max(1, len(streams))
         return [
--- a/flamingofront/request/tests/test_attempt_pace.py
+++ b/flamingofront/request/tests/test_attempt_pace.py
@@ -1,4 +1,4 @@
-"""Which attempts count as slow, by what is usual."""
+"""Tests of the detection of slow attempts."""
 
 import pytest
 
@@ -9,32 +9,32 @@
 RATES = EngineRates(pause_seconds=0.02)
 
 
-class TestAttemptPace:
-    @pytest.mark.parametrize("took, slow", [(0.39, False), (0.41, True)])
-    def test_first_event_is_judged_by_what_was_expected(self, took, slow):
-        pace = AttemptLatency(sent_at=10.0, expected_seconds=0.1)
-        pace.record_start(10.0 + took)
-        assert pace.is_slow(10.0 + took + 0.2, 10, RATES) is slow
+class TestAttemptLatency:
+    @pytest.mark.parametrize("seconds, expected", [(0.39, False), (0.41, True)])
+    def test_late_first_event_is_slow(self, seconds, expected):
+        latency = AttemptLatency(sent_at=10.0, expected_seconds=0.1)
+        latency.record_start(10.0 + seconds)
+        assert latency.is_slow(10.0 + seconds + 0.2, 10, RATES) is expected
 
-    @pytest.mark.parametrize("took, slow", [(0.69, False), (0.71, True)])
-    def test_events_are_judged_by_the_usual_pause(self, took, slow):
-        pace = AttemptLatency(sent_at=10.0, expected_seconds=0.1)
-        pace.record_start(10.1)
-        assert pace.is_slow(10.1 + took, 10, RATES) is slow
+    @pytest.mark.parametrize("seconds, expected", [(0.69, False), (0.71, True)])
+    def test_long_stream_is_slow(self, seconds, expected):
+        latency = AttemptLatency(sent_at=10.0, expected_seconds=0.1)
+        latency.record_start(10.1)
+        assert latency.is_slow(10.1 + seconds, 10, RATES) is expected
 
-    def test_later_events_do_not_move_the_first_one(self):
-        pace = AttemptLatency(sent_at=10.0, expected_seconds=0.1)
-        pace.record_start(10.1)
-        pace.record_start(12.0)
-        assert not pace.is_slow(10.2, 2, RATES)
+    def test_only_first_event_sets_start(self):
+        latency = AttemptLatency(sent_at=10.0, expected_seconds=0.1)
+        latency.record_start(10.1)
+        latency.record_start(12.0)
+        assert not latency.is_slow(10.2, 2, RATES)
 
 
 class TestOutcomes:
-    def test_zone_that_is_cut_off_says_nothing_of_a_version(self):
+    def test_zone_partition_reports_no_outcome(self):
         world = ready_world(engines=2)
-        told = []
+        outcomes = []
         hub = world.fronts["front-1"].hub
-        hub.on_outcome = lambda service, endpoint_id, is_bad: told.append(is_bad)
+        hub.on_outcome = lambda service, endpoint_id, is_bad: outcomes.append(is_bad)
         for each in world.endpoints.values():
             each.events, each.gap = 200, 0.05
         world.ask("front-1", "/stream/again/x")
@@ -42,4 +42,4 @@
         (request,) = hub.active.values()
         hub.fail_over_zone(world.host(request.endpoint_id).zone)
         world.run(0.5)
-        assert len(request.endpoints) == 2 and told == []
+        assert len(request.endpoints) == 2 and outcomes == []
--- a/flamingofront/request/tests/test_crashing_requests.py
+++ b/flamingofront/request/tests/test_crashing_requests.py
@@ -1,10 +1,9 @@
-"""Requests that crash their endpoints, through the product's own interface.
+"""Tests of poison requests, which crash their endpoints, through the completion and service API.
 
-The limit on attempts of a completion is twelve losses without a token, in one process, and a job or
-a keyed call begins anew wherever it is taken up: one completion that no engine survives ended all
-six engines of two zones and those that replaced them, while its caller asked again under new ids.
-What is owed is the same as on forwarded routes: three sends at most over all processes, later than
-three seconds after its third end.
+Attempt limits (twelve losses without a token) hold per process, and a job or a keyed call starts
+anew in each process that resumes it. Without a quarantine, one completion that was repeated under
+new ids crashed all six engines of two zones and their replacements. As on forwarded routes, at most
+three sends over all processes are allowed later than three seconds after the third crash.
 """
 
 import pytest
@@ -13,13 +12,13 @@
 from flamingofront.tests.crashing_world import CONTACT_SECONDS
 from flamingofront.tests.world import demo_world
 
-MAX_SENT_LATE = 3
-BACK_SECONDS = 3.0
+MAX_LATE_SENDS = 3
+RESTART_SECONDS = 3.0
 POISON = b"no endpoint survives this"
 
 
-class CrashingProduct:
-    """Six engines and four plain endpoints of two zones, and what ends them."""
+class CrashingWorld:
+    """World with six engines and four plain endpoints in two zones, which crash on the poison."""
 
     def __init__(self, seed=1):
         self.world = demo_world(
@@ -29,18 +28,18 @@
             entries_per_zone=2,
             seed=seed,
         )
-        self.sent = []
-        self.ends = []
+        self.sent_at = []
+        self.crashed_at = []
         for name in [*self.world.engines, *self.world.plains]:
-            self._watch(name)
+            self._install_handler(name)
 
-    def _watch(self, name):
+    def _install_handler(self, name):
         host = self.world.host(name)
         inner = host.handler
 
         def handle(req, exchange):
             if POISON in req.body or b"poison" in req.body:
-                self.sent.append(self.world.clock.now())
+                self.sent_at.append(self.world.clock.now())
                 host.timers.once(0.05, lambda: self._crash(name))
                 if name in self.world.plains:
                     return
@@ -51,22 +50,22 @@
     def _crash(self, name):
         if self.world.host(name).dead:
             return
-        self.ends.append(self.world.clock.now())
+        self.crashed_at.append(self.world.clock.now())
         zone = self.world.host(name).zone
         self.world.kill(name)
         self.world.platform.remove_vm(name)
-        again = f"{name}+"
-        start = self.world.engine if name in self.world.engines else self.world.plain
+        replacement = f"{name}+"
+        start_endpoint = self.world.engine if name in self.world.engines else self.world.plain
         timers = self.world.host("platform").timers
 
-        def back():
-            start(again, zone)
-            self._watch(again)
+        def restart():
+            start_endpoint(replacement, zone)
+            self._install_handler(replacement)
 
-        timers.once(BACK_SECONDS, back)
+        timers.once(RESTART_SECONDS, restart)
 
-    def ask(self, mode):
-        """Send the request in one of its forms to any process."""
+    def send_poison(self, mode):
+        """Send the poison request, in the form that `mode` names, to a random process."""
         name = self.world.rng.choice([name for name in self.world.nodes])
         headers = {}
         if "keyed" in mode:
@@ -79,11 +78,11 @@
         stream = "stream" in mode
         return self.world.complete(name, "the poison", stream=stream, headers=headers)
 
-    def sent_late(self):
-        """Return the sends later than word of the third end is owed."""
-        if len(self.ends) < 3:
+    def count_late_sends(self):
+        """Return the number of sends later than all processes must know of the third crash."""
+        if len(self.crashed_at) < 3:
             return 0
-        return sum(at > self.ends[2] + CONTACT_SECONDS for at in self.sent)
+        return sum(at > self.crashed_at[2] + CONTACT_SECONDS for at in self.sent_at)
 
 
 MODES = [
@@ -99,77 +98,77 @@
 ]
 
 
-class TestRepeatedRequest:
+class TestRepeatedPoison:
     @pytest.mark.parametrize("mode", MODES)
-    def test_request_that_ended_three_endpoints_is_hardly_sent_again(self, mode):
-        product = CrashingProduct()
+    def test_request_is_quarantined_after_three_crashes(self, mode):
+        crashing = CrashingWorld()
         for _ in range(25):
-            product.ask(mode)
-            product.world.run(0.4)
-        product.world.run(5.0)
-        assert len(product.ends) >= 2
-        assert product.sent_late() <= MAX_SENT_LATE
-
-    def test_all_processes_are_killed_and_start_again(self):
-        product = CrashingProduct()
+            crashing.send_poison(mode)
+            crashing.world.run(0.4)
+        crashing.world.run(5.0)
+        assert len(crashing.crashed_at) >= 2
+        assert crashing.count_late_sends() <= MAX_LATE_SENDS
+
+    def test_quarantine_outlasts_restart_of_all_processes(self):
+        crashing = CrashingWorld()
         for _ in range(6):
-            product.ask("stream")
-            product.world.run(0.4)
-        world = product.world
+            crashing.send_poison("stream")
+            crashing.world.run(0.4)
+        world = crashing.world
         zones = {name: world.host(name).zone for name in world.nodes}
         for name in zones:
             world.kill(name)
         for name, zone in zones.items():
             world.entry(name, zone)
         world.run(CONTACT_SECONDS)
-        ends = len(product.ends)
+        crash_count = len(crashing.crashed_at)
         for _ in range(10):
-            product.ask("stream")
+            crashing.send_poison("stream")
             world.run(0.4)
-        assert len(product.ends) == ends
-
-    def test_all_processes_learn_of_it_at_once(self):
-        """Word of the ends comes by push; the store is read each two seconds only."""
-        product = CrashingProduct()
-        nodes = product.world.nodes.values()
-        product.ask("stream")
-        product.world.run_until(
+        assert len(crashing.crashed_at) == crash_count
+
+    def test_quarantine_reaches_all_processes_by_push(self):
+        """Crashes are reported by push, because the store is polled only every two seconds."""
+        crashing = CrashingWorld()
+        nodes = crashing.world.nodes.values()
+        crashing.send_poison("stream")
+        crashing.world.run_until(
             lambda: any(each.hub.guard.quarantine.holds() for each in nodes), limit=5.0
         )
-        product.world.run(0.2)
+        crashing.world.run(0.2)
         assert all(each.hub.guard.quarantine.holds() for each in nodes)
 
-    def test_caller_is_told_what_happened(self):
-        product = CrashingProduct()
+    def test_caller_gets_crashes_endpoints_error(self):
+        crashing = CrashingWorld()
         for _ in range(6):
-            product.ask("whole")
-            product.world.run(0.4)
-        caller = product.ask("whole")
+            crashing.send_poison("whole")
+            crashing.world.run(0.4)
+        caller = crashing.send_poison("whole")
         assert caller.done and caller.status == 502
         assert (caller.error["kind"], caller.error["ran"]) == ("crashes_endpoints", "yes")
 
-    def test_job_ends_with_the_reason_as_its_answer(self):
-        product = CrashingProduct()
-        caller = product.ask("async")
-        product.world.run(20.0)
-        later = product.world.call(
-            next(iter(product.world.nodes)), "GET", caller.headers["location"]
+    def test_job_fails_with_crashes_endpoints_error(self):
+        crashing = CrashingWorld()
+        caller = crashing.send_poison("async")
+        crashing.world.run(20.0)
+        later = crashing.world.call(
+            next(iter(crashing.world.nodes)), "GET", caller.headers["location"]
         )
-        product.world.finish(later)
+        crashing.world.finish(later)
         assert later.error["kind"] == "crashes_endpoints"
 
 
-class TestSeriesOfKills:
-    """Each life ended while the request was on its way: 4 to 6 late sends in all but the jobs."""
+class TestRepeatedProcessKills:
+    """Guards against 4 to 6 late sends, in all modes but jobs, when processes are killed."""
 
     @pytest.mark.parametrize("mode", MODES)
-    @pytest.mark.parametrize(("lives", "sends"), [(4, 1), (3, 2)])
-    def test_late_sends_do_not_grow_with_the_number_of_lives(self, mode, lives, sends):
-        product = CrashingProduct()
-        world = product.world
-        for _ in range(lives):
+    @pytest.mark.parametrize(("restarts", "sends"), [(4, 1), (3, 2)])
+    def test_late_sends_do_not_grow_with_restarts(self, mode, restarts, sends):
+        crashing = CrashingWorld()
+        world = crashing.world
+        for _ in range(restarts):
             for _ in range(sends):
-                product.ask(mode)
+                crashing.send_poison(mode)
             world.run(0.04)
             for name in list(world.nodes):
                 zone = world.host(name).zone
@@ -177,30 +176,30 @@
                 world.entry(name, zone)
             world.run(6.0)
         for _ in range(20):
-            product.ask(mode)
+            crashing.send_poison(mode)
             world.run(0.5)
-        assert product.sent_late() <= MAX_SENT_LATE
-
-    def test_request_that_is_found_out_while_it_waits_for_its_record_is_not_sent(self):
-        """A job went to one more engine after three had ended under it and it was held."""
-        product = CrashingProduct()
-        product.ask("async")
-        product.world.run(0.04)
-        for name in list(product.world.nodes):
-            zone = product.world.host(name).zone
-            product.world.kill(name)
-            product.world.entry(name, zone)
-        nodes = product.world.nodes.values()
-        product.world.run_until(
+        assert crashing.count_late_sends() <= MAX_LATE_SENDS
+
+    def test_request_quarantined_while_recording_is_not_sent(self):
+        """Guards against one more send of a job that was quarantined while it waited."""
+        crashing = CrashingWorld()
+        crashing.send_poison("async")
+        crashing.world.run(0.04)
+        for name in list(crashing.world.nodes):
+            zone = crashing.world.host(name).zone
+            crashing.world.kill(name)
+            crashing.world.entry(name, zone)
+        nodes = crashing.world.nodes.values()
+        crashing.world.run_until(
             lambda: any(each.hub.guard.quarantine.holds() for each in nodes), limit=10.0
         )
-        sent = len(product.sent)
-        product.world.run(5.0)
-        assert len(product.sent) == sent
+        sent_count = len(crashing.sent_at)
+        crashing.world.run(5.0)
+        assert len(crashing.sent_at) == sent_count
 
 
-class TestOthers:
-    def test_engines_that_end_for_other_reasons_hold_nothing_back(self):
+class TestHarmlessRequests:
+    def test_unrelated_engine_crashes_quarantine_nothing(self):
         world = demo_world(("zone-a", "zone-b"), engines_per_zone=4, entries_per_zone=2)
         callers = []
         for turn in range(5):
@@ -214,7 +213,7 @@
         assert not any(each.hub.guard.quarantine.holds() for each in world.nodes.values())
         assert all(b"crashes_endpoints" not in each.body for each in callers)
 
-    def test_engine_of_a_reclaimed_vm_is_no_evidence(self):
+    def test_reclaimed_engine_is_not_evidence(self):
         world = demo_world(engines_per_zone=2)
         caller = world.complete("entry-a1", tokens=400)
         world.run(0.5)
--- a/flamingofront/request/tests/test_directory.py
+++ b/flamingofront/request/tests/test_directory.py
@@ -1,4 +1,4 @@
-"""Which endpoints are looked at for a choice where there are many."""
+"""Tests of the endpoint sample for a choice in a large fleet."""
 
 import random
 
@@ -11,27 +11,27 @@
 from flamingofront.version.model import Service
 
 ZONES = ("zone-a", "zone-b", "zone-c", "zone-d")
-MANY = 92
-FEW = 6
+ENDPOINT_COUNT = 92
+SAMPLE_SIZE = 6
 SERVICE = Service("engines", model="m", slots=16)
 
 
-def names_of(candidates):
+def candidate_ids(candidates):
     return [each.endpoint_id for each in candidates]
 
 
-class Many:
-    """A directory of many endpoints, as a process of zone a sees it."""
+class LargeFleet:
+    """Directory of 92 endpoints in four zones, of a process in one of them."""
 
     def __init__(self, seed=1, zone="zone-a"):
         self.facts = FactTable()
-        for number in range(MANY):
-            self.put(f"e{number}", ZONES[number % len(ZONES)])
+        for number in range(ENDPOINT_COUNT):
+            self.set_endpoint(f"e{number}", ZONES[number % len(ZONES)])
         self.rng = random.Random(seed)
         self.directory = EndpointDirectory(self.facts, self.rng, zone)
-        self.directory.sample_size = lambda: FEW
+        self.directory.sample_size = lambda: SAMPLE_SIZE
 
-    def put(self, name, zone, state=VmState.LIVE):
+    def set_endpoint(self, name, zone, state=VmState.LIVE):
         fact = Fact(name, 0, state, Role.ENDPOINT, zone, "127.0.0.1:1", "engines")
         self.facts.merge((fact,))
 
@@ -40,62 +40,64 @@
 
 
 @pytest.fixture
-def many():
-    return Many()
+def fleet():
+    return LargeFleet()
 
 
 class TestSample:
-    def test_few_are_looked_at_and_half_of_them_are_near(self, many):
+    def test_sample_is_small_and_half_local(self, fleet):
         for _ in range(50):
-            found = many.candidates()
-            assert len(found) == len(set(names_of(found))) <= FEW
-            assert sum(each.zone == "zone-a" for each in found) >= FEW // 2
+            found = fleet.candidates()
+            assert len(found) == len(set(candidate_ids(found))) <= SAMPLE_SIZE
+            assert sum(each.zone == "zone-a" for each in found) >= SAMPLE_SIZE // 2
 
-    def test_all_are_looked_at_in_the_end(self, many):
-        seen = {name for _ in range(600) for name in names_of(many.candidates())}
-        assert len(seen) == MANY
+    def test_every_endpoint_is_sampled_eventually(self, fleet):
+        seen = {name for _ in range(600) for name in candidate_ids(fleet.candidates())}
+        assert len(seen) == ENDPOINT_COUNT
 
-    def test_endpoint_that_is_expected_to_hold_the_prompt_is_among_them(self, many):
+    def test_sample_contains_prefix_owner(self, fleet):
         shared = SharedPrefix("p1", 4000)
-        home = rank("p1", [f"e{number}" for number in range(MANY)])[0]
+        prefix_owner = rank("p1", [f"e{number}" for number in range(ENDPOINT_COUNT)])[0]
         for _ in range(20):
-            (found,) = (each for each in many.candidates(shared=shared) if each.cached_tokens)
-            assert (found.endpoint_id, found.cached_tokens) == (home, 4000)
-
-    def test_own_zone_may_have_none(self, many):
-        for number in range(0, MANY, len(ZONES)):
-            many.put(f"e{number}", "zone-a", VmState.LEAVING)
-        found = many.candidates()
-        assert len(found) == FEW
+            (found,) = (each for each in fleet.candidates(shared=shared) if each.cached_tokens)
+            assert (found.endpoint_id, found.cached_tokens) == (prefix_owner, 4000)
+
+    def test_sample_without_endpoints_in_local_zone(self, fleet):
+        for number in range(0, ENDPOINT_COUNT, len(ZONES)):
+            fleet.set_endpoint(f"e{number}", "zone-a", VmState.LEAVING)
+        found = fleet.candidates()
+        assert len(found) == SAMPLE_SIZE
         assert all(each.zone != "zone-a" for each in found)
 
-    def test_endpoints_that_cannot_be_reached_take_no_place(self, many):
-        for number in range(MANY):
+    def test_unreachable_endpoints_are_not_sampled(self, fleet):
+        for number in range(ENDPOINT_COUNT):
             if number % len(ZONES) == 1:
-                many.directory.record_connect_failure(f"e{number}", 0.0)
+                fleet.directory.record_connect_failure(f"e{number}", 0.0)
         for _ in range(20):
-            assert all(each.zone != "zone-b" for each in many.candidates())
+            assert all(each.zone != "zone-b" for each in fleet.candidates())
 
-    def test_all_are_returned_on_request(self, many):
-        assert len(many.candidates(include_all=True)) == MANY
+    def test_include_all_returns_all_endpoints(self, fleet):
+        assert len(fleet.candidates(include_all=True)) == ENDPOINT_COUNT
 
 
-class TestHerd:
-    def worst(self, size):
-        """Let 60 processes with the same old word choose once; return the longest queue."""
+class TestThunderingHerd:
+    def longest_queue(self, size):
+        """Return the most choices of one endpoint when 60 processes choose once by equal loads."""
         chosen = []
         for seed in range(60):
             zone = ZONES[seed % len(ZONES)]
-            one = Many(seed, zone)
-            one.directory.sample_size = lambda: size
-            loads = {f"e{number}": float(number >= 6) for number in range(MANY)}
-            one.directory.apply_load_reports(loads, 0.0)
+            fleet = LargeFleet(seed, zone)
+            fleet.directory.sample_size = lambda: size
+            loads = {f"e{number}": float(number >= 6) for number in range(ENDPOINT_COUNT)}
+            fleet.directory.apply_load_reports(loads, 0.0)
             work = WorkEstimate(6000, 380, 0.6, 0.05, zone)
-            chosen.append(BacklogChoice().choose(one.candidates(), work, one.rng).endpoint_id)
+            chosen.append(BacklogChoice().choose(fleet.candidates(), work, fleet.rng).endpoint_id)
         return max(chosen.count(name) for name in set(chosen))
 
-    def test_processes_with_the_same_late_word_do_not_all_choose_the_same(self):
-        """Six of 92 endpoints seem idle to all of them."""
-        all_looked_at, few_looked_at = self.worst(MANY), self.worst(FEW)
-        assert all_looked_at >= 15
-        assert few_looked_at <= all_looked_at / 2
+    def test_stale_loads_do_not_cause_herding(self):
+        """By the stale reports, six of 92 endpoints are idle, in all processes."""
+        full_queue, sample_queue = self.longest_queue(ENDPOINT_COUNT), self.longest_queue(
+            SAMPLE_SIZE
+        )
+        assert full_queue >= 15
+        assert sample_queue <= full_queue / 2
--- a/flamingofront/request/tests/test_endpoint_ends.py
+++ b/flamingofront/request/tests/test_endpoint_ends.py
@@ -1,4 +1,4 @@
-"""Which broken connections mean that an endpoint has ended."""
+"""Tests of the detection of crashed endpoints after lost connections."""
 
 import pytest
 
@@ -13,8 +13,8 @@
 ADDRESS = "10.0.0.1:80"
 
 
-class Probes:
-    """Transport that answers probes as it is told."""
+class ProbeTransport:
+    """Transport whose probes return the configured result."""
 
     def __init__(self, timers):
         self.timers = timers
@@ -27,8 +27,8 @@
         self.timers.once(0.002, lambda: listener(self.reach))
 
 
-class Watch:
-    """Ends of endpoints as one process sees them, on a clock that is moved by hand."""
+class CrashDetectorHarness:
+    """Crash detector of one process with one endpoint, on a manual clock."""
 
     def __init__(self, state=VmState.LIVE):
         self.clock = ManualClock(100.0)
@@ -36,17 +36,17 @@
         facts = FactTable()
         facts.merge((Fact("e-1", 1, state, Role.ENDPOINT, "zone-a", ADDRESS, "engines"),))
         self.directory = EndpointDirectory(facts, None)
-        self.transport = Probes(self.timers)
+        self.transport = ProbeTransport(self.timers)
         self.metrics = Metrics()
-        self.watch = CrashDetector(
+        self.detector = CrashDetector(
             self.transport, self.timers, self.directory, self.metrics, Log("test")
         )
-        self.ends = []
-        self.watch.on_crash = self.ends.append
+        self.crashes = []
+        self.detector.on_crash = self.crashes.append
 
-    def broke(self, *requests):
+    def lose_connections(self, *requests):
         for each in requests:
-            self.watch.record_connection_loss("e-1", ADDRESS, each)
+            self.detector.record_connection_loss("e-1", ADDRESS, each)
 
     def run(self, seconds):
         end = self.clock.time + seconds
@@ -56,68 +56,68 @@
         self.clock.time = end
 
 
-class TestEndpointEnds:
-    def test_refused_connection_after_a_broken_one_is_an_end(self):
-        world = Watch()
-        world.broke("one", "two")
+class TestCrashDetector:
+    def test_refused_probe_after_lost_connection_is_a_crash(self):
+        world = CrashDetectorHarness()
+        world.lose_connections("one", "two")
         world.run(0.1)
-        (end,) = world.ends
+        (end,) = world.crashes
         assert (end.endpoint_id, end.zone, end.at) == ("e-1", "zone-a", 100.0)
         assert end.requests == ("one", "two")
         assert world.metrics.value("endpoint_ends_total") == 1
 
-    def test_endpoint_that_accepts_connections_has_not_ended(self):
-        world = Watch()
+    def test_endpoint_that_accepts_probe_has_not_crashed(self):
+        world = CrashDetectorHarness()
         world.transport.reach = Reach.CONNECTED
-        world.broke("one")
+        world.lose_connections("one")
         world.run(10.0)
-        assert not world.ends and world.transport.count == 1
+        assert not world.crashes and world.transport.count == 1
 
-    def test_endpoint_that_still_sends_has_not_ended(self):
-        """One at its limit of connections refuses new ones while it serves the others."""
-        world = Watch()
-        world.broke("one")
+    def test_endpoint_that_still_sends_has_not_crashed(self):
+        """An endpoint at its connection limit refuses new connections but serves the others."""
+        world = CrashDetectorHarness()
+        world.lose_connections("one")
         world.run(0.015)
         world.directory.record_contact("e-1", world.clock.now())
         world.run(10.0)
-        assert not world.ends
+        assert not world.crashes
 
     @pytest.mark.parametrize("state", [VmState.LEAVING, VmState.GONE])
-    def test_endpoint_that_leaves_ends_for_its_own_reason(self, state):
-        world = Watch(state)
-        world.broke("one")
+    def test_leaving_endpoint_is_not_checked(self, state):
+        world = CrashDetectorHarness(state)
+        world.lose_connections("one")
         world.run(10.0)
-        assert not world.ends and not world.transport.count
+        assert not world.crashes and not world.transport.count
 
-    def test_silent_endpoint_has_ended_once_its_row_goes(self):
-        world = Watch()
+    def test_unresponsive_endpoint_crashed_once_row_is_removed(self):
+        world = CrashDetectorHarness()
         world.transport.reach = Reach.UNANSWERED
-        world.broke("one")
+        world.lose_connections("one")
         world.run(2.5)
-        assert not world.ends
-        world.watch.record_row_removal("e-1")
-        assert [each.requests for each in world.ends] == [("one",)]
+        assert not world.crashes
+        world.detector.record_row_removal("e-1")
+        assert [each.requests for each in world.crashes] == [("one",)]
 
-    def test_silent_endpoint_that_comes_back_has_not_ended(self):
-        world = Watch()
+    def test_unresponsive_endpoint_may_recover(self):
+        world = CrashDetectorHarness()
         world.transport.reach = Reach.UNANSWERED
-        world.broke("one")
+        world.lose_connections("one")
         world.run(1.5)
         world.transport.reach = Reach.CONNECTED
         world.run(20.0)
-        world.watch.record_row_removal("e-1")
-        assert not world.ends and world.transport.count < MAX_PROBES
+        world.detector.record_row_removal("e-1")
+        assert not world.crashes and world.transport.count < MAX_PROBES
 
-    def test_what_is_noticed_late_is_told_as_part_of_the_same_end(self):
-        world = Watch()
-        world.broke("one")
+    def test_late_connection_loss_belongs_to_same_crash(self):
+        world = CrashDetectorHarness()
+        world.lose_connections("one")
         world.run(0.1)
-        world.broke("one", "two")
-        assert [each.requests for each in world.ends] == [("one",), ("two",)]
-        assert {each.at for each in world.ends} == {100.0}
-
-    def test_new_start_of_an_endpoint_shows_the_end_of_the_one_before(self):
-        world = Watch()
-        world.watch.record_restart("e-1", frozenset({"one"}))
-        world.watch.record_restart("e-1", frozenset({"two"}))
-        assert [each.requests for each in world.ends] == [("one",), ("two",)]
+        world.lose_connections("one", "two")
+        assert [each.requests for each in world.crashes] == [("one",), ("two",)]
+        assert {each.at for each in world.crashes} == {100.0}
+
+    def test_restart_of_endpoint_is_a_crash(self):
+        world = CrashDetectorHarness()
+        world.detector.record_restart("e-1", frozenset({"one"}))
+        world.detector.record_restart("e-1", frozenset({"two"}))
+        assert [each.requests for each in world.crashes] == [("one",), ("two",)]
--- a/flamingofront/request/tests/test_endpoint_pauses.py
+++ b/flamingofront/request/tests/test_endpoint_pauses.py
@@ -1,4 +1,4 @@
-"""What answers say of leaving and of pauses, and what a process knows of pauses."""
+"""Tests of back-off and leaving headers in responses, and of back-off periods."""
 
 import random
 
@@ -16,7 +16,7 @@
 DATE = "Thu, 03 Dec 2026 12:00:00 GMT"
 
 
-def judged(status, **headers):
+def decode_head(status, **headers):
     fields = tuple((name.replace("_", "-"), value) for name, value in headers.items())
     names = {name.lower(): value for name, value in fields}
     return PlatformProtocol().judge("r", ResponseHead(status, names, fields))
@@ -28,48 +28,48 @@
         [("3", 3.0), ("0.6", 0.6), (" 30 ", 30.0), ("86400", 86400.0)]
         + [(text, None) for text in ("", "0", "-3", "soon", "1e3", "nan", DATE)],
     )
-    def test_only_seconds_are_pauses(self, text, pause):
-        assert judged(503, Retry_After=text).pause == pause
+    def test_only_seconds_are_accepted(self, text, pause):
+        assert decode_head(503, Retry_After=text).pause == pause
 
     @pytest.mark.parametrize("status", [200, 429, 500])
-    def test_other_answers_ask_for_no_pause(self, status):
-        assert judged(status, Retry_After="3").pause is None
+    def test_only_status_503_requests_backoff(self, status):
+        assert decode_head(status, Retry_After="3").pause is None
 
     @pytest.mark.parametrize("text, leaving", [("1", True), ("0", False), ("", False)])
-    def test_one_says_that_the_endpoint_leaves(self, text, leaving):
-        assert judged(200, Server_Leaving=text).leaving is leaving
+    def test_leaving_header_must_be_one(self, text, leaving):
+        assert decode_head(200, Server_Leaving=text).leaving is leaving
 
 
-class TestPauses:
+class TestBackoffs:
     def setup_method(self):
         self.clock = ManualClock()
         rng = random.Random(1)
         self.backoffs = EndpointBackoffs(TimerService(self.clock), Metrics(), Log("test"), rng)
 
-    def test_shorter_time_does_not_shorten_a_pause(self):
-        """Answers on several connections come in any order."""
+    def test_shorter_request_does_not_shorten_backoff(self):
+        """Responses on several connections arrive in any order."""
         self.backoffs.start("e", 3.0, "r")
         self.clock.time += 1.0
         self.backoffs.start("e", 0.6, "r")
         assert 2.0 <= self.backoffs.remaining_seconds("e") <= 2.75
 
-    def test_success_of_a_request_sent_before_does_not_end_a_pause(self):
+    def test_success_of_earlier_request_does_not_end_backoff(self):
         self.backoffs.start("e", 3.0, "r")
         self.clock.time += 0.1
         self.backoffs.record_response("e", self.clock.now() - 0.2)
         assert self.backoffs.remaining_seconds("e") > 2.0
 
-    def test_time_that_is_too_long_to_be_meant_is_cut(self):
+    def test_long_backoff_is_capped(self):
         self.backoffs.start("e", 86400.0, "r")
         assert self.backoffs.remaining_seconds("e") <= 1.25 * MAX_BACKOFF_SECONDS
 
-    def test_next_start_of_the_endpoint_has_none(self):
+    def test_restarted_endpoint_has_no_backoff(self):
         self.backoffs.start("e", 3.0, "r")
         self.backoffs.forget("e")
         assert self.backoffs.remaining_seconds("e") == 0.0
 
 
-class TestAfterAPause:
+class TestTrialAfterBackoff:
     def setup_method(self):
         self.clock = ManualClock()
         rng = random.Random(1)
@@ -77,30 +77,30 @@
         self.backoffs.start("e", 3.0, "r")
         self.clock.time += 4.0
 
-    def test_one_request_goes_first(self):
-        """All processes would come back with all that they held."""
+    def test_trial_request_closes_endpoint(self):
+        """Without a trial, all processes would send all their queued requests at once."""
         assert self.backoffs.endpoints_in_backoff() == frozenset()
         self.backoffs.record_send("e")
         assert self.backoffs.endpoints_in_backoff() == {"e"}
 
-    def test_others_follow_once_it_is_answered(self):
+    def test_response_to_trial_reopens_endpoint(self):
         self.backoffs.record_send("e")
         self.backoffs.record_response("e", self.clock.now())
         assert self.backoffs.endpoints_in_backoff() == frozenset()
 
-    def test_others_follow_if_its_answer_takes_long(self):
+    def test_slow_trial_reopens_endpoint(self):
         self.backoffs.record_send("e")
         self.clock.time += 1.1
         assert self.backoffs.endpoints_in_backoff() == frozenset()
 
-    def test_answer_to_an_earlier_request_does_not_count(self):
+    def test_response_to_earlier_request_keeps_endpoint_closed(self):
         self.backoffs.record_send("e")
         self.backoffs.record_response("e", self.clock.now() - 4.5)
         assert self.backoffs.endpoints_in_backoff() == {"e"}
 
 
 class TestCounters:
-    def test_what_an_answer_says_is_counted(self):
+    def test_backoff_and_leaving_are_counted(self):
         world = ready_world(plains=1)
         world.endpoints["plain-1"].fail(ForwardFault.REJECT, 1)
         world.finish(world.ask("front-1", "/write/x"))
--- a/flamingofront/request/tests/test_recovery.py
+++ b/flamingofront/request/tests/test_recovery.py
@@ -1,4 +1,4 @@
-"""Recovery plans for the streams of a leaving endpoint."""
+"""Tests of recovery plans for the streams of a leaving endpoint."""
 
 from hypothesis import given
 from hypothesis import strategies as st
@@ -27,7 +27,7 @@
             RecoveryAction.RECOMPUTE,
         ]
 
-    def test_transfers_begin_late_but_not_too_late(self):
+    def test_transfers_start_late_but_in_time(self):
         alone = plan([(1000, 9999)], notice=10.0)["r0"]
         assert alone.start_in + 1.1 < 9.5
         assert alone.start_in > 5.0
@@ -41,10 +41,10 @@
     def test_each_stream_has_one_plan_and_transfers_fit_the_notice(self, streams, notice):
         plans = plan(streams, notice)
         assert len(plans) == len(streams)
-        ends = [
+        transfer_ends = [
             each.start_in + 0.1 + streams[int(name[1:])][0] * 0.001
             for name, each in plans.items()
             if each.action is RecoveryAction.TRANSFER
         ]
-        assert all(end <= max(0.0, notice - RATES.margin) + 1e-6 for end in ends)
+        assert all(end <= max(0.0, notice - RATES.margin) + 1e-6 for end in transfer_ends)
         assert all(0.0 <= each.start_in <= notice for each in plans.values())
--- a/flamingofront/request/tests/test_zone_of_ended_endpoints.py
+++ b/flamingofront/request/tests/test_zone_of_ended_endpoints.py
@@ -1,21 +1,15 @@
-"""Endpoints that ended, and the availability zone that they stood in.
+"""Test that crashed endpoints do not make their availability zone count as partitioned.
 
-Eight engines had ended within 1.3 seconds, in all four zones. For eight seconds processes took
-whole zones for cut off, with everybody there in hearing, and left the plain endpoints out that
-served on there:
-
-    9.340 zone cut off  hraun-1   of_zone=heida-hall  silent=[]
-    9.447 zone cut off  hraun-2   of_zone=hafnar-hall silent=[]
-    ...                                               30 lines until second 15
-
-A refused connection counted like one that nobody answers. It shows that the VM is reached.
+After eight engines in four zones crashed within 1.3 seconds, processes treated zones as partitioned
+30 times in eight seconds and excluded the healthy endpoints there. Refused connections were counted
+like unanswered ones, although they show that the VM is reachable.
 """
 
 from flamingofront.tests.forwarding_world import ForwardingWorld
 
 
 class TestRefusedConnections:
-    def test_zone_of_engines_that_ended_is_not_taken_for_cut_off(self):
+    def test_zone_of_crashed_engines_is_not_partitioned(self):
         world = ForwardingWorld()
         world.configure_routes()
         for number in range(6):
--- a/flamingofront/request/unknown_gate.py
+++ b/flamingofront/request/unknown_gate.py
@@ -1,4 +1,4 @@
-"""Where a request waits that names a route or key which this process does not know."""
+"""Check that the configuration is current before a request with an unknown route or key fails."""
 
 from abc import ABC, abstractmethod
 from collections.abc import Callable
@@ -7,24 +7,27 @@
 
 
 class ConfigFreshness(ABC):
-    """Tells whether a route or key that is not known here is unknown everywhere."""
+    """Checks whether the active configuration is the newest.
+
+    A route or key that is missing from it may have been added in a newer version.
+    """
 
     @abstractmethod
     def is_current(self) -> bool:
-        """Tell whether the configuration in force is known to be the newest."""
+        """Return True if the active configuration is known to be the newest."""
 
     @abstractmethod
     def verify(self, on_result: Callable[[bool], None]) -> None:
-        """Find that out; `on_result` gets the outcome, soon."""
+        """Check for a newer configuration and pass the result to `on_result`, possibly later."""
 
 
 class AssumedFreshness(ConfigFreshness):
-    """Takes the configuration in force for the newest."""
+    """Assumes that the active configuration is the newest."""
 
     def is_current(self) -> bool:
         """Return True."""
         return True
 
     def verify(self, on_result: Callable[[bool], None]) -> None:
-        """Answer at once."""
+        """Report success at once."""
         on_result(True)
--- a/flamingofront/tests/test_crashing_requests.py
+++ b/flamingofront/tests/test_crashing_requests.py
@@ -194,8 +194,8 @@
                 world.front(name, ZONES[number % len(ZONES)], first_start=False)
             world.run(CONTACT_SECONDS + 1.0)
             repeat(world, "/stream/once/x", seconds=3.0)
-        unseen = [each for each in log.records if each.message == "endpoint ended unseen"]
-        held = [each for each in log.records if each.message == "request held"]
+        unseen = [each for each in log.records if each.message == "unobserved endpoint crash"]
+        held = [each for each in log.records if each.message == "request quarantined"]
         assert unseen and held
         assert max(each.kwargs["trials"] for each in held) == len(TRIAL_SECONDS)
 
@@ -371,10 +371,10 @@
         ended = {
             kwargs["endpoint"]
             for message, kwargs in lines
-            if message == "endpoint ended" and work in kwargs["work"]
+            if message == "endpoint crashed" and work in kwargs["work"]
         }
         assert ended == {each.endpoint_id for each in world.ends_under(POISON)}
-        held = [kwargs for message, kwargs in lines if message == "request held"]
+        held = [kwargs for message, kwargs in lines if message == "request quarantined"]
         assert {each["work"] for each in held} == {work}
         assert len(held) == len(world.fronts)
         assert all(set(each["endpoints"]) <= ended for each in held)
@@ -396,7 +396,11 @@
             callers = [world.ask(name, "/stream/once/x", body=POISON) for name in world.fronts]
             world.finish(*callers)
         assert {each.status for each in callers} == {200}
-        released = [each.kwargs for each in log.records if each.message == "request served again"]
+        released = [
+            each.kwargs
+            for each in log.records
+            if each.message == "request released from quarantine"
+        ]
         assert len(released) == 7 and "answered" in released[0]["reason"]
         rows = world.store.rows(HOLD_TABLE)
         assert not [each for each in rows if each.startswith(EVIDENCE_PREFIX)]
--- a/flamingofront/tests/test_operating.py
+++ b/flamingofront/tests/test_operating.py
@@ -90,7 +90,7 @@
     def test_lines_on_one_piece_of_work_under_whatever_id(self):
         lines = [
             '{"time": "1", "event": "attempt", "request": "r#1", "work": "w-1"}',
-            '{"time": "2", "event": "endpoint ended", "work": ["w-1", "w-2"]}',
+            '{"time": "2", "event": "endpoint crashed", "work": ["w-1", "w-2"]}',
             '{"time": "3", "event": "refused", "request": "q#1", "work": "w-1"}',
             '{"time": "4", "event": "attempt", "request": "s#1", "work": "w-2"}',
         ]
