--- a/flamingofront/request/directory.py
+++ b/flamingofront/request/directory.py
@@ -128,7 +128,7 @@
     local_share : callable
         Returns the share of the load that comes from this process, from 0 to 1.
     noted_prompts : NotedPrompts
-        Prompts that other processes have sent since their last load reports.
+        Prompts that other processes have reported recently, which load reports may not include.
     """
 
     def __init__(self, facts: FactTable, rng: random.Random, zone: str = ""):
--- a/flamingofront/request/guard.py
+++ b/flamingofront/request/guard.py
@@ -206,7 +206,7 @@
         return endpoint_id in self.quarantine.ended_endpoints() or endpoint_id in self._unobserved
 
     def _on_unobserved_crash(self, endpoint_id: str) -> None:
-        """Record a deleted row of an endpoint at which no request is known."""
+        """Record that the row of an endpoint without known requests was deleted."""
         if self._is_recorded(endpoint_id):
             return
         if is_about_restart(self.wall(), self.entry_start_times()):
--- a/flamingofront/request/prefixes.py
+++ b/flamingofront/request/prefixes.py
@@ -92,14 +92,14 @@
 
     def longest_prefix_holders(self, hashes: Sequence[str]) -> frozenset[str]:
         """Return the endpoints that cache the longest prefix of a prompt."""
-        best: frozenset[str] = frozenset()
+        longest: frozenset[str] = frozenset()
         for each in hashes:
             holders = self._holders.get(each)
-            left = frozenset(holders or ()) & best if best else frozenset(holders or ())
-            if not left:
+            remaining = frozenset(holders or ()) & longest if longest else frozenset(holders or ())
+            if not remaining:
                 break
-            best = left
-        return best
+            longest = remaining
+        return longest
 
     def cached_tokens(self, endpoint_id: str, hashes: Sequence[str]) -> int:
         """Return the number of leading tokens of a prompt that an endpoint probably caches."""
--- a/flamingofront/request/tests/test_crashing_requests.py
+++ b/flamingofront/request/tests/test_crashing_requests.py
@@ -79,7 +79,7 @@
         return self.world.complete(name, "the poison", stream=stream, headers=headers)
 
     def count_late_sends(self):
-        """Return the number of sends later than all processes must know of the third crash."""
+        """Return the number of sends later than CONTACT_SECONDS after the third crash."""
         if len(self.crashed_at) < 3:
             return 0
         return sum(at > self.crashed_at[2] + CONTACT_SECONDS for at in self.sent_at)
--- a/flamingofront/request/tests/test_endpoint_ends.py
+++ b/flamingofront/request/tests/test_endpoint_ends.py
@@ -61,9 +61,9 @@
         world = CrashDetectorHarness()
         world.lose_connections("one", "two")
         world.run(0.1)
-        (end,) = world.crashes
-        assert (end.endpoint_id, end.zone, end.at) == ("e-1", "zone-a", 100.0)
-        assert end.requests == ("one", "two")
+        (crash,) = world.crashes
+        assert (crash.endpoint_id, crash.zone, crash.at) == ("e-1", "zone-a", 100.0)
+        assert crash.requests == ("one", "two")
         assert world.metrics.value("endpoint_ends_total") == 1
 
     def test_endpoint_that_accepts_probe_has_not_crashed(self):
--- a/flamingofront/request/tests/test_endpoint_limits.py
+++ b/flamingofront/request/tests/test_endpoint_limits.py
@@ -33,7 +33,7 @@
 
 
 def show_limit(world, name):
-    """Return the rate limit and the reason for sending nothing that operators see."""
+    """Return the rate limit that operators see, and the reason why nothing is sent."""
     caller = Caller(world.fronts["front-1"], world.host("front-1"))
     body = orjson.dumps({"statements": ["show endpoints"]})
     req = InboundRequest("POST", "/operate", {}, {}, body, "/operate", (), world.clock.now())
@@ -50,12 +50,12 @@
     )
     def test_only_decimal_numbers_are_limits(self, text, rate):
         head = ResponseHead(200, {"server-limit": text}, (("Server-Limit", text),))
-        answer = PlatformProtocol().judge("r", head)
-        assert (answer.names_limit, answer.rate_limit) == (True, rate)
+        response = PlatformProtocol().judge("r", head)
+        assert (response.names_limit, response.rate_limit) == (True, rate)
 
     def test_missing_header_is_no_limit(self):
-        answer = PlatformProtocol().judge("r", ResponseHead(200, {}, ()))
-        assert (answer.names_limit, answer.rate_limit) == (False, None)
+        response = PlatformProtocol().judge("r", ResponseHead(200, {}, ()))
+        assert (response.names_limit, response.rate_limit) == (False, None)
 
 
 class TestLimitChanges:
@@ -98,7 +98,7 @@
 
 class TestPermits:
     def test_denied_low_priority_does_not_delay_urgent_requests(self):
-        """Guards against a Retry-After for urgent requests that is computed from others."""
+        """Guards against computing the Retry-After of urgent requests from less urgent ones."""
         harness = LimitsHarness()
         harness.receive_response(0.5)
         timers = TimerService(harness.clock)
