--- a/flamingofront/request/intent_gate.py
+++ b/flamingofront/request/intent_gate.py
@@ -1,4 +1,8 @@
-"""Requests that are recorded before they are sent, as the attempts see it."""
+"""Write-ahead log of sends, as the attempts use it.
+
+Some requests are recorded before they are sent, so that crashes can be attributed to them even if
+the sending process fails too.
+"""
 
 from abc import ABC, abstractmethod
 from collections.abc import Callable
@@ -13,27 +17,34 @@
 if TYPE_CHECKING:
     from flamingofront.request.active import ActiveRequest
 
-__all__ = ["IntentClaims", "IntentGate", "IntentHandle", "NoIntents", "Recorded", "SendFacts"]
+__all__ = [
+    "AttemptIntents",
+    "IntentLog",
+    "IntentHandle",
+    "NullIntentLog",
+    "RecordOutcome",
+    "SendDetails",
+]
 
 
-class Recorded(StrEnum):
-    """What became of a record at the moment at which its request may be sent."""
+class RecordOutcome(StrEnum):
+    """State of the record of a send at the time at which the request may be sent."""
 
-    DONE = "done"
-    """The store has it."""
-    BESIDE = "beside"
-    """The record is on its way: no earlier send of the request is known."""
-    LATE = "late"
-    """The store has not answered in time, or before; the record follows the request."""
-    PACED = "paced"
-    """The store is asked no more often for now; the record follows the request."""
-    NEEDLESS = "needless"
-    """An endpoint has answered the request meanwhile."""
+    STORED = "done"
+    """The store has acknowledged the record."""
+    CONCURRENT = "beside"
+    """The record is written concurrently, because no earlier send of the request is known."""
+    TIMED_OUT = "late"
+    """The store did not respond in time, now or before; the record is written later."""
+    RATE_LIMITED = "paced"
+    """The rate limit for store writes is reached; the record is written later."""
+    NOT_NEEDED = "needless"
+    """An endpoint has responded to the same request meanwhile."""
 
 
 @dataclass(frozen=True)
-class SendFacts:
-    """What is recorded of an attempt: the request's fingerprint, and where it goes."""
+class SendDetails:
+    """Recorded details of an attempt: the fingerprint of the request and its target."""
 
     fingerprint: str
     endpoint_id: str
@@ -42,132 +53,138 @@
 
 
 class IntentHandle(ABC):
-    """A record that was asked for."""
+    """Handle of the record of one send."""
 
     @abstractmethod
     def withdraw(self) -> None:
-        """Take note that the request was not sent."""
+        """Remove the record because the request was not sent or not run."""
 
     @abstractmethod
-    def ended(self) -> None:
-        """Take note that the endpoint has the request no more, as far as is known here."""
+    def close(self) -> None:
+        """Record that the attempt is over, as far as this process knows."""
 
 
-class IntentGate(ABC):
-    """Records requests before they are sent."""
+class IntentLog(ABC):
+    """Records requests before they are sent to an endpoint."""
 
     @abstractmethod
-    def needed(self, fingerprint: str, service: str) -> bool:
-        """Tell whether a request to a service has to be recorded."""
+    def requires_record(self, fingerprint: str, service: str) -> bool:
+        """Return True if a request to a service has to be recorded before it is sent."""
 
     @abstractmethod
-    def record(self, facts: SendFacts, then: Callable[[Recorded], None]) -> IntentHandle:
-        """Record a request; `then` is called, later, when it may be sent."""
+    def record_send(
+        self, details: SendDetails, on_ready: Callable[[RecordOutcome], None]
+    ) -> IntentHandle:
+        """Record a send and call `on_ready`, always later, when the request may be sent."""
 
     @abstractmethod
-    def answered(self, fingerprint: str) -> None:
-        """Take note that an endpoint has answered a request."""
+    def record_response(self, fingerprint: str) -> None:
+        """Record that an endpoint has responded to a request."""
 
     @abstractmethod
-    def records(self) -> tuple[IntentRecord, ...]:
-        """Return what is known to be recorded."""
+    def known_records(self) -> tuple[IntentRecord, ...]:
+        """Return the recorded intents that this process knows."""
 
     @abstractmethod
-    def waiting(self, fingerprint: str) -> int:
-        """Return how many requests wait for a record, or for the outcome of earlier sends."""
+    def count_waiting(self, fingerprint: str) -> int:
+        """Return the number of requests that wait for their record or for earlier sends."""
 
     @abstractmethod
-    def endpoint_ended(self, endpoint_id: str) -> None:
-        """Take note that an endpoint has ended without notice."""
+    def record_crash(self, endpoint_id: str) -> None:
+        """Record that an endpoint has crashed."""
 
     @abstractmethod
-    def unseen_end(self, endpoint_id: str) -> None:
-        """Take note of an end about a restart at which nobody knows of a request."""
+    def record_unobserved_crash(self, endpoint_id: str) -> None:
+        """Record a crash close to a restart, at which no process knows of a request."""
 
 
-class NoIntents(IntentGate):
-    """Records nothing: a process without a store."""
+class NullIntentLog(IntentLog):
+    """Intent log of a process without a store; records nothing."""
 
-    def needed(self, fingerprint: str, service: str) -> bool:
-        """Tell whether a request has to be recorded."""
+    def requires_record(self, fingerprint: str, service: str) -> bool:
+        """Return False."""
         return False
 
-    def record(self, facts: SendFacts, then: Callable[[Recorded], None]) -> IntentHandle:
-        """Raise, as nothing can be recorded."""
-        raise RuntimeError("there is no store to record a request in")
+    def record_send(
+        self, details: SendDetails, on_ready: Callable[[RecordOutcome], None]
+    ) -> IntentHandle:
+        """Raise an error, because there is no store."""
+        raise RuntimeError("cannot record a send: the process has no store")
 
-    def answered(self, fingerprint: str) -> None:
-        """Take note of nothing."""
+    def record_response(self, fingerprint: str) -> None:
+        """Do nothing."""
 
-    def records(self) -> tuple[IntentRecord, ...]:
-        """Return nothing."""
+    def known_records(self) -> tuple[IntentRecord, ...]:
+        """Return an empty tuple."""
         return ()
 
-    def waiting(self, fingerprint: str) -> int:
+    def count_waiting(self, fingerprint: str) -> int:
         """Return zero."""
         return 0
 
-    def endpoint_ended(self, endpoint_id: str) -> None:
-        """Take note of nothing."""
+    def record_crash(self, endpoint_id: str) -> None:
+        """Do nothing."""
 
-    def unseen_end(self, endpoint_id: str) -> None:
-        """Take note of nothing."""
+    def record_unobserved_crash(self, endpoint_id: str) -> None:
+        """Do nothing."""
 
 
-class IntentClaims:
-    """Records the attempts of one request, one at a time."""
+class AttemptIntents:
+    """Records the attempts of one request, one attempt at a time."""
 
     def __init__(self, request: "ActiveRequest"):
         self._request = request
-        # Records that were asked for, by attempt, and that of the attempt which was sent.
-        self._asked: dict[str, IntentHandle] = {}
+        # Handles of pending records by attempt id, and the handle of the attempt that was sent.
+        self._pending: dict[str, IntentHandle] = {}
         self._sent: IntentHandle | None = None
 
-    def needed(self) -> bool:
-        """Tell whether the next attempt has to be recorded before it is sent."""
+    def requires_record(self) -> bool:
+        """Return True if the next attempt has to be recorded before it is sent."""
         request = self._request
-        return request.hub.guard.intents.needed(request.fingerprint, request.record.service.name)
-
-    def ask(self, order: StartAttempt, chosen: Candidate) -> None:
-        """Record an attempt, and send it then."""
-        request, began = self._request, self._request.hub.now()
-        facts = SendFacts(request.fingerprint, chosen.endpoint_id, chosen.address, chosen.zone)
-        self._asked[order.attempt_id] = request.hub.guard.intents.record(
-            facts, lambda outcome: self._recorded(order, chosen, outcome, began)
+        return request.hub.guard.intents.requires_record(
+            request.fingerprint, request.record.service.name
+        )
+
+    def record_attempt(self, action: StartAttempt, chosen: Candidate) -> None:
+        """Record an attempt, then send it."""
+        request, asked_at = self._request, self._request.hub.now()
+        details = SendDetails(request.fingerprint, chosen.endpoint_id, chosen.address, chosen.zone)
+        self._pending[action.attempt_id] = request.hub.guard.intents.record_send(
+            details, lambda outcome: self._on_recorded(action, chosen, outcome, asked_at)
         )
 
-    def _recorded(
-        self, order: StartAttempt, chosen: Candidate, outcome: Recorded, began: float
+    def _on_recorded(
+        self, action: StartAttempt, chosen: Candidate, outcome: RecordOutcome, asked_at: float
     ) -> None:
-        request, handle = self._request, self._asked.pop(order.attempt_id)
-        if request.done or request.machine.attempt_id != order.attempt_id:
+        request, handle = self._request, self._pending.pop(action.attempt_id)
+        if request.done or request.machine.attempt_id != action.attempt_id:
             handle.withdraw()
             return
         request.log.info(
             "send recorded",
-            attempt=order.attempt_id,
+            attempt=action.attempt_id,
             endpoint=chosen.endpoint_id,
             result=outcome.value,
-            wait_ms=round((request.hub.now() - began) * 1000, 1),
+            wait_ms=round((request.hub.now() - asked_at) * 1000, 1),
         )
         if request.is_held:
             handle.withdraw()
             request.held_back()
-        elif request.hub.accepts_work(chosen.endpoint_id):
+        elif request.hub.accepts_requests(chosen.endpoint_id):
             self._sent = handle
-            request.send(order, chosen)
+            request.send(action, chosen)
         else:
             handle.withdraw()
-            request.place(order)
+            request.place(action)
 
     def withdraw(self) -> None:
-        """Take note that the endpoint did not get the current attempt, or did not run it."""
+        """Remove the record of the current attempt, which was not received or not run."""
         handle, self._sent = self._sent, None
         if handle is not None:
             handle.withdraw()
 
-    def released(self) -> None:
-        """Take note that the current attempt is over."""
+    def close_current(self) -> None:
+        """Record that the current attempt is over."""
         handle, self._sent = self._sent, None
         if handle is not None:
-            handle.ended()
+            handle.close()
--- a/flamingofront/request/migration.py
+++ b/flamingofront/request/migration.py
@@ -1,4 +1,4 @@
-"""Move streams off an endpoint that will be reclaimed, with their KV cache where time allows."""
+"""Migration of streams off endpoints that will be reclaimed, with the KV cache if time allows."""
 
 from collections.abc import Callable
 from dataclasses import replace
@@ -20,19 +20,19 @@
     StreamState,
 )
 
-__all__ = ["Migrations"]
+__all__ = ["StreamMigrator"]
 
 TRANSFER_TIMEOUT_SECONDS = 5.0
 JSON_HEADERS = (("Content-Type", "application/json"),)
 
 
-class Migrations:
-    """Carries out recovery plans.
+class StreamMigrator:
+    """Carries out the recovery plans for streams of endpoints that will be reclaimed.
 
     Parameters
     ----------
     address_of : callable
-        Returns the address of an endpoint by its id, None if it is not known.
+        Returns the address of an endpoint by its id; None if the endpoint is unknown.
     """
 
     def __init__(
@@ -50,20 +50,26 @@
         self._rates = rates or RecoveryRates()
         self._planned: set[str] = set()
 
-    def endpoint_leaving(self, endpoint_id: str, notice: float) -> None:
-        """Plan what becomes of the streams on an endpoint, once."""
+    def migrate_streams(self, endpoint_id: str, notice_seconds: float) -> None:
+        """Plan and schedule the recovery of the streams on an endpoint; later calls do nothing.
+
+        Parameters
+        ----------
+        notice_seconds : float
+            Seconds until the VM of the endpoint is reclaimed.
+        """
         if endpoint_id in self._planned:
             return
         self._planned.add(endpoint_id)
         requests = {each.request_id: each for each in self._streams_on(endpoint_id)}
-        states = [_state_of(each) for each in requests.values()]
+        states = [_stream_state(each) for each in requests.values()]
         total = self._hub.directory.load_of(endpoint_id)
         rates = replace(self._rates, contention=max(1.0, total / max(1, len(states))))
-        for plan in self._policy.plan(states, notice, rates):
+        for plan in self._policy.plan(states, notice_seconds, rates):
             self._schedule(requests[plan.request_id], plan)
 
-    def endpoint_gone(self, endpoint_id: str) -> None:
-        """Forget an endpoint that is gone."""
+    def forget_endpoint(self, endpoint_id: str) -> None:
+        """Remove the record that the streams of an endpoint were planned."""
         self._planned.discard(endpoint_id)
 
     def _streams_on(self, endpoint_id: str) -> list[ModelRequest]:
@@ -79,8 +85,8 @@
         attempt_id = request.machine.attempt_id
         if attempt_id is None:
             return
-        carry = self._transfer if plan.action is RecoveryAction.TRANSFER else self._recompute
-        self._hub.timers.once(plan.start_in, lambda: carry(request, attempt_id))
+        move = self._transfer if plan.action is RecoveryAction.TRANSFER else self._recompute
+        self._hub.timers.once(plan.start_in, lambda: move(request, attempt_id))
 
     def _recompute(self, request: ModelRequest, attempt_id: str) -> None:
         if request.done or request.machine.attempt_id != attempt_id:
@@ -91,17 +97,17 @@
     def _transfer(self, request: ModelRequest, attempt_id: str) -> None:
         if request.done or request.machine.attempt_id != attempt_id:
             return
-        chosen = self._hub.choose(request, frozenset({request.endpoint_id}))
+        chosen = self._hub.choose_endpoint(request, frozenset({request.endpoint_id}))
         if chosen is None or chosen.endpoint_id == request.endpoint_id:
             self._recompute(request, attempt_id)
             return
         source = self._address_of(request.endpoint_id)
         task = _transfer_cache(source, chosen.address, request.request_id, attempt_id)
         self._tasks.start(
-            task, lambda kv_handle: self._transferred(request, attempt_id, chosen, kv_handle)
+            task, lambda kv_handle: self._on_transferred(request, attempt_id, chosen, kv_handle)
         )
 
-    def _transferred(
+    def _on_transferred(
         self, request: ModelRequest, attempt_id: str, chosen: Candidate, kv_handle: str
     ) -> None:
         if request.done or request.machine.attempt_id != attempt_id:
@@ -114,14 +120,14 @@
         request.carry(request.machine.replace(attempt_id))
 
 
-def _state_of(request: ActiveRequest) -> StreamState:
+def _stream_state(request: ActiveRequest) -> StreamState:
     work = request.record.work
     offset = request.machine.assembler.offset
     return StreamState(request.request_id, len(work.prompt) + offset, work.max_tokens - offset)
 
 
 def _transfer_cache(source: str, target: str, request_id: str, attempt_id: str) -> Task:
-    """Copy the KV cache of a stream; return its handle at the target, empty if that failed."""
+    """Copy the KV cache of a stream and return its handle at the target; empty on failure."""
     body = orjson.dumps({"request": request_id, "attempt": attempt_id})
     reply = yield OutboundCall(
         source, "POST", "/kv/export", body, JSON_HEADERS, TRANSFER_TIMEOUT_SECONDS
--- a/flamingofront/request/prefixes.py
+++ b/flamingofront/request/prefixes.py
@@ -1,8 +1,7 @@
-"""Which endpoint is believed to hold which prompt prefix in its cache.
+"""Index of the prompt prefixes that each endpoint probably has in its KV cache.
 
-The belief comes from this process's own attempts and from the engines' cache events, which come
-late and with gaps. It is only a hint for the choice of endpoint: a wrong entry costs a prefill,
-nothing else.
+It is built from the attempts of this process and from cache events of the engines, which arrive
+late and with gaps. It is only a hint for endpoint choice: a wrong entry costs one prefill.
 """
 
 import hashlib
@@ -19,7 +18,7 @@
 
 
 def block_hashes(tokens: Sequence[str]) -> tuple[str, ...]:
-    """Return a hash for each whole block of a prompt, each covering all tokens before its end."""
+    """Return one hash per complete block of a prompt, each over all tokens up to its end."""
     digest = hashlib.blake2b(digest_size=_HASH_BYTES)
     hashes = []
     for start in range(0, len(tokens) - BLOCK_TOKENS + 1, BLOCK_TOKENS):
@@ -29,12 +28,12 @@
 
 
 class PrefixIndex:
-    """Least recently used prefix blocks of each endpoint.
+    """LRU index of the prefix blocks that each endpoint caches.
 
     Parameters
     ----------
     max_blocks : int
-        Blocks kept for an endpoint.
+        Maximum number of blocks kept per endpoint.
     """
 
     def __init__(self, max_blocks: int = MAX_BLOCKS):
@@ -43,21 +42,21 @@
         self._tokens: Counter[str] = Counter()
         self._holders: dict[str, set[str]] = {}
 
-    def stored(
+    def add_blocks(
         self,
         endpoint_id: str,
         hashes: Iterable[str],
         sizes: Iterable[int] | None = None,
         capacity: float = math.inf,
     ) -> None:
-        """Note blocks that an endpoint holds now.
+        """Add blocks that an endpoint now caches, and evict its least recently used ones.
 
         Parameters
         ----------
         sizes : iterable of int, optional
-            Tokens of each block, where blocks are not of one size.
+            Tokens of each block; `BLOCK_TOKENS` each by default.
         capacity : float
-            Tokens that the endpoint can hold: beyond them its oldest blocks yield.
+            Tokens that the cache of the endpoint can hold.
         """
         blocks = self._blocks.setdefault(endpoint_id, OrderedDict())
         for each, size in zip(hashes, sizes or itertools.repeat(BLOCK_TOKENS), strict=False):
@@ -66,9 +65,9 @@
             blocks.move_to_end(each)
             self._holders.setdefault(each, set()).add(endpoint_id)
         while len(blocks) > self._max_blocks or self._tokens[endpoint_id] > capacity:
-            old, size = blocks.popitem(last=False)
+            evicted_block, size = blocks.popitem(last=False)
             self._tokens[endpoint_id] -= size
-            self._drop_holder(old, endpoint_id)
+            self._drop_holder(evicted_block, endpoint_id)
 
     def _drop_holder(self, block: str, endpoint_id: str) -> None:
         holders = self._holders.get(block)
@@ -77,8 +76,8 @@
             if not holders:
                 del self._holders[block]
 
-    def evicted(self, endpoint_id: str, hashes: Iterable[str]) -> None:
-        """Note blocks that an endpoint dropped."""
+    def remove_blocks(self, endpoint_id: str, hashes: Iterable[str]) -> None:
+        """Remove blocks that an endpoint has evicted from its cache."""
         blocks = self._blocks.get(endpoint_id, {})
         for each in hashes:
             if each in blocks:
@@ -86,24 +85,24 @@
                 self._drop_holder(each, endpoint_id)
 
     def forget(self, endpoint_id: str) -> None:
-        """Drop all blocks of an endpoint: it is gone, or its events have a gap."""
+        """Remove all blocks of an endpoint that has left or whose cache events have a gap."""
         self._tokens.pop(endpoint_id, None)
         for each in self._blocks.pop(endpoint_id, ()):
             self._drop_holder(each, endpoint_id)
 
-    def warmest(self, hashes: Sequence[str]) -> frozenset[str]:
-        """Return the endpoints that hold the longest part of a prompt."""
-        best: frozenset[str] = frozenset()
+    def longest_prefix_holders(self, hashes: Sequence[str]) -> frozenset[str]:
+        """Return the endpoints that cache the longest prefix of a prompt."""
+        longest: frozenset[str] = frozenset()
         for each in hashes:
             holders = self._holders.get(each)
-            left = frozenset(holders or ()) & best if best else frozenset(holders or ())
-            if not left:
+            remaining = frozenset(holders or ()) & longest if longest else frozenset(holders or ())
+            if not remaining:
                 break
-            best = left
-        return best
+            longest = remaining
+        return longest
 
     def cached_tokens(self, endpoint_id: str, hashes: Sequence[str]) -> int:
-        """Return how many leading tokens of a prompt an endpoint is believed to hold."""
+        """Return the number of leading tokens of a prompt that an endpoint probably caches."""
         blocks = self._blocks.get(endpoint_id)
         if not blocks:
             return 0
--- a/flamingofront/request/unknown_gate.py
+++ b/flamingofront/request/unknown_gate.py
@@ -1,30 +1,33 @@
-"""Where a request waits that names a route or key which this process does not know."""
+"""Check that the configuration is current before a request with an unknown route or key fails."""
 
 from abc import ABC, abstractmethod
 from collections.abc import Callable
 
-__all__ = ["NoUnknownGate", "UnknownGate"]
+__all__ = ["AssumedFreshness", "ConfigFreshness"]
 
 
-class UnknownGate(ABC):
-    """Tells whether a route or key that is not known here is unknown everywhere."""
+class ConfigFreshness(ABC):
+    """Checks whether the active configuration is the newest.
+
+    A route or key that is missing from it may have been added in a newer version.
+    """
 
     @abstractmethod
     def is_current(self) -> bool:
-        """Tell whether the configuration in force is known to be the newest."""
+        """Return True if the active configuration is known to be the newest."""
 
     @abstractmethod
-    def verify(self, then: Callable[[bool], None]) -> None:
-        """Find that out; `then` gets the outcome, soon."""
+    def verify(self, on_result: Callable[[bool], None]) -> None:
+        """Check for a newer configuration and pass the result to `on_result`, possibly later."""
 
 
-class NoUnknownGate(UnknownGate):
-    """Takes the configuration in force for the newest."""
+class AssumedFreshness(ConfigFreshness):
+    """Assumes that the active configuration is the newest."""
 
     def is_current(self) -> bool:
         """Return True."""
         return True
 
-    def verify(self, then: Callable[[bool], None]) -> None:
-        """Answer at once."""
-        then(True)
+    def verify(self, on_result: Callable[[bool], None]) -> None:
+        """Report success at once."""
+        on_result(True)
--- a/flamingofront/tests/test_operating.py
+++ b/flamingofront/tests/test_operating.py
@@ -31,7 +31,7 @@
         world = ready_world(fronts=2)
         world.ask("front-1", "/read/x")
         guard = world.fronts["front-1"].hub.guard
-        guard.take_evidence((EndpointEnd("engine-1", "zone-a", guard.wall() - 2.0, ("f-1",)),))
+        guard.load_evidence((EndpointEnd("engine-1", "zone-a", guard.wall() - 2.0, ("f-1",)),))
         answer = operate(world, f"show {subject}")
         assert answer["columns"] == list(COLUMNS[subject])
         assert answer["rows"]
@@ -90,7 +90,7 @@
     def test_lines_on_one_piece_of_work_under_whatever_id(self):
         lines = [
             '{"time": "1", "event": "attempt", "request": "r#1", "work": "w-1"}',
-            '{"time": "2", "event": "endpoint ended", "work": ["w-1", "w-2"]}',
+            '{"time": "2", "event": "endpoint crashed", "work": ["w-1", "w-2"]}',
             '{"time": "3", "event": "refused", "request": "q#1", "work": "w-1"}',
             '{"time": "4", "event": "attempt", "request": "s#1", "work": "w-2"}',
         ]
