--- a/bench/platform_mutations.py
+++ b/bench/platform_mutations.py
@@ -322,15 +322,15 @@
     Mutation(
         "P late work stands back",
         "decisions/lateness.py",
-        "    return LOOK_SECONDS if waited < LONGEST_PART * deadline else 0.0\n",
+        "    return RECHECK_SECONDS if waited < MAX_YIELD_FRACTION * deadline else 0.0\n",
         "    return 0.0\n",
         "decisions/tests/test_lateness.py",
     ),
     Mutation(
         "P work that stands back goes before its deadline is lost",
         "decisions/lateness.py",
-        "    return LOOK_SECONDS if waited < LONGEST_PART * deadline else 0.0\n",
-        "    return LOOK_SECONDS\n",
+        "    return RECHECK_SECONDS if waited < MAX_YIELD_FRACTION * deadline else 0.0\n",
+        "    return RECHECK_SECONDS\n",
         "decisions/tests/test_lateness.py",
     ),
     Mutation(
