--- a/bench/known_failure_mutations.py
+++ b/bench/known_failure_mutations.py
@@ -14,8 +14,8 @@
     Mutation(
         "S a deadline alone decides where the size is not known",
         "decisions/stopping.py",
-        "if output_tokens <= 0 or len(self._seen) < LEAST_ANSWERS:\n            return math.inf",
-        "if output_tokens <= 0 or len(self._seen) < LEAST_ANSWERS:\n            return 1.0",
+        "if output_tokens <= 0 or len(self._seen) < MIN_STREAMS:\n            return math.inf",
+        "if output_tokens <= 0 or len(self._seen) < MIN_STREAMS:\n            return 1.0",
         STOPPING,
     ),
     Mutation(
@@ -42,14 +42,14 @@
     Mutation(
         "S each process keeps to its part",
         "decisions/quota.py",
-        "if members > 1 and not self._is_within_part(",
-        "if False and not self._is_within_part(",
+        "if members > 1 and not self._fits_local_share(",
+        "if False and not self._fits_local_share(",
         QUOTA,
     ),
     Mutation(
         "S what was taken before the start is assumed",
         "decisions/quota.py",
-        "        if age >= self._rules.window:\n            return math.inf",
+        "        if age >= self._rules.window_seconds:\n            return math.inf",
         "        return math.inf",
         QUOTA,
     ),
@@ -63,7 +63,7 @@
     Mutation(
         "S what is allowed is charged at once",
         "process/forwarding/quota_arbiter.py",
-        "            self._quota.charge_ahead(workspace, question.units, is_alone, now)",
+        "            self._quota.charge_grant(workspace, question.units, is_alone, now)",
         "            pass",
         ARBITER,
     ),
@@ -91,7 +91,7 @@
     Mutation(
         "S a side gives back what it took of the others",
         "decisions/quota.py",
-        "        if silent > 0 and name in self._taken:",
+        "        if silent > 0 and name in self._consumed:",
         "        if False:",
         ARBITER,
     ),
--- a/bench/platform_mutations.py
+++ b/bench/platform_mutations.py
@@ -224,21 +224,21 @@
     Mutation(
         "P a zone that seems cut off is left out",
         "decisions/zone_reach.py",
-        "        times = self._failed.get(zone, {})\n",
+        "        times = self._connect_failures.get(zone, {})\n",
         "        times = {}\n",
         FORWARDING,
     ),
     Mutation(
         "P silent processes of a zone with an endpoint that does not answer tell a cut",
         "decisions/zone_reach.py",
-        "        if zone in self._silent:\n",
+        "        if zone in self._unresponsive_zones:\n",
         "        if False:\n",
         "decisions/tests/test_zone_reach.py",
     ),
     Mutation(
         "P silent processes alone tell nothing",
         "decisions/zone_reach.py",
-        "        if now - since >= SPOKE_SECONDS:\n",
+        "        if now - since >= RESPONSE_RECENT_SECONDS:\n",
         "        if True:\n",
         "decisions/tests/test_zone_reach.py",
     ),
@@ -322,15 +322,15 @@
     Mutation(
         "P late work stands back",
         "decisions/lateness.py",
-        "    return LOOK_SECONDS if waited < LONGEST_PART * deadline else 0.0\n",
+        "    return RECHECK_SECONDS if waited < MAX_YIELD_FRACTION * deadline else 0.0\n",
         "    return 0.0\n",
         "decisions/tests/test_lateness.py",
     ),
     Mutation(
         "P work that stands back goes before its deadline is lost",
         "decisions/lateness.py",
-        "    return LOOK_SECONDS if waited < LONGEST_PART * deadline else 0.0\n",
-        "    return LOOK_SECONDS\n",
+        "    return RECHECK_SECONDS if waited < MAX_YIELD_FRACTION * deadline else 0.0\n",
+        "    return RECHECK_SECONDS\n",
         "decisions/tests/test_lateness.py",
     ),
     Mutation(
--- a/bench/quarantine_mutations.py
+++ b/bench/quarantine_mutations.py
@@ -94,7 +94,7 @@
     Mutation(
         "Q what is held is refused at once",
         "request/guard.py",
-        "        if self.standing(fingerprint) is Standing.HELD:\n            raise",
+        "        if self.standing(fingerprint) is QuarantineStatus.QUARANTINED:\n            raise",
         "        if False:\n            raise",
         WORLD,
     ),
@@ -115,14 +115,14 @@
     Mutation(
         "Q an end with no witness lets requests be recorded",
         "decisions/send_intents.py",
-        "self._wary_until[service] = now + WARY_SECONDS",
-        "self._wary_until[service] = now",
+        "self._record_until[service] = now + RECORDING_SECONDS",
+        "self._record_until[service] = now",
         SERIES,
     ),
     Mutation(
         "Q a start that may have followed a kill lets requests be recorded",
         "decisions/send_intents.py",
-        "self._start_until = began + START_SECONDS",
+        "self._start_until = began + STARTUP_SECONDS",
         "self._start_until = began",
         INTENTS,
     ),
--- a/bench/restart_mutations.py
+++ b/bench/restart_mutations.py
@@ -102,9 +102,9 @@
         ROLLOUTS,
     ),
     Mutation(
-        "R a version whose order was replaced is withheld",
+        "R a version whose order was replaced is blocked",
         "process/forwarding/rollouts.py",
-        "    return (known.withheld | {known.order.version}) - {order.version}",
+        "    return (known.blocked | {known.order.version}) - {order.version}",
         "    return frozenset()",
         ROLLOUTS,
     ),
@@ -118,7 +118,7 @@
     Mutation(
         "R the old version ends before a roll-out is complete",
         "decisions/rollout.py",
-        "evidence.clear >= CLEAR_SECONDS else phase",
+        "evidence.clear >= IDLE_SECONDS else phase",
         "True else phase",
         ROLLOUTS,
     ),
--- a/flamingofront/decisions/admission.py
+++ b/flamingofront/decisions/admission.py
@@ -20,14 +20,14 @@
     "FirstComeAdmission",
     "Ticket",
     "WorkspaceShare",
-    "shared_limit",
+    "compute_limit_share",
 ]
 
 MIN_RETRY_SECONDS = 0.5
 MAX_RETRY_SECONDS = 60.0
 RATE_WINDOW_SECONDS = 5.0
 # Cost that a slot completes in a second, assumed until the first completions are counted.
-PRIOR_RATE_PER_SLOT = 0.33
+PRIOR_COST_PER_SLOT_SECOND = 0.33
 
 
 @dataclass(frozen=True)
@@ -74,7 +74,7 @@
     cancelled: bool = False
 
 
-def shared_limit(
+def compute_limit_share(
     limit: int, own_demand: float, heard: Mapping[str, float], members: int, unheard: int
 ) -> int:
     """Return this process's part of a limit that all entry VMs share.
@@ -114,15 +114,15 @@
         """Take a new request in or raise `RequestError`."""
 
     @abstractmethod
-    def next_ready(self, now: float) -> Ticket | None:
+    def start_next(self, now: float) -> Ticket | None:
         """Return the next request that may start, None if there is none."""
 
     @abstractmethod
-    def expired(self, now: float) -> list[Ticket]:
+    def drop_expired(self, now: float) -> list[Ticket]:
         """Remove and return the waiting requests that can no longer start in time."""
 
     @abstractmethod
-    def finished(self, ticket: Ticket, now: float) -> None:
+    def release(self, ticket: Ticket, now: float) -> None:
         """Note that a request left, whether it ran or waited."""
 
     @abstractmethod
@@ -134,7 +134,7 @@
         """Return the seconds after which a refused caller should come back."""
 
 
-class _Rate:
+class _CompletionRate:
     """Completed cost per second, averaged over a few seconds."""
 
     def __init__(self):
@@ -163,7 +163,7 @@
         return self._value
 
 
-class _Base(AdmissionPolicy):
+class _BaseAdmission(AdmissionPolicy):
     """What both policies share: counts, the completion rate and the honest retry time."""
 
     def __init__(self, rng: random.Random, slots: float):
@@ -171,7 +171,7 @@
         self._slots = slots
         self._running = 0
         self._waiting_cost = 0.0
-        self._rate = _Rate()
+        self._rate = _CompletionRate()
         self._sequence = itertools.count()
 
     def set_capacity(self, slots: float) -> None:
@@ -185,7 +185,7 @@
 
     def expected_wait(self, cost_ahead: float) -> float:
         """Return the seconds until work worth `cost_ahead` has been started."""
-        rate = self._rate.get() or self._slots * PRIOR_RATE_PER_SLOT
+        rate = self._rate.get() or self._slots * PRIOR_COST_PER_SLOT_SECOND
         return cost_ahead / rate if cost_ahead > 0 and rate > 0 else 0.0
 
     def retry_after(self, now: float) -> float:
@@ -193,11 +193,11 @@
         wait = max(MIN_RETRY_SECONDS, self.expected_wait(self._waiting_cost))
         return min(MAX_RETRY_SECONDS, wait * (1.0 + self._rng.random()))
 
-    def _refuse(self, kind: ErrorKind, now: float, detail: str = "") -> RequestError:
+    def _reject(self, kind: ErrorKind, now: float, detail: str = "") -> RequestError:
         return RequestError(kind, detail, retry_after=self.retry_after(now))
 
 
-class FirstComeAdmission(_Base):
+class FirstComeAdmission(_BaseAdmission):
     """The naive version: one queue in order of arrival, no limit on its length."""
 
     def __init__(self, rng: random.Random, slots: float = 16):
@@ -209,7 +209,7 @@
         self._queue.append(ticket)
         self._waiting_cost += ticket.cost
 
-    def next_ready(self, now: float) -> Ticket | None:
+    def start_next(self, now: float) -> Ticket | None:
         """Return the oldest request if a slot is free."""
         if self._running >= self._slots or not self._queue:
             return None
@@ -219,11 +219,11 @@
         self._running += 1
         return ticket
 
-    def expired(self, now: float) -> list[Ticket]:
+    def drop_expired(self, now: float) -> list[Ticket]:
         """Return nothing: this policy lets requests wait past their time."""
         return []
 
-    def finished(self, ticket: Ticket, now: float) -> None:
+    def release(self, ticket: Ticket, now: float) -> None:
         """Free the slot."""
         if ticket.running:
             self._running -= 1
@@ -233,7 +233,7 @@
             self._waiting_cost -= ticket.cost
 
 
-class FairAdmission(_Base):
+class FairAdmission(_BaseAdmission):
     """Start-time fair queueing over workspaces, by class, with refusal at the door.
 
     Notes
@@ -257,30 +257,30 @@
         self._deadlines: list[tuple[float, int, Ticket]] = []
         self._virtual = 0.0
         self._last_finish: dict[str, float] = {}
-        self._held: dict[str, int] = {}
+        self._in_flight: dict[str, int] = {}
         self._waiting = 0
         self._waiting_by_workspace: dict[str, float] = {}
 
     def offer(self, ticket: Ticket, now: float) -> None:
         """Take the request in, or raise at once."""
         name = ticket.share.name
-        held = self._held.get(name, 0)
+        held = self._in_flight.get(name, 0)
         if held >= ticket.share.limit and not ticket.resumed:
             detail = f"workspace {name} has {held} requests here, its limit is {ticket.share.limit}"
-            raise self._refuse(ErrorKind.LIMIT_EXCEEDED, now, detail)
+            raise self._reject(ErrorKind.LIMIT_EXCEEDED, now, detail)
         if not ticket.resumed:
-            self._refuse_if_hopeless(ticket, now)
+            self._reject_if_too_late(ticket, now)
         self._push(ticket)
-        self._held[name] = held + 1
+        self._in_flight[name] = held + 1
 
-    def _refuse_if_hopeless(self, ticket: Ticket, now: float) -> None:
+    def _reject_if_too_late(self, ticket: Ticket, now: float) -> None:
         if self._running < self._slots and not self._waiting:
             return
         ahead = self._cost_ahead(ticket)
         if self._waiting >= self._max_waiting:
-            raise self._refuse(ErrorKind.OVERLOADED, now, "the queue is full")
+            raise self._reject(ErrorKind.OVERLOADED, now, "the queue is full")
         if now + self.expected_wait(ahead) > ticket.latest_start:
-            raise self._refuse(ErrorKind.OVERLOADED, now, "the queue is too long for the target")
+            raise self._reject(ErrorKind.OVERLOADED, now, "the queue is too long for the target")
 
     def _cost_ahead(self, ticket: Ticket) -> float:
         """Estimate the work that will start before this request, by fair shares."""
@@ -312,7 +312,7 @@
         else:
             self._waiting_by_workspace.pop(name, None)
 
-    def next_ready(self, now: float) -> Ticket | None:
+    def start_next(self, now: float) -> Ticket | None:
         """Return the request that comes next if a slot is free."""
         while self._heap and self._running < self._slots:
             _, ticket = heapq.heappop(self._heap)
@@ -325,17 +325,17 @@
             return ticket
         return None
 
-    def expired(self, now: float) -> list[Ticket]:
+    def drop_expired(self, now: float) -> list[Ticket]:
         """Remove and return the waiting requests that would miss their target."""
         late = []
         while self._deadlines and self._deadlines[0][0] < now:
             ticket = heapq.heappop(self._deadlines)[2]
             if not ticket.running and not ticket.cancelled:
                 late.append(ticket)
-                self.finished(ticket, now)
+                self.release(ticket, now)
         return late
 
-    def finished(self, ticket: Ticket, now: float) -> None:
+    def release(self, ticket: Ticket, now: float) -> None:
         """Free what the request held."""
         if ticket.cancelled:
             return
@@ -345,12 +345,12 @@
             self._rate.add(ticket.cost, now)
         else:
             self._count_waiting(ticket, -1)
-        left = self._held.get(ticket.share.name, 0) - 1
+        left = self._in_flight.get(ticket.share.name, 0) - 1
         if left > 0:
-            self._held[ticket.share.name] = left
+            self._in_flight[ticket.share.name] = left
         else:
-            self._held.pop(ticket.share.name, None)
+            self._in_flight.pop(ticket.share.name, None)
 
-    def held(self) -> Mapping[str, int]:
+    def get_in_flight(self) -> Mapping[str, int]:
         """Return the requests held here by workspace."""
-        return dict(self._held)
+        return dict(self._in_flight)
--- a/flamingofront/decisions/choice.py
+++ b/flamingofront/decisions/choice.py
@@ -23,7 +23,7 @@
     "LeastReportedChoice",
     "RoundRobinChoice",
     "WorkEstimate",
-    "usable",
+    "filter_usable",
 ]
 
 
@@ -37,11 +37,11 @@
         Cost per hour of its VM.
     slots : int
         Requests that it runs at the same time within the target.
-    own_in_flight : int
+    local_in_flight : int
         Attempts of this process that run there now.
     reported_load : float
         Requests in its last load report.
-    own_at_report : int
+    local_at_report : int
         Attempts of this process that ran there when the report was made.
     cached_tokens : int
         Prompt tokens that its prefix cache is believed to hold for this request.
@@ -51,7 +51,7 @@
         Expected reclaims per hour of its VM; 0 for on-demand VMs.
     slowness : float
         Observed time relative to the other endpoints of the service; 1 is usual.
-    own_share : float
+    local_share : float
         This process's part of all attempts on the service.
     report_weight : float
         Weight of the report against the extrapolation from own attempts, 0 to 1.
@@ -65,9 +65,9 @@
     side: str = ""
     price: float = 1.0
     slots: int = 16
-    own_in_flight: int = 0
+    local_in_flight: int = 0
     reported_load: float = 0.0
-    own_at_report: int = 0
+    local_at_report: int = 0
     cached_tokens: int = 0
     backlog_tokens: int = 0
     reclaim_risk: float = 0.0
@@ -75,12 +75,12 @@
     leaving: bool = False
     ejected: bool = False
     reachable: bool = True
-    own_share: float = 1.0
+    local_share: float = 1.0
     report_weight: float = 1.0
     closed: bool = False
 
     @property
-    def barred(self) -> bool:
+    def is_unavailable(self) -> bool:
         """True if it must not get new work, whatever else is left."""
         return self.leaving or self.closed
 
@@ -95,10 +95,10 @@
         all attempts it estimates the whole, the better the more there is of it.
         """
         reported = max(
-            float(self.own_in_flight),
-            self.reported_load + self.own_in_flight - self.own_at_report,
+            float(self.local_in_flight),
+            self.reported_load + self.local_in_flight - self.local_at_report,
         )
-        extrapolated = self.own_in_flight / self.own_share
+        extrapolated = self.local_in_flight / self.local_share
         return self.report_weight * reported + (1.0 - self.report_weight) * extrapolated
 
 
@@ -126,12 +126,12 @@
     rates: EngineRates = EngineRates()
 
 
-def report_weight(own_in_flight: int, endpoints: int) -> float:
+def report_weight(local_in_flight: int, endpoints: int) -> float:
     """Return the weight of load reports, from 0 up to 1.
 
     Parameters
     ----------
-    own_in_flight : int
+    local_in_flight : int
         Attempts of this process on all endpoints of the service.
     endpoints : int
         Number of those endpoints.
@@ -141,11 +141,11 @@
     With a few own attempts on each endpoint they tell more than a late report; with hardly any
     (many entry VMs before many endpoints) the report is all there is.
     """
-    mean = own_in_flight / max(1, endpoints)
+    mean = local_in_flight / max(1, endpoints)
     return 1.0 / (1.0 + mean) ** 2
 
 
-def usable(
+def filter_usable(
     candidates: Iterable[Candidate], side: str | None, exclude: frozenset[str]
 ) -> Iterator[Candidate]:
     """Pass on the candidates that may get new work.
@@ -156,7 +156,7 @@
     ejected, passes only through `relaxed` in the caller when nothing else is left.
     """
     for each in candidates:
-        if each.barred or not each.reachable:
+        if each.is_unavailable or not each.reachable:
             continue
         if side is not None and each.side != side:
             continue
@@ -207,30 +207,30 @@
 
     Parameters
     ----------
-    prefill_rate : float
+    prefill_tokens_per_second : float
         Prompt tokens a second that an idle endpoint reads.
-    idle_pace : float
+    idle_interval_ratio : float
         Time between tokens on an idle endpoint, relative to the target that it just keeps when all
         its slots are taken.
-    late_price : float
+    late_cost : float
         Cost of a second beyond the target, in price units per hour.
-    waste_price : float
+    waste_cost : float
         Cost of a recomputed token relative to a prompt token.
     remote_zone_seconds : float
         Latency added by leaving the zone.
     full_factor : float
         Load, relative to `slots`, above which an endpoint gets no more work.
-    strain_from : float
+    strain_threshold : float
         Expected time between tokens, relative to the target, from which on it costs.
     """
 
-    prefill_rate: float = 4000.0
-    idle_pace: float = 0.45
-    late_price: float = 40.0
-    waste_price: float = 2.0
+    prefill_tokens_per_second: float = 4000.0
+    idle_interval_ratio: float = 0.45
+    late_cost: float = 40.0
+    waste_cost: float = 2.0
     remote_zone_seconds: float = 0.002
     full_factor: float = 1.0
-    strain_from: float = 0.6
+    strain_threshold: float = 0.6
 
 
 class CostChoice(ChoicePolicy):
@@ -273,26 +273,26 @@
         """Return the expected cost of the request on one endpoint, in price units times hours."""
         weights = self._weights
         filled = each.load / each.slots
-        pace = weights.idle_pace + (1.0 - weights.idle_pace) * filled
+        pace = weights.idle_interval_ratio + (1.0 - weights.idle_interval_ratio) * filled
         new_tokens = max(0, work.prompt_tokens - each.cached_tokens)
-        first = new_tokens / weights.prefill_rate * (1.0 + filled) * each.slowness
+        first = new_tokens / weights.prefill_tokens_per_second * (1.0 + filled) * each.slowness
         first += weights.remote_zone_seconds if each.zone != work.zone else 0.0
         between = work.token_target * pace * each.slowness
         duration = first + between * work.output_tokens
         late = max(0.0, first - work.first_token_target)
         # Reports are late and other processes choose too, so the penalty begins below the target.
-        strain = max(0.0, between / work.token_target - weights.strain_from)
+        strain = max(0.0, between / work.token_target - weights.strain_threshold)
         late += strain * strain * between * work.output_tokens
         machine = each.price * duration / each.slots
         lost = each.reclaim_risk * duration / 3600.0
-        waste = lost * (new_tokens + work.output_tokens) / weights.prefill_rate
-        return (machine + late * weights.late_price + waste * weights.waste_price) / 3600.0
+        waste = lost * (new_tokens + work.output_tokens) / weights.prefill_tokens_per_second
+        return (machine + late * weights.late_cost + waste * weights.waste_cost) / 3600.0
 
 
 # Latency added by leaving the zone, in seconds; zones are up to 1.4 ms apart, one way.
 REMOTE_ZONE_SECONDS = 0.003
 # Part by which the other requests of a full plain endpoint lengthen a call.
-FULL_STRAIN = 0.33
+FULL_LOAD_SLOWDOWN = 0.33
 
 
 class BacklogChoice(ChoicePolicy):
@@ -308,14 +308,16 @@
     ) -> Candidate | None:
         """Return the endpoint with the smallest expected delay, None if all are full."""
         free = [each for each in candidates if each.load < each.slots]
-        return min(free, key=lambda each: (self.delay(each, work), rng.random()), default=None)
+        return min(
+            free, key=lambda each: (self.estimate_delay(each, work), rng.random()), default=None
+        )
 
-    def delay(self, each: Candidate, work: WorkEstimate) -> float:
+    def estimate_delay(self, each: Candidate, work: WorkEstimate) -> float:
         """Return the expected delay in seconds."""
         rates = work.rates
         new_tokens = max(0, work.prompt_tokens - each.cached_tokens)
         reading = (each.backlog_tokens + new_tokens) * rates.token_seconds
-        crowd = rates.crowd_seconds * each.load
-        strain = FULL_STRAIN * rates.base_seconds * each.load / each.slots
+        crowd = rates.crowding_seconds * each.load
+        strain = FULL_LOAD_SLOWDOWN * rates.base_seconds * each.load / each.slots
         way = REMOTE_ZONE_SECONDS if each.zone != work.zone else 0.0
         return (reading + crowd + strain) * each.slowness + way
--- a/flamingofront/decisions/demand.py
+++ b/flamingofront/decisions/demand.py
@@ -9,24 +9,24 @@
 import math
 from dataclasses import dataclass
 
-__all__ = ["Demand", "Work", "WorkMeter"]
+__all__ = ["Demand", "OfferedLoad", "LoadMeter"]
 
 # Time constants of the two means. A clump lasts one to three seconds; a wave 40.
 FAST_SECONDS = 2.0
 SLOW_SECONDS = 8.0
 # Least time that counts as observed: longer than a clump of requests at one process takes to begin.
-LEAST_SEEN_SECONDS = 1.5
+MIN_OBSERVED_SECONDS = 1.5
 
 
 @dataclass(frozen=True)
-class Work:
+class OfferedLoad:
     """Offered work in busy endpoints: seconds of one endpoint that a second of requests takes."""
 
     fast: float = 0.0
     slow: float = 0.0
 
-    def __add__(self, other: "Work") -> "Work":
-        return Work(self.fast + other.fast, self.slow + other.slow)
+    def __add__(self, other: "OfferedLoad") -> "OfferedLoad":
+        return OfferedLoad(self.fast + other.fast, self.slow + other.slow)
 
 
 @dataclass(frozen=True)
@@ -45,11 +45,11 @@
 
     in_flight: float
     slots: int
-    work: Work = Work()
+    work: OfferedLoad = OfferedLoad()
     known: bool = True
 
 
-class _DecayingRate:
+class _DecayingMean:
     """Sum over an exponential window, as a rate; unbiased also before the window is full."""
 
     def __init__(self, seconds: float, now: float):
@@ -70,32 +70,33 @@
 
         Notes
         -----
-        A window of a tenth of a second or so says nothing: no less than `LEAST_SEEN_SECONDS` count
+        A window of a tenth of a second says nothing: no less than `MIN_OBSERVED_SECONDS` count
         as seen. With half of the window counted from the start, the slow mean told half of the work
         for its first three seconds.
         """
-        seen = 1.0 - self._decay(max(now - self._began, LEAST_SEEN_SECONDS))
+        seen = 1.0 - self._decay(max(now - self._began, MIN_OBSERVED_SECONDS))
         return self._sum * self._decay(now - self._updated) / (self._seconds * seen)
 
 
-class WorkMeter:
+class LoadMeter:
     """Work that this process places, by service."""
 
     def __init__(self):
-        self._rates: dict[str, tuple[_DecayingRate, _DecayingRate]] = {}
+        self._rates: dict[str, tuple[_DecayingMean, _DecayingMean]] = {}
 
     def add(self, service: str, seconds: float, now: float) -> None:
         """Count the work of one request, in seconds of one endpoint."""
         if service not in self._rates:
             self._rates[service] = (
-                _DecayingRate(FAST_SECONDS, now),
-                _DecayingRate(SLOW_SECONDS, now),
+                _DecayingMean(FAST_SECONDS, now),
+                _DecayingMean(SLOW_SECONDS, now),
             )
         for rate in self._rates[service]:
             rate.add(seconds, now)
 
-    def work(self, now: float) -> dict[str, Work]:
+    def get_loads(self, now: float) -> dict[str, OfferedLoad]:
         """Return the work by service."""
         return {
-            name: Work(fast.get(now), slow.get(now)) for name, (fast, slow) in self._rates.items()
+            name: OfferedLoad(fast.get(now), slow.get(now))
+            for name, (fast, slow) in self._rates.items()
         }
--- a/flamingofront/decisions/engine_rates.py
+++ b/flamingofront/decisions/engine_rates.py
@@ -4,7 +4,7 @@
 has tuned, and which change within a day when other endpoints take over. Observed are the time to
 the first event against the prompt tokens ahead of it, and the pause between events. Limits: an
 observation counts at most `MAX_DEVIATIONS` times the usual deviation, so that one endpoint that
-lies, stalls or dies moves an estimate little, and old ones are forgotten at `FORGET` a step, so
+lies, stalls or dies moves an estimate little, and old ones decay by `OBSERVATION_DECAY` a step, so
 that a change shows within some 50 answers.
 """
 
@@ -14,11 +14,11 @@
 
 # Weight that an observation keeps at each later one: half is gone after 34. A process sees five to
 # ten streams a second.
-FORGET = 0.98
+OBSERVATION_DECAY = 0.98
 # Observations that the prior counts for, and the weight that it keeps at each observation: five
 # answers outweigh it, after 30 a hundredth is left.
 PRIOR_WEIGHT = 5.0
-FORGET_PRIOR = 0.85
+PRIOR_DECAY = 0.85
 # An observation is moved to so many usual deviations from the estimate, if it is farther away.
 MAX_DEVIATIONS = 3.0
 # Part by which the usual deviation moves to a new one, itself counted as at most twice the limit: a
@@ -26,15 +26,15 @@
 DEVIATION_GAIN = 0.1
 # The usual deviation is at least this part of the estimate: clean answers must not make the next
 # change of the endpoints look like an error.
-LEAST_DEVIATION = 0.1
+MIN_DEVIATION_FRACTION = 0.1
 # Part by which one more running request lengthens a pause between events: the sheets of two engines
 # say 0.7 in 100 for a step. Fitted to the pauses seen it came out between nothing and a quarter,
 # since other prompts that are read in between lengthen them far more.
-CROWD_PART = 0.01
+CROWDING_FRACTION = 0.01
 # Least seconds for each unit: an estimate must stay positive for what divides by it.
-LEAST_SLOPE = 1e-7
+MIN_SLOPE_SECONDS = 1e-7
 # Spread of the arguments, relative to their squares, below which no slope can be told.
-LEAST_SPREAD = 1e-6
+MIN_RELATIVE_SPREAD = 1e-6
 
 
 @dataclass(frozen=True)
@@ -61,16 +61,16 @@
     events: float = 30.0
     is_learned: bool = False
 
-    def first_event(self, tokens: float) -> float:
+    def first_event_seconds(self, tokens: float) -> float:
         """Return the seconds until the first event with so many prompt tokens to read."""
         return self.base_seconds + self.token_seconds * tokens
 
     @property
-    def crowd_seconds(self) -> float:
+    def crowding_seconds(self) -> float:
         """Seconds by which one more running request lengthens a stream."""
-        return CROWD_PART * self.pause_seconds * self.events
+        return CROWDING_FRACTION * self.pause_seconds * self.events
 
-    def work(self, tokens: float) -> float:
+    def endpoint_seconds(self, tokens: float) -> float:
         """Return the seconds of one endpoint that a request takes.
 
         Notes
@@ -78,7 +78,7 @@
         Its prompt's reading, and what it adds to the steps of all that run. The steps themselves go
         on whoever runs.
         """
-        return self.token_seconds * tokens + self.crowd_seconds
+        return self.token_seconds * tokens + self.crowding_seconds
 
 
 class _Sums:
@@ -133,20 +133,20 @@
         """Take an observation in."""
         expected = self.at(x)
         residual = y - expected
-        limit = MAX_DEVIATIONS * max(self._deviation, LEAST_DEVIATION * expected)
+        limit = MAX_DEVIATIONS * max(self._deviation, MIN_DEVIATION_FRACTION * expected)
         bounded = max(-limit, min(limit, residual))
         surprise = min(abs(residual), 2 * limit)
         self._deviation += DEVIATION_GAIN * (surprise - self._deviation)
-        self._seen.scale(FORGET)
-        self._prior.scale(FORGET_PRIOR)
+        self._seen.scale(OBSERVATION_DECAY)
+        self._prior.scale(PRIOR_DECAY)
         self._seen.add(x, expected + bounded, 1.0)
         self.count += 1
         self._fit(self._seen.plus(self._prior))
 
     def _fit(self, sums: _Sums) -> None:
         spread = sums.weight * sums.xx - sums.x * sums.x
-        if spread > LEAST_SPREAD * sums.weight * sums.xx:
-            self.slope = max(LEAST_SLOPE, (sums.weight * sums.xy - sums.x * sums.y) / spread)
+        if spread > MIN_RELATIVE_SPREAD * sums.weight * sums.xx:
+            self.slope = max(MIN_SLOPE_SECONDS, (sums.weight * sums.xy - sums.x * sums.y) / spread)
         self.offset = max(0.0, (sums.y - self.slope * sums.x) / sums.weight)
 
     def at(self, x: float) -> float:
@@ -178,29 +178,29 @@
         self._events = self._prior.events
 
     @property
-    def answers(self) -> int:
+    def response_count(self) -> int:
         """Number of answers that the time to the first event was learned from."""
         return self._reading.count
 
-    def first_event(self, tokens: float, seconds: float) -> None:
+    def record_first_event(self, tokens: float, seconds: float) -> None:
         """Take the time to a first event, with the prompt tokens that were ahead of it."""
         self._reading.observe(tokens, seconds)
 
-    def pause(self, seconds: float) -> None:
+    def record_pause(self, seconds: float) -> None:
         """Take the pause before an event; a stall counts as `MAX_DEVIATIONS` usual pauses."""
         bounded = min(seconds, MAX_DEVIATIONS * self._pause)
         self._pause += self.PAUSE_GAIN * (bounded - self._pause)
 
-    def call(self, seconds: float) -> None:
+    def record_call(self, seconds: float) -> None:
         """Take the time of a call that has no prompt and no events."""
         self._reading.observe(0.0, seconds)
         self._events = 0.0
 
-    def ended(self, events: int) -> None:
+    def record_event_count(self, events: int) -> None:
         """Take the number of events of a stream that has ended."""
         self._events += self.EVENTS_GAIN * (events - self._events)
 
-    def now(self) -> EngineRates:
+    def estimate(self) -> EngineRates:
         """Return the estimates."""
         return EngineRates(
             token_seconds=self._reading.slope,
@@ -217,13 +217,13 @@
     def __init__(self):
         self._services: dict[str, ServiceRates] = {}
 
-    def of(self, service: str) -> ServiceRates:
+    def for_service(self, service: str) -> ServiceRates:
         """Return the estimates of a service."""
         found = self._services.get(service)
         if found is None:
             found = self._services[service] = ServiceRates()
         return found
 
-    def known(self) -> tuple[tuple[str, ServiceRates], ...]:
+    def list_services(self) -> tuple[tuple[str, ServiceRates], ...]:
         """Return the services of which there are estimates, with these."""
         return tuple(self._services.items())
--- a/flamingofront/decisions/fleet_plan.py
+++ b/flamingofront/decisions/fleet_plan.py
@@ -21,10 +21,10 @@
 
 @dataclass(frozen=True)
 class FleetCounts:
-    """Wanted endpoints of one service by zone; `reclaimable` and `firm` ones are ordered apart."""
+    """Wanted endpoints of one service by zone, ordered apart by kind."""
 
     reclaimable: Counts
-    firm: Counts
+    on_demand: Counts
 
 
 @dataclass(frozen=True)
@@ -42,8 +42,8 @@
     """
 
     reclaimable: Counts = field(default_factory=dict)
-    firm: Counts = field(default_factory=dict)
-    dry: frozenset[str] = frozenset()
+    on_demand: Counts = field(default_factory=dict)
+    exhausted_zones: frozenset[str] = frozenset()
     found: Counts = field(default_factory=dict)
 
 
@@ -70,7 +70,7 @@
     """
 
     lasting: int
-    firm: int
+    on_demand: int
     surviving: int
 
 
@@ -89,16 +89,16 @@
         at a clump grows with the root of the load [1]_. One and a half busy endpoints are given
         six, sixteen are given thirty: four for each busy one, whatever their number, cost 0.02 more
         of the worth of a calm day of 89 VMs.
-    firm_spare : float
+    on_demand_spare : float
         The same for firm endpoints, which cost several times as much.
     survivor_utilization : float
         Part of the time for which endpoints may be busy in the seconds in which replacements start.
         At 0.95 of sixteen, 46 in 100 requests of four seconds were late.
-    slot_use : float
+    slot_utilization : float
         Part of the slots that may be taken.
-    first_each : int
+    initial_per_zone : int
         Least endpoints in each zone while the demand is not yet known.
-    first_part : float
+    initial_fraction : float
         Part of the endpoints that were found in a zone that are kept until then: what somebody set
         up is the only word on the demand. With half of 90 endpoints kept, 25 in 100 requests of the
         first six seconds were late.
@@ -110,19 +110,21 @@
     """
 
     spare: float = 3.6
-    firm_spare: float = 1.0
+    on_demand_spare: float = 1.0
     survivor_utilization: float = 0.75
-    slot_use: float = 0.6
-    first_each: int = 2
-    first_part: float = 2 / 3
+    slot_utilization: float = 0.6
+    initial_per_zone: int = 2
+    initial_fraction: float = 2 / 3
 
     def plan(self, limits: ScalingLimits, demand: Demand, state: FleetState) -> FleetCounts:
         """Return the wanted endpoints, cheapest zones first."""
         zones = sorted(limits.zone_prices, key=lambda zone: (limits.zone_prices[zone], zone))
         need = self._need(demand)
-        least = {zone: self._least(limits, demand, state.found.get(zone, 0)) for zone in zones}
+        least = {
+            zone: self._get_minimum(limits, demand, state.found.get(zone, 0)) for zone in zones
+        }
         plans = (
-            self._with_firm(reclaimable, zones, limits, need, state)
+            self._add_on_demand(reclaimable, zones, limits, need, state)
             for reclaimable in self._reclaimable_counts(zones, limits, least, state)
         )
         return min(plans, key=lambda plan: self._rank(plan, limits, need, state))
@@ -130,19 +132,21 @@
     def _need(self, demand: Demand) -> _Need:
         peak = max(demand.work.fast, demand.work.slow)
         full = demand.in_flight / demand.slots
-        firm = _count(_staffed(peak, self.firm_spare), full / self.slot_use)
+        on_demand = _round_up(_with_spare(peak, self.on_demand_spare), full / self.slot_utilization)
         return _Need(
-            lasting=max(firm, _count(_staffed(demand.work.slow, self.spare))),
-            firm=firm,
-            surviving=_count(peak / self.survivor_utilization, full),
+            lasting=max(on_demand, _round_up(_with_spare(demand.work.slow, self.spare))),
+            on_demand=on_demand,
+            surviving=_round_up(peak / self.survivor_utilization, full),
         )
 
-    def _least(self, limits: ScalingLimits, demand: Demand, found: int) -> int:
+    def _get_minimum(self, limits: ScalingLimits, demand: Demand, found: int) -> int:
         """Return the least endpoints of a zone."""
         least = max(1, limits.least)
         if demand.known:
             return least
-        return min(limits.most, max(least, self.first_each, math.ceil(found * self.first_part)))
+        return min(
+            limits.most, max(least, self.initial_per_zone, math.ceil(found * self.initial_fraction))
+        )
 
     @staticmethod
     def _reclaimable_counts(
@@ -150,18 +154,18 @@
     ) -> Iterator[dict[str, int]]:
         """Yield ever more reclaimable endpoints, spread evenly; dry zones keep what they have."""
         counts = {
-            zone: state.reclaimable.get(zone, 0) if zone in state.dry else least[zone]
+            zone: state.reclaimable.get(zone, 0) if zone in state.exhausted_zones else least[zone]
             for zone in zones
         }
         yield dict(counts)
-        open_zones = [zone for zone in zones if zone not in state.dry]
+        open_zones = [zone for zone in zones if zone not in state.exhausted_zones]
         while any(counts[zone] < limits.most for zone in open_zones):
             fewest = min(open_zones, key=lambda zone: (counts[zone], zones.index(zone)))
             counts[fewest] += 1
             yield dict(counts)
 
     @classmethod
-    def _with_firm(
+    def _add_on_demand(
         cls,
         reclaimable: dict[str, int],
         zones: list[str],
@@ -176,17 +180,17 @@
         A zone without reclaimable endpoints keeps the least number of firm ones in any case: the
         platform starts them where nobody orders them, and then later.
         """
-        firm = {zone: max(0, limits.least - reclaimable[zone]) for zone in zones}
-        missing = cls._missing(reclaimable, need, state) - sum(firm.values())
+        on_demand = {zone: max(0, limits.least - reclaimable[zone]) for zone in zones}
+        missing = cls._count_missing(reclaimable, need, state) - sum(on_demand.values())
         for zone in zones:
-            room = limits.most - reclaimable[zone] - firm[zone]
+            room = limits.most - reclaimable[zone] - on_demand[zone]
             more = max(0, min(missing, room))
-            firm[zone] += more
+            on_demand[zone] += more
             missing -= more
-        return FleetCounts(reclaimable, firm)
+        return FleetCounts(reclaimable, on_demand)
 
     @staticmethod
-    def _missing(reclaimable: Counts, need: _Need, state: FleetState) -> int:
+    def _count_missing(reclaimable: Counts, need: _Need, state: FleetState) -> int:
         """Return the firm endpoints that the reclaimable ones leave to be wished for.
 
         Notes
@@ -196,9 +200,9 @@
         """
         total = sum(reclaimable.values())
         survivors = total - max(reclaimable.values())
-        lasting = need.firm if state.dry else need.lasting
+        lasting = need.on_demand if state.exhausted_zones else need.lasting
         serving = sum(min(each, reclaimable[zone]) for zone, each in state.reclaimable.items())
-        uncovered = min(sum(state.firm.values()), need.firm - serving)
+        uncovered = min(sum(state.on_demand.values()), need.on_demand - serving)
         return max(0, lasting - total, need.surviving - survivors, uncovered)
 
     @classmethod
@@ -206,20 +210,20 @@
         cls, plan: FleetCounts, limits: ScalingLimits, need: _Need, state: FleetState
     ) -> tuple[int, float]:
         """Return the endpoints that a plan lacks, then its price; the least is best."""
-        missing = cls._missing(plan.reclaimable, need, state)
-        lacking = max(0, missing - sum(plan.firm.values()))
+        missing = cls._count_missing(plan.reclaimable, need, state)
+        lacking = max(0, missing - sum(plan.on_demand.values()))
         price = sum(
             limits.zone_prices[zone] * (limits.reclaimable_price * plan.reclaimable[zone] + count)
-            for zone, count in plan.firm.items()
+            for zone, count in plan.on_demand.items()
         )
         return lacking, price
 
 
-def _count(*endpoints: float) -> int:
+def _round_up(*endpoints: float) -> int:
     """Return the endpoints that all of some needs ask for, at least one."""
     return max(1, *(math.ceil(each) for each in endpoints))
 
 
-def _staffed(work: float, spare: float) -> float:
+def _with_spare(work: float, spare: float) -> float:
     """Return the endpoints for some busy ones, with spare ones by the square root of these."""
     return work + spare * math.sqrt(work)
--- a/flamingofront/decisions/quota.py
+++ b/flamingofront/decisions/quota.py
@@ -21,53 +21,53 @@
 from abc import ABC, abstractmethod
 from collections.abc import Callable, Iterable, Mapping
 
-from flamingofront.decisions.quota_facts import QuotaRule, QuotaRules, QuotaState
+from flamingofront.decisions.quota_facts import QuotaLimits, QuotaRejectReason, QuotaState
 from flamingofront.decisions.quota_ledger import (
+    BIN_SECONDS,
     MIN_RETRY_SECONDS,
-    STEP_SECONDS,
-    AllowedAhead,
-    Bucket,
-    OwnPart,
-    TakenUnits,
+    ConsumedUnits,
+    LocalShare,
+    OutstandingGrants,
+    TokenBucket,
 )
 from flamingofront.version.forwarding import ForwardedWorkspace
 
-__all__ = ["QuotaPolicy", "QuotaRules", "QuotaState", "SharedQuota", "UnlimitedQuota"]
+__all__ = ["QuotaPolicy", "QuotaLimits", "QuotaState", "SharedQuota", "UnlimitedQuota"]
 
 # Part of the allowance by which a quota may be exceeded that is given to callers, so that clumps of
 # requests within the quota are not refused. The rest covers large requests and late word around a
 # restart of all processes at once, who then know nothing of what was taken.
-USED_ALLOWANCE = 0.3
+USED_ALLOWANCE_FRACTION = 0.3
 # Span over which the present rate of a workspace is taken, in seconds: four reports.
 RATE_SECONDS = 1.0
 # Part of a request that the bucket must hold for it to pass; the rest is taken as debt. Smaller:
 # more large requests pass, and more small ones wait for their debt to be paid.
-HELD_PART = 0.25
+MIN_BUCKET_FRACTION = 0.25
 # Part of a full bucket that a new process begins with, times the part of the processes that it
 # hears. When all restart at once, what they took before is in the same window: with a quarter, a
 # tenth over the quota covers bursts of up to five seconds of the rate, with a half of two seconds.
-FIRST_LEVEL = 0.25
+INITIAL_LEVEL_FRACTION = 0.25
 # Part of a full bucket that an arbiter begins with once it decides alone.
-SETTLED_LEVEL = 0.1
+ARBITER_LEVEL_FRACTION = 0.1
 # The age of word is a mean: some of it is older by half.
-UNHEARD_PART = 1.5
+MAX_LAG_FACTOR = 1.5
 # A process that hears nobody takes itself for no less than this part of all.
-LEAST_SHARE = 0.001
+MIN_LIVE_SHARE = 0.001
 # Units in the busiest second, in parts of the rate, from which on a workspace sends too much.
-PRESSING_RATE = 2.0
+SURGE_RATE_FACTOR = 2.0
 # Part of the reserve (what the window allows beyond rate and burst) that all may take beyond the
 # bucket while a workspace sends too much.
-PRESSING_PART = 0.2
+SURGE_RESERVE_FRACTION = 0.2
 # What may be taken at the start of a process, in parts of the reserve: it does not know what was
 # taken before, which is in the same window.
-FIRST_PART = 2.0
+INITIAL_RESERVE_FACTOR = 2.0
 # Processes that may decide for all at the same time, while the choice of one changes.
-ARBITERS_OF_ONE_SIDE = 2
+CONCURRENT_ARBITERS = 2
 # The part of one side of a partition is not renewed for so long, in seconds: by then the sides have
 # found out that they do not hear each other.
-UNSETTLED_SECONDS = 2.0
+PARTITION_DETECTION_SECONDS = 2.0
 # Time after which the silence of a process is noticed, in seconds.
-NOTICED_SECONDS = 1.6
+SILENCE_DETECTION_SECONDS = 1.6
 # How fast a peak of what was taken fades: a workspace sends too much for about so long.
 PEAK_HALF_LIFE_SECONDS = 8.0
 
@@ -76,15 +76,15 @@
     """Decides whether a workspace may send another request now."""
 
     @abstractmethod
-    def wait(self, workspace: ForwardedWorkspace, units: float, now: float) -> float:
+    def get_wait(self, workspace: ForwardedWorkspace, units: float, now: float) -> float:
         """Return 0 if the request is within the quota, else the seconds until it would be."""
 
     @abstractmethod
-    def state(self, workspace: ForwardedWorkspace, now: float) -> QuotaState:
+    def get_state(self, workspace: ForwardedWorkspace, now: float) -> QuotaState:
         """Return what decides on the workspace's requests now."""
 
     @abstractmethod
-    def spend(self, workspace: ForwardedWorkspace, units: float, now: float) -> None:
+    def consume(self, workspace: ForwardedWorkspace, units: float, now: float) -> None:
         """Take an accepted request out of the quota."""
 
     @abstractmethod
@@ -95,15 +95,15 @@
 class UnlimitedQuota(QuotaPolicy):
     """No quota at all; for tests and measurements."""
 
-    def wait(self, workspace: ForwardedWorkspace, units: float, now: float) -> float:
+    def get_wait(self, workspace: ForwardedWorkspace, units: float, now: float) -> float:
         """Return 0."""
         return 0.0
 
-    def state(self, workspace: ForwardedWorkspace, now: float) -> QuotaState:
+    def get_state(self, workspace: ForwardedWorkspace, now: float) -> QuotaState:
         """Return a state without limits."""
         return QuotaState(bucket=math.inf, limit=math.inf)
 
-    def spend(self, workspace: ForwardedWorkspace, units: float, now: float) -> None:
+    def consume(self, workspace: ForwardedWorkspace, units: float, now: float) -> None:
         """Do nothing."""
 
     def refund(self, workspace: ForwardedWorkspace, units: float, now: float) -> None:
@@ -126,52 +126,56 @@
     def __init__(
         self,
         heard_share: Callable[[], float],
-        rules: QuotaRules | None = None,
+        rules: QuotaLimits | None = None,
         lag: Callable[[], float] = lambda: 0.0,
         rng: random.Random | None = None,
         members: Callable[[], int] | None = None,
     ):
         self._rng = rng or random.Random()
-        self._members = members or self._members_heard
-        self._tellers: set[str] = set()
-        self._begun_at: dict[str, float] = {}
-        self._ahead: dict[str, AllowedAhead] = {}
-        self._own_parts: dict[str, OwnPart] = {}
-        self._heard_share = heard_share
-        self._rules = rules or QuotaRules()
+        self._members = members or self._estimate_members
+        self._peers_reporting: set[str] = set()
+        self._started_at: dict[str, float] = {}
+        self._grants: dict[str, OutstandingGrants] = {}
+        self._local_shares: dict[str, LocalShare] = {}
+        self._live_share = heard_share
+        self._rules = rules or QuotaLimits()
         self._lag = lag
-        self._extra = self._rules.allowance * USED_ALLOWANCE
-        self._taken: dict[str, TakenUnits] = {}
-        self._buckets: dict[str, Bucket] = {}
-        self._spent: dict[str, float] = {}
-        self._heard: dict[tuple[str, str], float] = {}
+        self._extra = self._rules.allowance * USED_ALLOWANCE_FRACTION
+        self._consumed: dict[str, ConsumedUnits] = {}
+        self._buckets: dict[str, TokenBucket] = {}
+        self._local_totals: dict[str, float] = {}
+        self._remote_totals: dict[tuple[str, str], float] = {}
         self._peaks: dict[str, tuple[float, float]] = {}
-        self._decided_by: dict[str, QuotaRule] = {}
+        self._reject_reasons: dict[str, QuotaRejectReason] = {}
 
-    def _refuse(self, workspace: ForwardedWorkspace, rule: QuotaRule, seconds: float) -> float:
+    def _reject(
+        self, workspace: ForwardedWorkspace, rule: QuotaRejectReason, seconds: float
+    ) -> float:
         """Note what a request is refused for, and return the seconds until it may pass."""
-        self._decided_by[workspace.name] = rule
+        self._reject_reasons[workspace.name] = rule
         return max(MIN_RETRY_SECONDS, seconds)
 
-    def _members_heard(self) -> int:
-        return math.ceil((1 + len(self._tellers)) / max(self._heard_share(), LEAST_SHARE))
+    def _estimate_members(self) -> int:
+        return math.ceil((1 + len(self._peers_reporting)) / max(self._live_share(), MIN_LIVE_SHARE))
 
-    def spent(self) -> dict[str, float]:
+    def get_consumed(self) -> dict[str, float]:
         """Return what this process has taken out in all, by workspace, to tell the others."""
-        return dict(self._spent)
+        return dict(self._local_totals)
 
-    def _bucket(self, workspace: ForwardedWorkspace, now: float) -> Bucket:
-        share = self._heard_share()
+    def _update_bucket(self, workspace: ForwardedWorkspace, now: float) -> TokenBucket:
+        share = self._live_share()
         bucket = self._buckets.get(workspace.name)
         if bucket is None:
-            level = workspace.burst * share * FIRST_LEVEL
-            bucket = self._buckets[workspace.name] = Bucket(level, share, now)
-        self._charge_for_silent(workspace.name, bucket, share, now)
+            level = workspace.burst * share * INITIAL_LEVEL_FRACTION
+            bucket = self._buckets[workspace.name] = TokenBucket(level, share, now)
+        self._charge_silent_share(workspace.name, bucket, share, now)
         # Out of hearing each side keeps its part of the burst too.
         bucket.fill(workspace.rate * share, (workspace.burst + self._extra) * share, now)
         return bucket
 
-    def _charge_for_silent(self, name: str, bucket: Bucket, share: float, now: float) -> None:
+    def _charge_silent_share(
+        self, name: str, bucket: TokenBucket, share: float, now: float
+    ) -> None:
         """Take out what was taken here of the parts of processes that are not heard any more.
 
         Notes
@@ -180,10 +184,12 @@
         """
         silent = bucket.share - share
         bucket.share = share
-        if silent > 0 and name in self._taken:
-            bucket.level -= silent * self._taken[name].since(now - NOTICED_SECONDS)
+        if silent > 0 and name in self._consumed:
+            bucket.level -= silent * self._consumed[name].since(now - SILENCE_DETECTION_SECONDS)
 
-    def wait_as_newcomer(self, workspace: ForwardedWorkspace, units: float, now: float) -> float:
+    def get_wait_as_newcomer(
+        self, workspace: ForwardedWorkspace, units: float, now: float
+    ) -> float:
         """Return the seconds until a request may pass, if others know what was taken before.
 
         Notes
@@ -192,15 +198,15 @@
         """
         if workspace.rate <= 0:
             return 0.0
-        if lacking := self._wait_for_bucket(workspace, units, now):
+        if lacking := self._get_bucket_wait(workspace, units, now):
             return lacking
-        age = now - self._begun_at.get(workspace.name, now)
-        part = (FIRST_LEVEL * workspace.burst + workspace.rate * age) / self._members()
-        since = now - self._rules.window
-        is_within = self._is_within_part(workspace.name, units, part, since, now)
-        return 0.0 if is_within else self._refuse(workspace, QuotaRule.PART, self._lag())
+        age = now - self._started_at.get(workspace.name, now)
+        part = (INITIAL_LEVEL_FRACTION * workspace.burst + workspace.rate * age) / self._members()
+        since = now - self._rules.window_seconds
+        is_within = self._fits_local_share(workspace.name, units, part, since, now)
+        return 0.0 if is_within else self._reject(workspace, QuotaRejectReason.SHARE, self._lag())
 
-    def wait(self, workspace: ForwardedWorkspace, units: float, now: float) -> float:
+    def get_wait(self, workspace: ForwardedWorkspace, units: float, now: float) -> float:
         """Return 0 if the bucket holds a part of the request, else the seconds until it will.
 
         Notes
@@ -212,40 +218,43 @@
         """
         if workspace.rate <= 0:
             return 0.0
-        lacking = self._wait_for_bucket(workspace, units, now)
-        return lacking or self._wait_for_window(workspace, units, self._members(), now)
+        lacking = self._get_bucket_wait(workspace, units, now)
+        return lacking or self._get_window_wait(workspace, units, self._members(), now)
 
-    def _wait_for_bucket(self, workspace: ForwardedWorkspace, units: float, now: float) -> float:
-        lacking = HELD_PART * min(units, workspace.burst) - self._bucket(workspace, now).level
+    def _get_bucket_wait(self, workspace: ForwardedWorkspace, units: float, now: float) -> float:
+        lacking = (
+            MIN_BUCKET_FRACTION * min(units, workspace.burst)
+            - self._update_bucket(workspace, now).level
+        )
         if lacking <= 0:
             return 0.0
-        return self._refuse(workspace, QuotaRule.BUCKET, lacking / workspace.rate)
+        return self._reject(workspace, QuotaRejectReason.BUCKET, lacking / workspace.rate)
 
     # Decisions for all processes
 
-    def begin_as_arbiter(self, workspace: ForwardedWorkspace, now: float) -> None:
+    def start_as_arbiter(self, workspace: ForwardedWorkspace, now: float) -> None:
         """Forget what the bucket has filled with while others may have decided unheard."""
-        bucket = self._bucket(workspace, now)
-        bucket.level = min(bucket.level, SETTLED_LEVEL * workspace.burst)
+        bucket = self._update_bucket(workspace, now)
+        bucket.level = min(bucket.level, ARBITER_LEVEL_FRACTION * workspace.burst)
 
-    def wait_as_arbiter(self, workspace: ForwardedWorkspace, units: float, now: float) -> float:
+    def get_wait_as_arbiter(self, workspace: ForwardedWorkspace, units: float, now: float) -> float:
         """Return the seconds until a request may pass, if nothing is taken without this process."""
         if workspace.rate <= 0:
             return 0.0
-        if lacking := self._wait_for_bucket(workspace, units, now):
+        if lacking := self._get_bucket_wait(workspace, units, now):
             return lacking
-        total = self._total(workspace.name, now)
-        excess = total + units - self._rules.limit(workspace) * self._heard_share()
+        total = self._sum_window(workspace.name, now)
+        excess = total + units - self._rules.limit(workspace) * self._live_share()
         if excess > 0:
-            taken = self._taken.get(workspace.name)
-            self._decided_by[workspace.name] = QuotaRule.WINDOW
-            return taken.wait(excess, now) if total else self._rules.window
-        since_start = self._left_since_start(workspace, total, now)
+            taken = self._consumed.get(workspace.name)
+            self._reject_reasons[workspace.name] = QuotaRejectReason.WINDOW
+            return taken.get_wait_until_freed(excess, now) if total else self._rules.window_seconds
+        since_start = self._get_startup_allowance(workspace, total, now)
         if since_start > 0:
             return 0.0
-        return self._refuse(workspace, QuotaRule.START, -since_start / workspace.rate)
+        return self._reject(workspace, QuotaRejectReason.START, -since_start / workspace.rate)
 
-    def wait_as_new_arbiter(
+    def get_wait_as_new_arbiter(
         self, workspace: ForwardedWorkspace, units: float, sides: int, now: float
     ) -> float:
         """Return the seconds until a request may pass, if others may decide on it, too.
@@ -258,27 +267,28 @@
         """
         if workspace.rate <= 0:
             return 0.0
-        if lacking := self._wait_for_bucket(workspace, units, now):
+        if lacking := self._get_bucket_wait(workspace, units, now):
             return lacking
         if sides == 1:
-            return self._wait_for_window(workspace, units, ARBITERS_OF_ONE_SIDE, now)
-        total = self._total(workspace.name, now)
+            return self._get_window_wait(workspace, units, CONCURRENT_ARBITERS, now)
+        total = self._sum_window(workspace.name, now)
         left = min(
-            self._rules.limit(workspace) * self._heard_share() - total,
-            self._left_since_start(workspace, total, now),
-            self._bucket(workspace, now).level + PRESSING_PART * self._rules.reserve(workspace),
+            self._rules.limit(workspace) * self._live_share() - total,
+            self._get_startup_allowance(workspace, total, now),
+            self._update_bucket(workspace, now).level
+            + SURGE_RESERVE_FRACTION * self._rules.reserve(workspace),
         )
-        since = now - UNSETTLED_SECONDS
-        if self._is_within_part(workspace.name, units, left / sides, since, now):
+        since = now - PARTITION_DETECTION_SECONDS
+        if self._fits_local_share(workspace.name, units, left / sides, since, now):
             return 0.0
-        return self._refuse(workspace, QuotaRule.PART, MIN_RETRY_SECONDS)
+        return self._reject(workspace, QuotaRejectReason.SHARE, MIN_RETRY_SECONDS)
 
-    def _total(self, name: str, now: float) -> float:
+    def _sum_window(self, name: str, now: float) -> float:
         """Return what all processes that are heard took of a workspace within the window."""
-        taken = self._taken.get(name)
+        taken = self._consumed.get(name)
         return taken.sum(now) if taken is not None else 0.0
 
-    def charge_ahead(
+    def charge_grant(
         self, workspace: ForwardedWorkspace, units: float, is_alone: bool, now: float
     ) -> None:
         """Take out what another process was allowed; its own word of it is not counted again.
@@ -288,72 +298,77 @@
         is_alone : bool
             False if another arbiter may allow as much at the same time, which is taken out, too.
         """
-        charged = units if is_alone else ARBITERS_OF_ONE_SIDE * units
-        self._bucket(workspace, now).level -= charged
-        self._note(workspace.name, charged, now)
-        self._own_parts.setdefault(workspace.name, OwnPart()).use(units, now)
-        self._ahead.setdefault(workspace.name, AllowedAhead()).add(units, now)
+        charged = units if is_alone else CONCURRENT_ARBITERS * units
+        self._update_bucket(workspace, now).level -= charged
+        self._record_consumed(workspace.name, charged, now)
+        self._local_shares.setdefault(workspace.name, LocalShare()).use(units, now)
+        self._grants.setdefault(workspace.name, OutstandingGrants()).add(units, now)
 
-    def give_back(self, workspace: ForwardedWorkspace, units: float, now: float) -> None:
+    def refund_grant(self, workspace: ForwardedWorkspace, units: float, now: float) -> None:
         """Give back what another process was allowed and has not used."""
-        ahead = self._ahead.setdefault(workspace.name, AllowedAhead())
+        ahead = self._grants.setdefault(workspace.name, OutstandingGrants())
         units = ahead.cover(units, now)
-        self._bucket(workspace, now).level += units
-        self._note(workspace.name, -units, now)
+        self._update_bucket(workspace, now).level += units
+        self._record_consumed(workspace.name, -units, now)
 
-    def state(self, workspace: ForwardedWorkspace, now: float) -> QuotaState:
+    def get_state(self, workspace: ForwardedWorkspace, now: float) -> QuotaState:
         """Return what decides on the workspace's requests now."""
-        total, share = self._total(workspace.name, now), self._heard_share()
-        since_start = self._left_since_start(workspace, total, now)
+        total, share = self._sum_window(workspace.name, now), self._live_share()
+        since_start = self._get_startup_allowance(workspace, total, now)
         return QuotaState(
-            bucket=round(self._bucket(workspace, now).level),
+            bucket=round(self._update_bucket(workspace, now).level),
             taken=round(total),
             limit=round(self._rules.limit(workspace) * share),
             heard_share=round(share, 3),
             lag=round(self._lag(), 3),
-            decided_by=self._decided_by.get(workspace.name, QuotaRule.NONE),
+            decided_by=self._reject_reasons.get(workspace.name, QuotaRejectReason.NONE),
             left_since_start=None if math.isinf(since_start) else round(since_start),
         )
 
-    def _wait_for_window(
+    def _get_window_wait(
         self, workspace: ForwardedWorkspace, units: float, members: int, now: float
     ) -> float:
         """Return the seconds until the request keeps the limit of the window; 0 if it does now."""
-        taken, total = self._taken.get(workspace.name), self._total(workspace.name, now)
-        left = self._rules.limit(workspace) * self._heard_share() - total
+        taken, total = self._consumed.get(workspace.name), self._sum_window(workspace.name, now)
+        left = self._rules.limit(workspace) * self._live_share() - total
         if total > 0:
             # Of what the others take now this process hears later.
             unheard = self._lag() * taken.since(now - RATE_SECONDS) / RATE_SECONDS
             if unheard > left - units:
-                self._decided_by[workspace.name] = QuotaRule.WINDOW
-                return taken.wait(unheard - left + units, now)
-            if self._is_rationed(workspace, left - units, now):
-                return self._refuse(workspace, QuotaRule.RATIONED, self._lag())
-        since_start = self._left_since_start(workspace, total, now)
+                self._reject_reasons[workspace.name] = QuotaRejectReason.WINDOW
+                return taken.get_wait_until_freed(unheard - left + units, now)
+            if self._is_throttled(workspace, left - units, now):
+                return self._reject(workspace, QuotaRejectReason.RATIONED, self._lag())
+        since_start = self._get_startup_allowance(workspace, total, now)
         if since_start <= 0:
-            return self._refuse(workspace, QuotaRule.START, -since_start / workspace.rate)
-        left = min(left, since_start, self._left_while_pressing(workspace, now))
-        part, since = left / members, now - UNHEARD_PART * self._lag() - STEP_SECONDS
-        if members > 1 and not self._is_within_part(workspace.name, units, part, since, now):
-            return self._refuse(workspace, QuotaRule.PART, self._lag())
+            return self._reject(workspace, QuotaRejectReason.START, -since_start / workspace.rate)
+        left = min(left, since_start, self._get_surge_allowance(workspace, now))
+        part, since = left / members, now - MAX_LAG_FACTOR * self._lag() - BIN_SECONDS
+        if members > 1 and not self._fits_local_share(workspace.name, units, part, since, now):
+            return self._reject(workspace, QuotaRejectReason.SHARE, self._lag())
         return 0.0
 
-    def _left_since_start(self, workspace: ForwardedWorkspace, total: float, now: float) -> float:
+    def _get_startup_allowance(
+        self, workspace: ForwardedWorkspace, total: float, now: float
+    ) -> float:
         """Return what may be taken before this process knows what was taken before its start."""
-        age = now - self._begun_at.get(workspace.name, now)
-        if age >= self._rules.window:
+        age = now - self._started_at.get(workspace.name, now)
+        if age >= self._rules.window_seconds:
             return math.inf
-        first = FIRST_LEVEL * workspace.burst + FIRST_PART * self._rules.reserve(workspace)
+        first = (
+            INITIAL_LEVEL_FRACTION * workspace.burst
+            + INITIAL_RESERVE_FACTOR * self._rules.reserve(workspace)
+        )
         return first + workspace.rate * age - total
 
-    def _left_while_pressing(self, workspace: ForwardedWorkspace, now: float) -> float:
+    def _get_surge_allowance(self, workspace: ForwardedWorkspace, now: float) -> float:
         """Return what may be taken beyond the bucket while a workspace sends too much."""
-        if self._peak_rate(workspace.name, now) <= PRESSING_RATE * workspace.rate:
+        if self._get_peak_rate(workspace.name, now) <= SURGE_RATE_FACTOR * workspace.rate:
             return math.inf
-        level = self._bucket(workspace, now).level
-        return level + PRESSING_PART * self._rules.reserve(workspace)
+        level = self._update_bucket(workspace, now).level
+        return level + SURGE_RESERVE_FRACTION * self._rules.reserve(workspace)
 
-    def _is_within_part(
+    def _fits_local_share(
         self, name: str, units: float, part: float, since: float, now: float
     ) -> bool:
         """Tell whether a request keeps to this process's part of what is left of the window.
@@ -363,10 +378,10 @@
         All processes may let requests through at the same moment, before any word of it: the parts
         add up to what is left, whatever comes.
         """
-        own = self._own_parts.setdefault(name, OwnPart())
+        own = self._local_shares.setdefault(name, LocalShare())
         return own.allows(units, part, since, now, self._rng)
 
-    def _is_rationed(self, workspace: ForwardedWorkspace, left: float, now: float) -> bool:
+    def _is_throttled(self, workspace: ForwardedWorkspace, left: float, now: float) -> bool:
         """Tell whether a request is refused so that all processes together do not take too much.
 
         Notes
@@ -382,41 +397,43 @@
         too: 17 processes with word 0.18 s old take up to 1.07 without it when 7.5 times the quota
         comes, 0.89 with it (16 plays).
         """
-        unheard = UNHEARD_PART * self._lag() * self._peak_rate(workspace.name, now)
-        room = min(self._bucket(workspace, now).level, left)
+        unheard = MAX_LAG_FACTOR * self._lag() * self._get_peak_rate(workspace.name, now)
+        room = min(self._update_bucket(workspace, now).level, left)
         return room < unheard and self._rng.random() * unheard > room
 
-    def _peak_rate(self, name: str, now: float) -> float:
+    def _get_peak_rate(self, name: str, now: float) -> float:
         """Return the units a second that were taken at most lately; it fades away."""
-        peak = self._taken[name].peak(now) if name in self._taken else 0.0
+        peak = self._consumed[name].peak(now) if name in self._consumed else 0.0
         known, at = self._peaks.get(name, (0.0, now))
         peak = max(peak, known * 0.5 ** ((now - at) / PEAK_HALF_LIFE_SECONDS))
         self._peaks[name] = (peak, now)
         return peak
 
-    def _note(self, name: str, units: float, now: float) -> None:
-        self._taken.setdefault(name, TakenUnits(self._rules.window)).add(units, now)
+    def _record_consumed(self, name: str, units: float, now: float) -> None:
+        self._consumed.setdefault(name, ConsumedUnits(self._rules.window_seconds)).add(units, now)
 
-    def spend(self, workspace: ForwardedWorkspace, units: float, now: float) -> None:
+    def consume(self, workspace: ForwardedWorkspace, units: float, now: float) -> None:
         """Take an accepted request out, here at once and elsewhere with the next report."""
         if workspace.rate > 0:
-            self._bucket(workspace, now).level -= units
-            self._note(workspace.name, units, now)
-            self._own_parts.setdefault(workspace.name, OwnPart()).use(units, now)
-        self._spent[workspace.name] = self._spent.get(workspace.name, 0.0) + units
+            self._update_bucket(workspace, now).level -= units
+            self._record_consumed(workspace.name, units, now)
+            self._local_shares.setdefault(workspace.name, LocalShare()).use(units, now)
+        self._local_totals[workspace.name] = self._local_totals.get(workspace.name, 0.0) + units
 
     def refund(self, workspace: ForwardedWorkspace, units: float, now: float) -> None:
         """Give back what a request took that did not run."""
-        self.spend(workspace, -units, now)
+        self.consume(workspace, -units, now)
 
-    def prepare(self, workspaces: Iterable[ForwardedWorkspace], now: float) -> None:
+    def start_buckets(self, workspaces: Iterable[ForwardedWorkspace], now: float) -> None:
         """Let the copies of all workspaces begin to fill."""
         for each in workspaces:
             if each.rate > 0:
-                self._bucket(each, now)
-                self._begun_at.setdefault(each.name, now)
+                self._update_bucket(each, now)
+                self._started_at.setdefault(each.name, now)
 
-    def heard(self, process: str, spent: Mapping[str, float], continuous: bool, now: float) -> None:
+    def merge_consumed(
+        self, process: str, spent: Mapping[str, float], continuous: bool, now: float
+    ) -> None:
         """Take in what another process has taken out in all.
 
         Parameters
@@ -427,14 +444,14 @@
             False if the process was out of hearing: what it took meanwhile was its own part, which
             this process's copies have left out.
         """
-        self._tellers.add(process)
+        self._peers_reporting.add(process)
         for name, total in spent.items():
-            known = self._heard.get((process, name), 0.0)
-            self._heard[process, name] = total
+            known = self._remote_totals.get((process, name), 0.0)
+            self._remote_totals[process, name] = total
             bucket = self._buckets.get(name)
             if continuous and bucket is not None and total != known:
                 added = total - known
-                if added > 0 and name in self._ahead:
-                    added -= self._ahead[name].cover(added, now)
+                if added > 0 and name in self._grants:
+                    added -= self._grants[name].cover(added, now)
                 bucket.level -= added
-                self._note(name, added, now)
+                self._record_consumed(name, added, now)
--- a/flamingofront/decisions/quota_facts.py
+++ b/flamingofront/decisions/quota_facts.py
@@ -5,11 +5,11 @@
 
 from flamingofront.version.forwarding import ForwardedWorkspace
 
-__all__ = ["QuotaRule", "QuotaRules", "QuotaState"]
+__all__ = ["QuotaRejectReason", "QuotaLimits", "QuotaState"]
 
 
 @dataclass(frozen=True)
-class QuotaRules:
+class QuotaLimits:
     """How much may be taken in any span of time.
 
     Parameters
@@ -22,23 +22,23 @@
         Units by which it may be exceeded besides.
     """
 
-    window: float = 8.0
-    over: float = 0.0
+    window_seconds: float = 8.0
+    over_ratio: float = 0.0
     allowance: float = 0.0
 
     def limit(self, workspace: ForwardedWorkspace) -> float:
         """Return the most that a workspace may take in a window."""
-        return self._quota(workspace) * (1 + self.over) + self.allowance
+        return self._quota(workspace) * (1 + self.over_ratio) + self.allowance
 
     def reserve(self, workspace: ForwardedWorkspace) -> float:
         """Return the part of the limit that goes beyond rate and burst."""
-        return self._quota(workspace) * self.over + self.allowance
+        return self._quota(workspace) * self.over_ratio + self.allowance
 
     def _quota(self, workspace: ForwardedWorkspace) -> float:
-        return workspace.rate * self.window + workspace.burst
+        return workspace.rate * self.window_seconds + workspace.burst
 
 
-class QuotaRule(StrEnum):
+class QuotaRejectReason(StrEnum):
     """What a request is refused for."""
 
     NONE = ""
@@ -50,7 +50,7 @@
     """All processes together would take too much before they hear of one another."""
     START = "start"
     """What was taken before the start of the process is not known, and assumed to be much."""
-    PART = "part"
+    SHARE = "part"
     """Others may decide at the same time: each keeps to its part of what is left."""
 
 
@@ -70,7 +70,7 @@
         Part of the processes that is heard.
     lag : float
         Age of the word of the others, in seconds.
-    decided_by : QuotaRule
+    decided_by : QuotaRejectReason
         What the last refusal of the workspace was for, where it was decided.
     left_since_start : float or None
         What may still be taken while it is not known what was taken before the start of the process
@@ -82,5 +82,5 @@
     limit: float = 0.0
     heard_share: float = 1.0
     lag: float = 0.0
-    decided_by: QuotaRule = QuotaRule.NONE
+    decided_by: QuotaRejectReason = QuotaRejectReason.NONE
     left_since_start: float | None = None
--- a/flamingofront/decisions/quota_ledger.py
+++ b/flamingofront/decisions/quota_ledger.py
@@ -5,21 +5,21 @@
 
 __all__ = [
     "MIN_RETRY_SECONDS",
-    "STEP_SECONDS",
-    "AllowedAhead",
-    "Bucket",
-    "OwnPart",
-    "TakenUnits",
+    "BIN_SECONDS",
+    "OutstandingGrants",
+    "TokenBucket",
+    "LocalShare",
+    "ConsumedUnits",
 ]
 
 MIN_RETRY_SECONDS = 0.05
 # What was taken is summed in steps of this length, in seconds: as often as processes report.
-STEP_SECONDS = 0.25
+BIN_SECONDS = 0.25
 # What was allowed and is not told by then was not used: several times the age of late word.
-TOLD_WITHIN_SECONDS = 4.0
+GRANT_EXPIRY_SECONDS = 4.0
 
 
-class Bucket:
+class TokenBucket:
     """This process's copy of one workspace's token bucket; it may hold less than nothing."""
 
     def __init__(self, level: float, share: float, now: float):
@@ -33,7 +33,7 @@
         self.updated = now
 
 
-class TakenUnits:
+class ConsumedUnits:
     """Units that all processes took of one workspace lately, in steps of time."""
 
     def __init__(self, window: float):
@@ -43,7 +43,7 @@
 
     def add(self, units: float, now: float) -> None:
         """Note units taken, or given back."""
-        start = now - now % STEP_SECONDS
+        start = now - now % BIN_SECONDS
         if self._steps and self._steps[-1][0] == start:
             self._steps[-1][1] += units
         else:
@@ -52,7 +52,7 @@
 
     def sum(self, now: float) -> float:
         """Return what was taken within the window."""
-        while self._steps and self._steps[0][0] + STEP_SECONDS <= now - self._window:
+        while self._steps and self._steps[0][0] + BIN_SECONDS <= now - self._window:
             self._sum -= self._steps.popleft()[1]
         return self._sum
 
@@ -68,16 +68,16 @@
         """Return what was taken since a time."""
         return sum(units for start, units in self._steps if start >= time)
 
-    def wait(self, excess: float, now: float) -> float:
+    def get_wait_until_freed(self, excess: float, now: float) -> float:
         """Return the seconds until so many units have left the window."""
         for start, units in self._steps:
             excess -= units
             if excess <= 0:
-                return max(MIN_RETRY_SECONDS, start + STEP_SECONDS + self._window - now)
+                return max(MIN_RETRY_SECONDS, start + BIN_SECONDS + self._window - now)
         return self._window
 
 
-class OwnPart:
+class LocalShare:
     """What this process lately let through of a workspace on its own word.
 
     A request that is larger than what is left of the part passes by chance, with the probability
@@ -115,7 +115,7 @@
         return False
 
 
-class AllowedAhead:
+class OutstandingGrants:
     """What other processes were allowed and have not told yet."""
 
     def __init__(self):
@@ -127,7 +127,7 @@
 
     def cover(self, units: float, now: float) -> float:
         """Return how much of some units was allowed before, and strike it off."""
-        while self._allowed and self._allowed[0][0] < now - TOLD_WITHIN_SECONDS:
+        while self._allowed and self._allowed[0][0] < now - GRANT_EXPIRY_SECONDS:
             self._allowed.popleft()
         covered = 0.0
         while self._allowed and covered < units:
--- a/flamingofront/decisions/rate_limits.py
+++ b/flamingofront/decisions/rate_limits.py
@@ -13,13 +13,13 @@
 
 # Tokens that a bucket holds: requests that come in clumps use what was left over just before.
 DEPTH_SECONDS = 0.5
-DEPTH_REQUESTS = 2.0
+DEPTH_EXTRA_REQUESTS = 2.0
 # An endpoint that names a lower rate, or none at all, is still tried now and then: only an answer
 # tells that it takes more again. In requests a second.
-LEAST_RATE = 0.1
+MIN_RATE_PER_SECOND = 0.1
 # Priorities that were asked for within so long, in seconds, are kept some tokens from less urgent
 # ones.
-SEEN_SECONDS = 2.0
+PRIORITY_MEMORY_SECONDS = 2.0
 # Priorities before which a less urgent request stands back; further ones make no difference.
 MAX_RANKS = 2
 # Claims a second that a decider answers; more processes than that are told to pause for longer.
@@ -69,7 +69,7 @@
     wait: float = 0.0
 
     @property
-    def given(self) -> bool:
+    def is_granted(self) -> bool:
         """True if the request may be sent."""
         return self.wait <= 0
 
@@ -87,7 +87,7 @@
         self._updated = now
 
 
-class _EndpointRate:
+class _EndpointState:
     """What is kept of one endpoint."""
 
     def __init__(self, now: float):
@@ -103,7 +103,8 @@
     def rank(self, priority: int, now: float) -> int:
         """Return the number of more urgent priorities that were asked for lately."""
         urgent = sum(
-            each < priority and now - at <= SEEN_SECONDS for each, at in self.asked_at.items()
+            each < priority and now - at <= PRIORITY_MEMORY_SECONDS
+            for each, at in self.asked_at.items()
         )
         return min(MAX_RANKS, urgent)
 
@@ -119,7 +120,7 @@
     """Decides on requests to endpoints with a limit; times in seconds."""
 
     def __init__(self):
-        self._endpoints: dict[str, _EndpointRate] = {}
+        self._endpoints: dict[str, _EndpointState] = {}
 
     def decide(self, claim: RateClaim, part: float, now: float) -> RateVerdict:
         """Return whether and when the request may be sent.
@@ -131,10 +132,10 @@
         """
         known = self._endpoints.get(claim.endpoint_id)
         if known is None:
-            known = self._endpoints[claim.endpoint_id] = _EndpointRate(now)
+            known = self._endpoints[claim.endpoint_id] = _EndpointState(now)
         known.note(claim, now)
-        rate = max(LEAST_RATE, claim.rate) * part
-        depth = DEPTH_REQUESTS + DEPTH_SECONDS * rate
+        rate = max(MIN_RATE_PER_SECOND, claim.rate) * part
+        depth = DEPTH_EXTRA_REQUESTS + DEPTH_SECONDS * rate
         known.bucket.fill(rate, depth, now)
         # Less urgent requests leave a part of the bucket to the more urgent ones.
         needed = 1.0 + known.rank(claim.priority, now) * (depth - 1.0) / MAX_RANKS
@@ -145,7 +146,7 @@
         pause = known.claimant_count(now) / MAX_CLAIMS_PER_SECOND
         return RateVerdict(wait=max(MIN_WAIT_SECONDS, delay - claim.patience, pause))
 
-    def give_back(self, endpoint_id: str) -> None:
+    def return_permit(self, endpoint_id: str) -> None:
         """Take a permit back that was not used."""
         known = self._endpoints.get(endpoint_id)
         if known is not None:
--- a/flamingofront/decisions/retry.py
+++ b/flamingofront/decisions/retry.py
@@ -15,7 +15,7 @@
 
 EJECT_AFTER_FAILURES = 3
 FIRST_EJECTION_SECONDS = 2.0
-LONGEST_EJECTION_SECONDS = 60.0
+MAX_EJECTION_SECONDS = 60.0
 MAX_EJECTED_FRACTION = 0.5
 
 
@@ -23,7 +23,7 @@
     """Decides when a further attempt may start."""
 
     @abstractmethod
-    def accepted(self, now: float) -> None:
+    def record_request(self, now: float) -> None:
         """Note a newly accepted request."""
 
     @abstractmethod
@@ -34,7 +34,7 @@
 class UnlimitedRetryBudget(RetryBudget):
     """The naive version: each loss is retried at once."""
 
-    def accepted(self, now: float) -> None:
+    def record_request(self, now: float) -> None:
         """Ignore the request."""
 
     def reserve(self, now: float) -> float:
@@ -73,7 +73,7 @@
             self._tokens = min(self._burst, self._tokens + earned)
         self._updated = now
 
-    def accepted(self, now: float) -> None:
+    def record_request(self, now: float) -> None:
         """Earn the tokens of one accepted request."""
         self._refill(now)
         self._tokens = min(self._burst, self._tokens + self._ratio)
@@ -110,18 +110,18 @@
         self._rng = rng
         self._health: dict[str, _Health] = {}
 
-    def succeeded(self, endpoint_id: str) -> None:
+    def record_success(self, endpoint_id: str) -> None:
         """Note a completed attempt."""
         self._health.pop(endpoint_id, None)
 
-    def failed(self, endpoint_id: str, now: float) -> bool:
+    def record_failure(self, endpoint_id: str, now: float) -> bool:
         """Note a lost attempt; True if the endpoint is ejected now."""
         health = self._health.setdefault(endpoint_id, _Health())
         health.failures += 1
         limit = EJECT_AFTER_FAILURES if health.ejections == 0 else 1
         if health.failures < limit:
             return False
-        seconds = min(LONGEST_EJECTION_SECONDS, FIRST_EJECTION_SECONDS * 2**health.ejections)
+        seconds = min(MAX_EJECTION_SECONDS, FIRST_EJECTION_SECONDS * 2**health.ejections)
         health.until = now + seconds * (0.75 + 0.5 * self._rng.random())
         health.ejections += 1
         health.failures = 0
@@ -131,7 +131,7 @@
         """Drop what is known about an endpoint that is gone."""
         self._health.pop(endpoint_id, None)
 
-    def ejected(self, endpoint_ids: Collection[str], now: float) -> frozenset[str]:
+    def list_ejected(self, endpoint_ids: Collection[str], now: float) -> frozenset[str]:
         """Return which of a service's endpoints are out, at most half of them.
 
         Notes
--- a/flamingofront/decisions/send_intents.py
+++ b/flamingofront/decisions/send_intents.py
@@ -18,26 +18,26 @@
 from collections.abc import Mapping
 from dataclasses import dataclass, replace
 
-from flamingofront.decisions.quarantine import ENDS_TO_HOLD
+from flamingofront.decisions.quarantine import CRASHES_TO_QUARANTINE
 
 __all__ = ["UNANSWERED_WAIT_SECONDS", "IntentPolicy", "IntentRecord", "SendIntent"]
 
 # Unanswered sends of one request from which on a further one waits for their outcome.
-MAX_UNANSWERED = ENDS_TO_HOLD
+MAX_UNANSWERED = CRASHES_TO_QUARANTINE
 # Wait of a request that has so many: endpoints were seen to end 40 to 180 ms after such a request
 # came.
 UNANSWERED_WAIT_SECONDS = 0.2
 # Records are made for so long after an endpoint has ended with no witness: longer than a series of
 # kills a dozen seconds apart needs.
-WARY_SECONDS = 20.0
+RECORDING_SECONDS = 20.0
 # ... and for so long after the start of a process whose predecessor may have been killed, until
 # endpoints that ended with it have been found.
-START_SECONDS = 0.6
+STARTUP_SECONDS = 0.6
 # Requests that are remembered as answered.
-MAX_ANSWERED = 4096
+MAX_RESPONDED = 4096
 # Sends and unseen ends that one record names.
 MAX_SENDS = 8
-MAX_UNSEEN = 16
+MAX_UNOBSERVED_CRASHES = 16
 
 
 @dataclass(frozen=True)
@@ -72,23 +72,23 @@
 
     fingerprint: str
     sends: tuple[SendIntent, ...] = ()
-    unseen: tuple[str, ...] = ()
+    unobserved: tuple[str, ...] = ()
 
     def with_sends(self, sends: tuple[SendIntent, ...]) -> "IntentRecord":
         """Return the record with further sends; the oldest ones are left out if it gets long."""
         added = tuple(each for each in sends if each not in self.sends)
         return replace(self, sends=(self.sends + added)[-MAX_SENDS:])
 
-    def without(self, intent: SendIntent) -> "IntentRecord":
+    def without_send(self, intent: SendIntent) -> "IntentRecord":
         """Return the record without a send."""
         return replace(self, sends=tuple(each for each in self.sends if each != intent))
 
-    def with_unseen(self, endpoint_ids: frozenset[str]) -> "IntentRecord":
+    def with_unobserved(self, endpoint_ids: frozenset[str]) -> "IntentRecord":
         """Return the record with further ends that had no witness."""
         own = {each.endpoint_id for each in self.sends}
-        unseen = dict.fromkeys((*self.unseen, *sorted(endpoint_ids)))
-        names = tuple(each for each in unseen if each not in own)
-        return replace(self, unseen=names[-MAX_UNSEEN:])
+        unobserved = dict.fromkeys((*self.unobserved, *sorted(endpoint_ids)))
+        names = tuple(each for each in unobserved if each not in own)
+        return replace(self, unobserved=names[-MAX_UNOBSERVED_CRASHES:])
 
 
 class IntentPolicy:
@@ -101,12 +101,12 @@
     """
 
     def __init__(self, began: float = -math.inf):
-        self._start_until = began + START_SECONDS
-        self._wary_until: dict[str, float] = {}
-        self._unseen: OrderedDict[str, None] = OrderedDict()
-        self._answered: OrderedDict[str, None] = OrderedDict()
+        self._start_until = began + STARTUP_SECONDS
+        self._record_until: dict[str, float] = {}
+        self._unobserved: OrderedDict[str, None] = OrderedDict()
+        self._responded: OrderedDict[str, None] = OrderedDict()
 
-    def unseen_end(self, endpoint_id: str, service: str, now: float) -> bool:
+    def record_unobserved_crash(self, endpoint_id: str, service: str, now: float) -> bool:
         """Take note of an end with no witness; True if records were not made for its service.
 
         Parameters
@@ -114,46 +114,46 @@
         service : str
             Service of the endpoint; empty if it is not known, which stands for all services.
         """
-        was_wary = self.is_wary(service, now)
-        self._wary_until[service] = now + WARY_SECONDS
-        self._unseen[endpoint_id] = None
-        while len(self._unseen) > MAX_UNSEEN:
-            self._unseen.popitem(last=False)
+        was_wary = self.is_recording(service, now)
+        self._record_until[service] = now + RECORDING_SECONDS
+        self._unobserved[endpoint_id] = None
+        while len(self._unobserved) > MAX_UNOBSERVED_CRASHES:
+            self._unobserved.popitem(last=False)
         return not was_wary
 
-    def unseen(self) -> frozenset[str]:
+    def get_unobserved(self) -> frozenset[str]:
         """Return the endpoints that ended with no witness."""
-        return frozenset(self._unseen)
+        return frozenset(self._unobserved)
 
-    def is_wary(self, service: str, now: float) -> bool:
+    def is_recording(self, service: str, now: float) -> bool:
         """Tell whether requests to a service are recorded."""
-        until = max(self._wary_until.get(each, -math.inf) for each in (service, ""))
+        until = max(self._record_until.get(each, -math.inf) for each in (service, ""))
         return now < max(until, self._start_until)
 
-    def is_recorded(self, fingerprint: str, service: str, now: float) -> bool:
+    def must_record(self, fingerprint: str, service: str, now: float) -> bool:
         """Tell whether a request is recorded before it is sent."""
-        return fingerprint not in self._answered and self.is_wary(service, now)
+        return fingerprint not in self._responded and self.is_recording(service, now)
 
-    def answered(self, fingerprint: str) -> None:
+    def record_response(self, fingerprint: str) -> None:
         """Take note that an endpoint has answered a request."""
-        self._answered[fingerprint] = None
-        self._answered.move_to_end(fingerprint)
-        while len(self._answered) > MAX_ANSWERED:
-            self._answered.popitem(last=False)
+        self._responded[fingerprint] = None
+        self._responded.move_to_end(fingerprint)
+        while len(self._responded) > MAX_RESPONDED:
+            self._responded.popitem(last=False)
 
     @staticmethod
-    def must_wait(record: IntentRecord, seen_alive: Mapping[str, float]) -> bool:
+    def must_wait(record: IntentRecord, last_alive: Mapping[str, float]) -> bool:
         """Tell whether a request has too many unanswered sends for a further one now.
 
         Parameters
         ----------
-        seen_alive : mapping of str to float
+        last_alive : mapping of str to float
             Wall clock seconds at which endpoints were found to be there: one that has outlived a
             send by so much was not ended by it.
         """
         unanswered = [
             each
             for each in record.sends
-            if seen_alive.get(each.endpoint_id, each.at) - each.at < UNANSWERED_WAIT_SECONDS
+            if last_alive.get(each.endpoint_id, each.at) - each.at < UNANSWERED_WAIT_SECONDS
         ]
         return len(unanswered) >= MAX_UNANSWERED
--- a/flamingofront/decisions/shared_retry.py
+++ b/flamingofront/decisions/shared_retry.py
@@ -10,10 +10,10 @@
 
 # Part of the allowance that is handed out: the rest covers members not yet known and calls of
 # which it is not clear whether they arrived.
-USED_ALLOWANCE = 0.8
+USED_ALLOWANCE_FRACTION = 0.8
 # Part that a process hands out in its first window: attempts made before its start are in the same
 # window, and all may start twice within one.
-FIRST_ALLOWANCE = 0.1
+INITIAL_ALLOWANCE_FRACTION = 0.1
 
 
 class SharedRetryBudget(RetryBudget):
@@ -50,21 +50,21 @@
         self._requests: deque[float] = deque()
         self._attempts: deque[float] = deque()
 
-    def accepted(self, now: float) -> None:
+    def record_request(self, now: float) -> None:
         """Note a newly accepted request."""
         self._requests.append(now)
-        self._forget(now)
+        self._drop_expired(now)
 
-    def _forget(self, now: float) -> None:
+    def _drop_expired(self, now: float) -> None:
         for times in (self._requests, self._attempts):
             while times and times[0] < now - self._window:
                 times.popleft()
 
     def reserve(self, now: float) -> float:
         """Return 0 if a further attempt may start now, infinity if the budget is used up."""
-        self._forget(now)
+        self._drop_expired(now)
         is_new = now - self._began < self._window
-        part = FIRST_ALLOWANCE if is_new else USED_ALLOWANCE
+        part = INITIAL_ALLOWANCE_FRACTION if is_new else USED_ALLOWANCE_FRACTION
         allowance = self._allowance * part * self._member_share()
         if len(self._attempts) + 1 > self._ratio * len(self._requests) + allowance:
             return math.inf
--- a/flamingofront/decisions/shares.py
+++ b/flamingofront/decisions/shares.py
@@ -14,18 +14,24 @@
 from collections.abc import Mapping, Sequence
 from dataclasses import dataclass
 
-__all__ = ["FIRST_ENDPOINTS", "NOTED_SECONDS", "NotedPrompts", "Placement", "first_endpoints"]
+__all__ = [
+    "PREFERRED_ENDPOINTS",
+    "REMOTE_PROMPT_SECONDS",
+    "RemotePrompts",
+    "RingPosition",
+    "select_preferred_endpoints",
+]
 
 # Endpoints that a process looks at first. In a simulation of 90 processes before 24 and 30 engines
 # at about half of what they can read, two that are known exactly left no request late, where two
 # of all endpoints, with word 0.2 to 0.5 s old, left 0.5 to 2 in 100.
-FIRST_ENDPOINTS = 2
+PREFERRED_ENDPOINTS = 2
 # A prompt that another process has told of counts for so long; after that the digests tell it.
-NOTED_SECONDS = 0.3
+REMOTE_PROMPT_SECONDS = 0.3
 
 
 @dataclass(frozen=True)
-class Placement:
+class RingPosition:
     """Where a process stands on the ring.
 
     Parameters
@@ -41,8 +47,8 @@
     count: int
 
 
-def first_endpoints(
-    place: Placement, zones: Sequence[str], endpoints: Mapping[str, str]
+def select_preferred_endpoints(
+    place: RingPosition, zones: Sequence[str], endpoints: Mapping[str, str]
 ) -> tuple[str, ...]:
     """Return the endpoints that a process uses first.
 
@@ -59,37 +65,37 @@
     ring = sorted(endpoints, key=lambda name: (order.get(endpoints[name], len(zones)), name))
     position = (order[place.zone] + place.index / place.count) / len(zones)
     start = int(position * len(ring))
-    count = min(FIRST_ENDPOINTS, len(ring))
+    count = min(PREFERRED_ENDPOINTS, len(ring))
     return tuple(ring[(start + step) % len(ring)] for step in range(count))
 
 
-class NotedPrompts:
+class RemotePrompts:
     """Prompts that other processes have just told of, by endpoint."""
 
     def __init__(self):
-        self._notes: deque[tuple[float, str, int, int]] = deque()
+        self._reports: deque[tuple[float, str, int, int]] = deque()
         self._tokens: dict[str, int] = {}
         self._requests: dict[str, int] = {}
 
     def add(self, endpoint_id: str, requests: int, tokens: int, now: float) -> None:
         """Note what another process has placed at an endpoint."""
-        self._notes.append((now + NOTED_SECONDS, endpoint_id, requests, tokens))
-        self._change(endpoint_id, requests, tokens)
+        self._reports.append((now + REMOTE_PROMPT_SECONDS, endpoint_id, requests, tokens))
+        self._add_counts(endpoint_id, requests, tokens)
 
-    def at(self, endpoint_id: str, now: float) -> tuple[int, int]:
+    def get_counts(self, endpoint_id: str, now: float) -> tuple[int, int]:
         """Return the requests and the prompt tokens that count at an endpoint."""
-        while self._notes and self._notes[0][0] <= now:
-            _, name, requests, tokens = self._notes.popleft()
-            self._change(name, -requests, -tokens)
+        while self._reports and self._reports[0][0] <= now:
+            _, name, requests, tokens = self._reports.popleft()
+            self._add_counts(name, -requests, -tokens)
         return self._requests.get(endpoint_id, 0), self._tokens.get(endpoint_id, 0)
 
     def forget(self, endpoint_id: str) -> None:
         """Drop what was told of an endpoint that has gone or started again."""
-        self._notes = deque(each for each in self._notes if each[1] != endpoint_id)
+        self._reports = deque(each for each in self._reports if each[1] != endpoint_id)
         self._requests.pop(endpoint_id, None)
         self._tokens.pop(endpoint_id, None)
 
-    def _change(self, endpoint_id: str, requests: int, tokens: int) -> None:
+    def _add_counts(self, endpoint_id: str, requests: int, tokens: int) -> None:
         for counts, change in ((self._requests, requests), (self._tokens, tokens)):
             counts[endpoint_id] = counts.get(endpoint_id, 0) + change
             if counts[endpoint_id] <= 0:
--- a/flamingofront/decisions/stopping.py
+++ b/flamingofront/decisions/stopping.py
@@ -10,19 +10,19 @@
 from collections import deque
 from dataclasses import dataclass
 
-__all__ = ["CompletionBounds", "StreamBound", "StreamTimes", "ends_in_time"]
+__all__ = ["CompletionBounds", "StreamBound", "StreamTimes", "can_complete"]
 
 # Answers whose times are kept for a service: a change of its endpoints shows after so many.
-KEPT_ANSWERS = 128
+KEPT_STREAMS = 128
 # Answers without which nothing is said of a service's next one: among so many, one in twenty that
 # is slow has most likely been seen.
-LEAST_ANSWERS = 20
+MIN_STREAMS = 20
 # Streams with at least this part of the tokens of another one tell how long that lasts.
-LIKE_SIZE = 0.25
+SIMILAR_SIZE_FRACTION = 0.25
 # One answer in so many is left out: it lost its endpoint, or waited for one, and tells no pace.
-ONE_LEFT_OUT_OF = 100
+STREAMS_PER_OUTLIER = 100
 # The next stream may be slower than all that were seen by this factor.
-MARGIN = 1.25
+SAFETY_FACTOR = 1.25
 
 
 @dataclass(frozen=True)
@@ -52,21 +52,25 @@
     """Longest time that the next stream of a service takes, by the streams that were seen."""
 
     def __init__(self):
-        self._seen: deque[StreamTimes] = deque(maxlen=KEPT_ANSWERS)
+        self._seen: deque[StreamTimes] = deque(maxlen=KEPT_STREAMS)
 
     def observe(self, times: StreamTimes) -> None:
         """Take a complete stream in; one whose caller named no tokens tells nothing."""
         if times.output_tokens > 0:
             self._seen.append(times)
 
-    def seconds(self, output_tokens: int) -> float:
+    def estimate_max_seconds(self, output_tokens: int) -> float:
         """Return the longest time from acceptance to the end; infinite if it is not known."""
-        if output_tokens <= 0 or len(self._seen) < LEAST_ANSWERS:
+        if output_tokens <= 0 or len(self._seen) < MIN_STREAMS:
             return math.inf
-        like = [each for each in self._seen if each.output_tokens >= LIKE_SIZE * output_tokens]
-        known = like if len(like) >= LEAST_ANSWERS else self._seen
+        like = [
+            each
+            for each in self._seen
+            if each.output_tokens >= SIMILAR_SIZE_FRACTION * output_tokens
+        ]
+        known = like if len(like) >= MIN_STREAMS else self._seen
         longest = sorted(each.scaled(output_tokens) for each in known)
-        return MARGIN * longest[-1 - len(longest) // ONE_LEFT_OUT_OF]
+        return SAFETY_FACTOR * longest[-1 - len(longest) // STREAMS_PER_OUTLIER]
 
 
 class CompletionBounds:
@@ -75,12 +79,12 @@
     def __init__(self):
         self._services: dict[str, StreamBound] = {}
 
-    def of(self, service: str) -> StreamBound:
+    def for_service(self, service: str) -> StreamBound:
         """Return the bound of a service."""
         return self._services.setdefault(service, StreamBound())
 
 
-def ends_in_time(deadline_left: float, bound: float, stop_left: float) -> bool:
+def can_complete(deadline_left: float, bound: float, stop_left: float) -> bool:
     """Tell whether a request that begins now ends before the process does.
 
     Parameters
--- a/flamingofront/decisions/tests/test_rate_limits.py
+++ b/flamingofront/decisions/tests/test_rate_limits.py
@@ -6,7 +6,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from flamingofront.decisions.rate_limits import LEAST_RATE, RateClaim, RateLimiter
+from flamingofront.decisions.rate_limits import MIN_RATE_PER_SECOND, RateClaim, RateLimiter
 
 WINDOW_SECONDS = 4.0
 
@@ -20,7 +20,7 @@
     found = []
     for at, claim in claims:
         verdict = limiter.decide(claim, part, at)
-        if verdict.given:
+        if verdict.is_granted:
             found.append(at + verdict.delay)
     return sorted(found)
 
@@ -47,7 +47,7 @@
 
     def test_new_decider_begins_with_nothing(self):
         """What the one before it let through a moment ago is not known to it."""
-        assert not RateLimiter().decide(claim_of(20.0), 1.0, 100.0).given
+        assert not RateLimiter().decide(claim_of(20.0), 1.0, 100.0).is_granted
 
     def test_part_of_a_limit_is_kept(self):
         claims = [(0.01 * number, claim_of(20.0)) for number in range(1000)]
@@ -64,19 +64,21 @@
         limiter = RateLimiter()
         limiter.decide(claim_of(2.0), 1.0, 0.0)
         wait = limiter.decide(claim_of(2.0), 1.0, 0.1).wait
-        assert limiter.decide(claim_of(2.0), 1.0, 0.1 + wait + 1e-6).given
+        assert limiter.decide(claim_of(2.0), 1.0, 0.1 + wait + 1e-6).is_granted
 
     def test_endpoint_that_takes_none_is_tried_now_and_then(self):
         """Only an answer tells that it takes some again."""
         claims = [(0.5 * number, claim_of(0.0)) for number in range(400)]
-        assert 10 <= len(sent(RateLimiter(), claims)) <= 200 * LEAST_RATE + 2
+        assert 10 <= len(sent(RateLimiter(), claims)) <= 200 * MIN_RATE_PER_SECOND + 2
 
     def test_urgent_requests_are_kept_a_part(self):
         limiter = RateLimiter()
         given = {0: 0, 3: 0}
         for number in range(4000):
             priority = 3 * (number % 2)
-            given[priority] += limiter.decide(claim_of(5.0, priority), 1.0, number * 0.01).given
+            given[priority] += limiter.decide(
+                claim_of(5.0, priority), 1.0, number * 0.01
+            ).is_granted
         assert given[0] > 3 * given[3]
 
     def test_less_urgent_requests_get_all_while_nothing_else_is_asked_for(self):
@@ -95,6 +97,6 @@
     def test_permit_that_is_given_back_can_be_used(self):
         limiter = RateLimiter()
         limiter.decide(claim_of(2.0), 1.0, 0.0)
-        assert limiter.decide(claim_of(2.0), 1.0, 0.5).given
-        limiter.give_back("e")
-        assert limiter.decide(claim_of(2.0), 1.0, 0.51).given
+        assert limiter.decide(claim_of(2.0), 1.0, 0.5).is_granted
+        limiter.return_permit("e")
+        assert limiter.decide(claim_of(2.0), 1.0, 0.51).is_granted
--- a/flamingofront/decisions/tests/test_send_intents.py
+++ b/flamingofront/decisions/tests/test_send_intents.py
@@ -5,10 +5,10 @@
 from flamingofront.decisions.send_intents import (
     MAX_SENDS,
     MAX_UNANSWERED,
-    MAX_UNSEEN,
-    START_SECONDS,
+    MAX_UNOBSERVED_CRASHES,
+    RECORDING_SECONDS,
+    STARTUP_SECONDS,
     UNANSWERED_WAIT_SECONDS,
-    WARY_SECONDS,
     IntentPolicy,
     IntentRecord,
     SendIntent,
@@ -21,41 +21,41 @@
 
 class TestPolicy:
     def test_nothing_is_recorded_while_nothing_speaks_for_it(self):
-        assert not IntentPolicy().is_recorded("f-1", "engines", 5.0)
+        assert not IntentPolicy().must_record("f-1", "engines", 5.0)
 
     def test_all_is_recorded_until_ended_endpoints_are_found_after_a_start(self):
         policy = IntentPolicy(began=100.0)
-        assert policy.is_recorded("f-1", "engines", 100.0)
-        assert policy.is_recorded("f-1", "records", 100.0 + START_SECONDS - 0.01)
-        assert not policy.is_recorded("f-1", "engines", 100.0 + START_SECONDS)
+        assert policy.must_record("f-1", "engines", 100.0)
+        assert policy.must_record("f-1", "records", 100.0 + STARTUP_SECONDS - 0.01)
+        assert not policy.must_record("f-1", "engines", 100.0 + STARTUP_SECONDS)
 
     def test_requests_to_the_service_of_an_end_that_nobody_saw_are(self):
         policy = IntentPolicy()
-        assert policy.unseen_end("e-1", "engines", 50.0)
-        assert not policy.unseen_end("e-2", "engines", 50.5)
-        assert policy.is_recorded("f-1", "engines", 50.5 + WARY_SECONDS - 0.1)
-        assert not policy.is_recorded("f-1", "records", 51.0)
-        assert not policy.is_recorded("f-1", "engines", 50.5 + WARY_SECONDS)
-        assert policy.unseen() == {"e-1", "e-2"}
+        assert policy.record_unobserved_crash("e-1", "engines", 50.0)
+        assert not policy.record_unobserved_crash("e-2", "engines", 50.5)
+        assert policy.must_record("f-1", "engines", 50.5 + RECORDING_SECONDS - 0.1)
+        assert not policy.must_record("f-1", "records", 51.0)
+        assert not policy.must_record("f-1", "engines", 50.5 + RECORDING_SECONDS)
+        assert policy.get_unobserved() == {"e-1", "e-2"}
 
     def test_requests_to_any_service_are_if_that_of_the_endpoint_is_not_known(self):
         policy = IntentPolicy()
-        policy.unseen_end("e-1", "", 50.0)
-        assert policy.is_recorded("f-1", "engines", 51.0)
+        policy.record_unobserved_crash("e-1", "", 50.0)
+        assert policy.must_record("f-1", "engines", 51.0)
 
     def test_what_was_answered_needs_no_record(self):
         policy = IntentPolicy(began=100.0)
-        policy.answered("f-1")
-        assert not policy.is_recorded("f-1", "engines", 100.0)
-        assert policy.is_recorded("f-2", "engines", 100.0)
+        policy.record_response("f-1")
+        assert not policy.must_record("f-1", "engines", 100.0)
+        assert policy.must_record("f-2", "engines", 100.0)
 
     def test_memory_of_ends_and_answers_is_bounded(self):
         policy = IntentPolicy(began=0.0)
         for number in range(10_000):
-            policy.answered(f"f-{number}")
-            policy.unseen_end(f"e-{number}", "engines", 1.0)
-        assert len(policy.unseen()) == MAX_UNSEEN
-        assert policy.is_recorded("f-0", "engines", 1.0)
+            policy.record_response(f"f-{number}")
+            policy.record_unobserved_crash(f"e-{number}", "engines", 1.0)
+        assert len(policy.get_unobserved()) == MAX_UNOBSERVED_CRASHES
+        assert policy.must_record("f-0", "engines", 1.0)
 
 
 class TestWait:
@@ -83,11 +83,11 @@
             record = record.with_sends((each,)).with_sends((each,))
         assert [each.endpoint_id for each in record.sends][-1] == f"e-{MAX_SENDS + 2}"
         assert len(record.sends) == MAX_SENDS
-        assert record.without(record.sends[0]).sends == record.sends[1:]
+        assert record.without_send(record.sends[0]).sends == record.sends[1:]
 
     def test_unseen_ends_are_others_than_those_of_its_own_sends(self):
         record = IntentRecord("f-1", (send("e-1"),), ("e-0",))
-        record = record.with_unseen(frozenset({"e-1", "e-2"}))
-        assert record.unseen == ("e-0", "e-2")
-        many = record.with_unseen(frozenset(f"u-{each}" for each in range(50)))
-        assert len(many.unseen) == MAX_UNSEEN
+        record = record.with_unobserved(frozenset({"e-1", "e-2"}))
+        assert record.unobserved == ("e-0", "e-2")
+        many = record.with_unobserved(frozenset(f"u-{each}" for each in range(50)))
+        assert len(many.unobserved) == MAX_UNOBSERVED_CRASHES
--- a/flamingofront/decisions/tests/test_zone_reach.py
+++ b/flamingofront/decisions/tests/test_zone_reach.py
@@ -2,7 +2,11 @@
 
 import pytest
 
-from flamingofront.decisions.zone_reach import CUT_OFF_SECONDS, SPOKE_SECONDS, ZoneReach
+from flamingofront.decisions.zone_reach import (
+    PARTITION_SECONDS,
+    RESPONSE_RECENT_SECONDS,
+    ZoneReachability,
+)
 from flamingofront.process.forwarding.reports import PeerReport, PeerTable
 from flamingofront.tests.forwarding_world import ForwardingWorld
 
@@ -10,53 +14,53 @@
 class TestSigns:
     def silent(self):
         """Return the signs of a zone with silent peers, and an answer that does not come."""
-        reach = ZoneReach()
-        reach.peers_silent({"b"})
-        reach.awaited("b", 10.0 - SPOKE_SECONDS, 10.0)
+        reach = ZoneReachability()
+        reach.set_unresponsive_zones({"b"})
+        reach.record_pending("b", 10.0 - RESPONSE_RECENT_SECONDS, 10.0)
         return reach
 
     def test_silent_peers_tell_a_cut(self):
         reach = self.silent()
-        assert reach.is_cut_off("b", 10.0) and not reach.is_cut_off("a", 10.0)
-        assert not reach.is_cut_off("b", 10.1 + CUT_OFF_SECONDS)
-        reach.peers_silent(())
-        assert not reach.is_cut_off("b", 10.0)
+        assert reach.is_partitioned("b", 10.0) and not reach.is_partitioned("a", 10.0)
+        assert not reach.is_partitioned("b", 10.1 + PARTITION_SECONDS)
+        reach.set_unresponsive_zones(())
+        assert not reach.is_partitioned("b", 10.0)
 
     @pytest.mark.parametrize("sign", ["none", "an answer that is not late yet"])
     def test_silent_peers_alone_tell_nothing(self, sign):
-        reach = ZoneReach()
-        reach.peers_silent({"b"})
+        reach = ZoneReachability()
+        reach.set_unresponsive_zones({"b"})
         if sign != "none":
-            reach.awaited("b", 9.9, 10.0)
-        assert not reach.is_cut_off("b", 10.0)
+            reach.record_pending("b", 9.9, 10.0)
+        assert not reach.is_partitioned("b", 10.0)
 
     def test_one_failed_connection_is_enough_where_peers_are_silent(self):
-        reach = ZoneReach()
-        reach.failed("b", "e1", 10.0)
-        reach.peers_silent({"b"})
-        assert reach.is_cut_off("b", 10.0)
+        reach = ZoneReachability()
+        reach.record_connect_failure("b", "e1", 10.0)
+        reach.set_unresponsive_zones({"b"})
+        assert reach.is_partitioned("b", 10.0)
 
     def test_endpoint_that_speaks_outweighs_its_zone_s_silent_peers(self):
         reach = self.silent()
-        reach.spoke("b", 10.0)
-        assert not reach.is_cut_off("b", 10.0 + 0.9 * SPOKE_SECONDS)
-        reach.awaited("b", 10.0, 10.0 + SPOKE_SECONDS)
-        assert reach.is_cut_off("b", 10.0 + 1.1 * SPOKE_SECONDS)
+        reach.record_response("b", 10.0)
+        assert not reach.is_partitioned("b", 10.0 + 0.9 * RESPONSE_RECENT_SECONDS)
+        reach.record_pending("b", 10.0, 10.0 + RESPONSE_RECENT_SECONDS)
+        assert reach.is_partitioned("b", 10.0 + 1.1 * RESPONSE_RECENT_SECONDS)
 
     def test_two_endpoints_that_cannot_be_connected_to_tell_a_cut_for_a_while(self):
-        reach = ZoneReach()
-        reach.failed("b", "e1", 10.0)
-        assert not reach.is_cut_off("b", 10.0)
-        reach.failed("b", "e2", 10.5)
-        assert reach.is_cut_off("b", 10.5)
-        assert not reach.is_cut_off("b", 10.6 + CUT_OFF_SECONDS)
+        reach = ZoneReachability()
+        reach.record_connect_failure("b", "e1", 10.0)
+        assert not reach.is_partitioned("b", 10.0)
+        reach.record_connect_failure("b", "e2", 10.5)
+        assert reach.is_partitioned("b", 10.5)
+        assert not reach.is_partitioned("b", 10.6 + PARTITION_SECONDS)
 
     def test_answer_forgets_failures(self):
-        reach = ZoneReach()
+        reach = ZoneReachability()
         for endpoint in ("e1", "e2"):
-            reach.failed("b", endpoint, 10.0)
-        reach.spoke("b", 10.1)
-        assert not reach.is_cut_off("b", 10.2 + SPOKE_SECONDS)
+            reach.record_connect_failure("b", endpoint, 10.0)
+        reach.record_response("b", 10.1)
+        assert not reach.is_partitioned("b", 10.2 + RESPONSE_RECENT_SECONDS)
 
 
 class TestSilentPeers:
@@ -130,10 +134,10 @@
         world.cut("zone-a", "zone-b")
         front.directory.connect_failed("engine-zone-b-1", front.timers.now())
         world.run(1.5)
-        assert front.directory.zones.is_cut_off("zone-b", front.timers.now())
+        assert front.directory.zones.is_partitioned("zone-b", front.timers.now())
         world.heal()
         world.run(0.6)
-        assert not front.directory.zones.is_cut_off("zone-b", front.timers.now())
+        assert not front.directory.zones.is_partitioned("zone-b", front.timers.now())
 
     def test_zone_whose_processes_were_all_killed_is_used_while_its_endpoints_answer(self):
         world = self.world()
--- a/flamingofront/decisions/zone_reach.py
+++ b/flamingofront/decisions/zone_reach.py
@@ -11,53 +11,53 @@
 
 from collections.abc import Collection
 
-__all__ = ["ZoneReach"]
+__all__ = ["ZoneReachability"]
 
 # A zone in which so many endpoints could not be reached within this time, and none was, is taken to
 # be cut off: the others there are not tried one by one, at a connect timeout each.
-CUT_OFF_ENDPOINTS = 2
-CUT_OFF_SECONDS = 2.0
+MIN_FAILED_ENDPOINTS = 2
+PARTITION_SECONDS = 2.0
 # Bytes from an endpoint speak for its zone for so long, in seconds: a stream sends every 20 to 100
 # ms.
-SPOKE_SECONDS = 0.4
+RESPONSE_RECENT_SECONDS = 0.4
 
 
-class ZoneReach:
+class ZoneReachability:
     """Signs of zones that are cut off; times in seconds."""
 
     def __init__(self):
-        self._failed: dict[str, dict[str, float]] = {}
-        self._spoke: dict[str, float] = {}
-        self._unanswered: dict[str, float] = {}
-        self._silent: frozenset[str] = frozenset()
+        self._connect_failures: dict[str, dict[str, float]] = {}
+        self._responses: dict[str, float] = {}
+        self._pending: dict[str, float] = {}
+        self._unresponsive_zones: frozenset[str] = frozenset()
 
-    def failed(self, zone: str, endpoint_id: str, now: float) -> None:
+    def record_connect_failure(self, zone: str, endpoint_id: str, now: float) -> None:
         """Note an endpoint that could not be connected to."""
-        self._failed.setdefault(zone, {})[endpoint_id] = now
+        self._connect_failures.setdefault(zone, {})[endpoint_id] = now
 
-    def spoke(self, zone: str, now: float) -> None:
+    def record_response(self, zone: str, now: float) -> None:
         """Note that an endpoint of the zone has sent something."""
-        self._failed.pop(zone, None)
-        self._unanswered.pop(zone, None)
-        self._spoke[zone] = now
+        self._connect_failures.pop(zone, None)
+        self._pending.pop(zone, None)
+        self._responses[zone] = now
 
-    def peers_silent(self, zones: Collection[str]) -> None:
+    def set_unresponsive_zones(self, zones: Collection[str]) -> None:
         """Take the zones all of whose entry processes have fallen silent."""
-        self._silent = frozenset(zones)
+        self._unresponsive_zones = frozenset(zones)
 
-    def awaited(self, zone: str, since: float, now: float) -> None:
+    def record_pending(self, zone: str, since: float, now: float) -> None:
         """Note that an answer from the zone is awaited, and since when nothing has come of it."""
-        if now - since >= SPOKE_SECONDS:
-            self._unanswered[zone] = now
+        if now - since >= RESPONSE_RECENT_SECONDS:
+            self._pending[zone] = now
 
-    def is_cut_off(self, zone: str, now: float) -> bool:
+    def is_partitioned(self, zone: str, now: float) -> bool:
         """Tell whether a zone seems to be cut off from this process."""
-        if now - self._spoke.get(zone, -SPOKE_SECONDS) < SPOKE_SECONDS:
+        if now - self._responses.get(zone, -RESPONSE_RECENT_SECONDS) < RESPONSE_RECENT_SECONDS:
             return False
-        needed = CUT_OFF_ENDPOINTS
-        if zone in self._silent:
-            if now - self._unanswered.get(zone, -CUT_OFF_SECONDS) < CUT_OFF_SECONDS:
+        needed = MIN_FAILED_ENDPOINTS
+        if zone in self._unresponsive_zones:
+            if now - self._pending.get(zone, -PARTITION_SECONDS) < PARTITION_SECONDS:
                 return True
             needed = 1
-        times = self._failed.get(zone, {})
-        return sum(now - each <= CUT_OFF_SECONDS for each in times.values()) >= needed
+        times = self._connect_failures.get(zone, {})
+        return sum(now - each <= PARTITION_SECONDS for each in times.values()) >= needed
--- a/flamingofront/process/forwarding/control.py
+++ b/flamingofront/process/forwarding/control.py
@@ -61,7 +61,7 @@
         gauge("requests_in_flight", len(node.hub.active))
         gauge("requests_waiting", node.hub.waiting())
         gauge("requests_suspected", len(node.hub.guard.suspects()))
-        gauge("requests_held", len(node.hub.guard.quarantine.holds()))
+        gauge("requests_held", len(node.hub.guard.quarantine.list_entries()))
         gauge("endpoints_limited", len(node.hub.limits.limited()))
         gauge("configuration_revision", node.configuration.version)
         gauge("store_era", node.store.era)
--- a/flamingofront/process/forwarding/limit_arbiter.py
+++ b/flamingofront/process/forwarding/limit_arbiter.py
@@ -151,7 +151,7 @@
         if decision.arbiter:
             self._give_back(endpoint_id, decision.arbiter)
         elif decision.arbiter is not None:
-            self._for_all.give_back(endpoint_id)
+            self._for_all.return_permit(endpoint_id)
 
     def _give_back(self, endpoint_id: str, ip: str) -> None:
         limit = self._limits.limit(endpoint_id) or EndpointLimit(endpoint_id, 0, None, 0.0)
@@ -198,7 +198,7 @@
         """
         question = decode_permit_question(data)
         if question.priority == GIVEN_BACK:
-            self._for_all.give_back(question.limit.endpoint_id)
+            self._for_all.return_permit(question.limit.endpoint_id)
             return
         reply = self._sent.once(ip, question.number, lambda: self._reply(question, ip))
         self._metrics.count("limit_replies_total", verdict=reply.verdict.name.lower())
@@ -215,5 +215,5 @@
             return PermitReply(question.number, Verdict.ALLOWED)
         claim = RateClaim(endpoint_id, known.rate, question.priority, question.patience, ip)
         decided = self._for_all.decide(claim, part, self._timers.now())
-        verdict = Verdict.ALLOWED if decided.given else Verdict.REFUSED
+        verdict = Verdict.ALLOWED if decided.is_granted else Verdict.REFUSED
         return PermitReply(question.number, verdict, decided.delay, decided.wait)
--- a/flamingofront/process/forwarding/node.py
+++ b/flamingofront/process/forwarding/node.py
@@ -10,7 +10,7 @@
 from flamingofront.decisions.choice import BacklogChoice
 from flamingofront.decisions.fleet_plan import CheapestSafeFleet
 from flamingofront.decisions.quota import SharedQuota
-from flamingofront.decisions.quota_facts import QuotaRules
+from flamingofront.decisions.quota_facts import QuotaLimits
 from flamingofront.decisions.retry import RetryBudget
 from flamingofront.decisions.shared_retry import SharedRetryBudget
 from flamingofront.messages import InboundRequest
@@ -200,7 +200,7 @@
         rules = settings.rules
         self.quota = SharedQuota(
             lambda: self.peers.heard_share(),
-            QuotaRules(rules.quota_window, rules.quota_over, rules.quota_allowance),
+            QuotaLimits(rules.quota_window, rules.quota_over, rules.quota_allowance),
             lambda: self.peers.lag(),
             self._rng,
             lambda: self.peers.member_count(),
@@ -516,7 +516,7 @@
 
     def _configuration_changed(self, cfg: ForwardingConfiguration) -> None:
         self.gateway.configuration = cfg
-        self.quota.prepare(cfg.workspaces, self.timers.now())
+        self.quota.start_buckets(cfg.workspaces, self.timers.now())
         self.on_configuration(cfg)
 
     @property
--- a/flamingofront/process/forwarding/observations.py
+++ b/flamingofront/process/forwarding/observations.py
@@ -6,9 +6,9 @@
 from collections import Counter
 from collections.abc import Callable, Iterable, Mapping
 
-from flamingofront.decisions.demand import Work
+from flamingofront.decisions.demand import OfferedLoad
 from flamingofront.decisions.engine_rates import EngineRates
-from flamingofront.decisions.shares import Placement, first_endpoints
+from flamingofront.decisions.shares import RingPosition, select_preferred_endpoints
 from flamingofront.process.forwarding.peers import REPORT_SECONDS, Peers
 from flamingofront.process.forwarding.reports import LoadNote
 from flamingofront.process.logs import Log
@@ -71,7 +71,7 @@
     def start(self) -> None:
         """Begin to observe."""
         self._hub.directory.on_load = self._load_changed
-        self._hub.directory.first = self.first_endpoints
+        self._hub.directory.first = self.select_preferred_endpoints
         self._peers.sharers = self.sharers
         self._hub.directory.before_choice = self._spread_if_stale
         self._timers.every(LOAD_SECONDS, self._loads_due, relaxed=True)
@@ -101,19 +101,19 @@
             else:
                 directory.peer_changed(endpoint_id, requests, tokens)
 
-    def first_endpoints(self, endpoints: Mapping[str, str]) -> tuple[str, ...]:
+    def select_preferred_endpoints(self, endpoints: Mapping[str, str]) -> tuple[str, ...]:
         """Return the endpoints that this process uses first; none where processes are few."""
         if not self._peers.many:
             return ()
-        return first_endpoints(
+        return select_preferred_endpoints(
             self._places()[self._own_id], self._peers.relaying.zones(), endpoints
         )
 
-    def _places(self) -> dict[str, Placement]:
+    def _places(self) -> dict[str, RingPosition]:
         """Return where the processes of the zone stand among all."""
         names = sorted(self._peers.relaying.near())
         return {
-            name: Placement(self._zone, number, len(names)) for number, name in enumerate(names)
+            name: RingPosition(self._zone, number, len(names)) for number, name in enumerate(names)
         }
 
     def sharers(self, endpoints: Iterable[str]) -> dict[str, list[str]]:
@@ -123,7 +123,9 @@
         for service in {fact.service for fact in map(self._facts.get, endpoints) if fact}:
             known = self._hub.directory.zones_of(service)
             for name, place in self._places().items():
-                shared = set(first_endpoints(place, zones, known)).intersection(endpoints)
+                shared = set(select_preferred_endpoints(place, zones, known)).intersection(
+                    endpoints
+                )
                 if shared and name != self._own_id:
                     found.setdefault(near[name], []).extend(sorted(shared))
         return found
@@ -174,7 +176,9 @@
         directory = self._hub.directory
         loads = Counter(directory.all_in_flight())
         backlog: Counter[str] = Counter()
-        seconds = {name: each.now().token_seconds for name, each in self._hub.rates.known()}
+        seconds = {
+            name: each.estimate().token_seconds for name, each in self._hub.rates.list_services()
+        }
         unknown = self._just_restarted(now)
         for others in self._peers.loads():
             for name, requests in others.in_flight.items():
@@ -196,11 +200,11 @@
         now = self._timers.now()
         zones = self._hub.directory.zones
         silent = self._peers.silent_zones() - {self._zone}
-        zones.peers_silent(silent)
+        zones.set_unresponsive_zones(silent)
         for zone in silent:
-            zones.awaited(zone, self._hub.silent_since(zone), now)
+            zones.record_pending(zone, self._hub.silent_since(zone), now)
         known = {each.zone for each in self._facts.select(Role.ENDPOINT)}
-        cut_off = {zone for zone in known if zones.is_cut_off(zone, now)}
+        cut_off = {zone for zone in known if zones.is_partitioned(zone, now)}
         for zone in cut_off ^ self._cut_off:
             event = "zone cut off" if zone in cut_off else "zone reached again"
             self._log.warning(event, of_zone=zone, silent=sorted(silent))
@@ -210,13 +214,13 @@
 
     def _log_rates(self) -> None:
         """Tell what was learned of the endpoints: placement and the fleet follow from it."""
-        work = self._hub.work.work(self._timers.now())
-        for name, rates in self._hub.rates.known():
-            now, asked = rates.now(), work.get(name, Work())
+        work = self._hub.work.get_loads(self._timers.now())
+        for name, rates in self._hub.rates.list_services():
+            now, asked = rates.estimate(), work.get(name, OfferedLoad())
             self._log.info(
                 "rates learned",
                 service=name,
-                answers=rates.answers,
+                answers=rates.response_count,
                 token_us=round(now.token_seconds * 1e6, 2),
                 base_ms=round(now.base_seconds * 1e3, 1),
                 pause_ms=round(now.pause_seconds * 1e3, 1),
--- a/flamingofront/process/forwarding/operators.py
+++ b/flamingofront/process/forwarding/operators.py
@@ -165,7 +165,7 @@
             reason = "no permit"
         elif not hub.directory.is_reachable(fact.vm_id, hub.now()):
             reason = "not reached"
-        elif hub.directory.health.ejected((fact.vm_id,), hub.now()):
+        elif hub.directory.health.list_ejected((fact.vm_id,), hub.now()):
             reason = "errors"
         return {"closed_for": round(max(pause, permit), 3) or None, "withheld": reason}
 
@@ -198,7 +198,7 @@
         ]
 
     def _workspaces(self) -> Rows:
-        spent = self._node.quota.spent()
+        spent = self._node.quota.get_consumed()
         return [
             {
                 "name": each.name,
--- a/flamingofront/process/forwarding/own_report.py
+++ b/flamingofront/process/forwarding/own_report.py
@@ -92,7 +92,7 @@
 
     def _work(self, hub: RequestHub) -> dict[str, tuple[float, float]]:
         """Return the work that this process places, rounded to a thousandth of an endpoint."""
-        found = hub.work.work(self._timers.now())
+        found = hub.work.get_loads(self._timers.now())
         return {name: (round(each.fast, 3), round(each.slow, 3)) for name, each in found.items()}
 
     def _some_peers(self, heard: list[PeerReport]) -> tuple[str, ...]:
--- a/flamingofront/process/forwarding/peer_word.py
+++ b/flamingofront/process/forwarding/peer_word.py
@@ -41,7 +41,7 @@
 
     def own_report(self) -> PeerReport:
         """Return this process's report as it is now."""
-        return self._own.make(self._reported, self._parts.quota.spent())
+        return self._own.make(self._reported, self._parts.quota.get_consumed())
 
     def take_report(self, report: PeerReport, gap: float | None) -> None:
         """Take a peer's report: its quota use, its counts, its word on the lease, its load.
@@ -74,7 +74,7 @@
         counts : bool
             True if what they have grown was told by nobody else.
         """
-        self._parts.quota.heard(process, sums, counts, self._timers.now())
+        self._parts.quota.merge_consumed(process, sums, counts, self._timers.now())
         self._reported.rollouts.hear_sums(process, sums, counts)
 
     def take_belief(self, relay: PeerReport, claim: Claim) -> None:
--- a/flamingofront/process/forwarding/reports.py
+++ b/flamingofront/process/forwarding/reports.py
@@ -13,7 +13,7 @@
 
 import orjson
 
-from flamingofront.decisions.quarantine_facts import QuarantineWord
+from flamingofront.decisions.quarantine_facts import QuarantineUpdate
 from flamingofront.decisions.rollout import Phase
 from flamingofront.process.forwarding.limit_messages import decode_limits, encode_limits
 from flamingofront.process.quarantine_codec import decode_word, encode_word
@@ -98,7 +98,7 @@
         report does not tell it.
     rollouts : mapping of str to (int, int)
         Number of the order and phase of each roll-out that it knows, by service.
-    quarantine : QuarantineWord, optional
+    quarantine : QuarantineUpdate, optional
         Endpoints that have just ended and what ran there, and requests that are not run. None if
         there are none.
     limits : tuple of EndpointLimit
@@ -135,7 +135,7 @@
     demand: Mapping[str, float] | None = None
     work: Mapping[str, tuple[float, float]] | None = None
     rollouts: Mapping[str, tuple[int, int]] = field(default_factory=dict)
-    quarantine: QuarantineWord | None = None
+    quarantine: QuarantineUpdate | None = None
     limits: tuple[EndpointLimit, ...] = ()
     leaving_endpoints: tuple[tuple[str, int], ...] = ()
     position: int = 0
--- a/flamingofront/process/forwarding/tests/test_reports.py
+++ b/flamingofront/process/forwarding/tests/test_reports.py
@@ -215,13 +215,13 @@
             front = world.fronts[name]
             if name not in lost:
                 workspace = front.configuration.workspaces[0]
-                front.quota.spend(workspace, 1000.0, front.timers.now())
+                front.quota.consume(workspace, 1000.0, front.timers.now())
             world.run(0.02)
         world.run(2.0)
         alive = {name: each for name, each in world.fronts.items() if name not in lost}
-        taken = sum(each.quota.spent().get("desk", 0.0) for each in world.fronts.values())
+        taken = sum(each.quota.get_consumed().get("desk", 0.0) for each in world.fronts.values())
         for each in alive.values():
-            state = each.quota.state(each.configuration.workspaces[0], each.timers.now())
+            state = each.quota.get_state(each.configuration.workspaces[0], each.timers.now())
             # Losing one relay in every zone at once hides up to 0.8 s, of four, from the others.
             assert (0.8 if lost else 1.0) * taken <= state.taken <= 1.05 * taken
 
--- a/flamingofront/process/forwarding/whole_load.py
+++ b/flamingofront/process/forwarding/whole_load.py
@@ -2,7 +2,7 @@
 
 from collections import Counter
 
-from flamingofront.decisions.demand import Demand, Work
+from flamingofront.decisions.demand import Demand, OfferedLoad
 from flamingofront.process.forwarding.peers import Peers
 from flamingofront.process.forwarding.sums import add_demand, add_work
 from flamingofront.process.membership import FactTable
@@ -32,8 +32,8 @@
         """Return the requests that run at the endpoints of a service."""
         loads = self._peers.loads()
         running = self._hub.in_flight_of(service) + add_demand(loads).get(service, 0)
-        work = self._hub.work.work(self._timers.now()).get(service, Work())
-        work += Work(*add_work(loads).get(service, (0.0, 0.0)))
+        work = self._hub.work.get_loads(self._timers.now()).get(service, OfferedLoad())
+        work += OfferedLoad(*add_work(loads).get(service, (0.0, 0.0)))
         return Demand(running, self._hub.directory.slots(service) or DEFAULT_SLOTS, work)
 
     def at_other_versions(self, service: str, version: str) -> int | None:
--- a/flamingofront/process/intents.py
+++ b/flamingofront/process/intents.py
@@ -12,7 +12,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from flamingofront.decisions.quarantine_facts import is_over
+from flamingofront.decisions.quarantine_facts import is_expired
 from flamingofront.decisions.send_intents import (
     UNANSWERED_WAIT_SECONDS,
     IntentPolicy,
@@ -158,7 +158,7 @@
             return True
         if len(self._pending) + len(self._waiting) >= MAX_PENDING:
             return False
-        return self._policy.is_recorded(fingerprint, service, self._timers.now())
+        return self._policy.must_record(fingerprint, service, self._timers.now())
 
     def record(self, facts: SendFacts, then: Callable[[Recorded], None]) -> IntentHandle:
         """Record a request; `then` is called, later, when it may be sent."""
@@ -202,7 +202,7 @@
         """Take note that an endpoint has answered a request."""
         if not self._own and not self._known.kept:
             return
-        self._policy.answered(fingerprint)
+        self._policy.record_response(fingerprint)
         for claim in [each for each in self._own.values() if each.fingerprint == fingerprint]:
             self._forget(claim)
             claim.decide(Recorded.NEEDLESS)
@@ -216,7 +216,7 @@
             self._timers.once(KEPT_SECONDS, lambda: self._settle(claim), relaxed=True)
 
     def _settle(self, claim: _Claim) -> None:
-        if claim.intent.endpoint_id not in self._guard.quarantine.ended_endpoints():
+        if claim.intent.endpoint_id not in self._guard.quarantine.crashed_endpoints():
             self.remove(claim)
 
     def remove(self, claim: _Claim) -> None:
@@ -243,10 +243,10 @@
 
     # What ended with no witness
 
-    def unseen_end(self, endpoint_id: str) -> None:
+    def record_unobserved_crash(self, endpoint_id: str) -> None:
         """Take note of an end about a restart at which nobody knows of a request."""
         service = self._directory.service_of(endpoint_id)
-        if self._policy.unseen_end(endpoint_id, service, self._timers.now()):
+        if self._policy.record_unobserved_crash(endpoint_id, service, self._timers.now()):
             self._log.info(
                 "requests are recorded before they are sent", service=service, endpoint=endpoint_id
             )
@@ -264,7 +264,7 @@
         """Remove records whose sends are so old that they are no evidence any more."""
         now = self._guard.wall()
         for fingerprint, kept in self._known.kept.items():
-            if all(is_over(each.at, now) for each in kept.record.sends):
+            if all(is_expired(each.at, now) for each in kept.record.sends):
                 self._known.answered[fingerprint] = None
         if self._known.answered:
             self._remove_soon()
@@ -331,7 +331,7 @@
             return False
         record = self._known.record(claim.fingerprint)
         record = record.with_sends(tuple(each.intent for each in beside))
-        return self._policy.must_wait(record, self._former.seen_alive)
+        return self._policy.must_wait(record, self._former.last_alive)
 
     def _wait(self, claim: _Claim) -> None:
         """Let a request wait until it is known what its earlier sends did."""
@@ -374,7 +374,7 @@
                 self._removed_meanwhile(claim)
 
     def _next_record(self, fingerprint: str, claims: list[_Claim]) -> IntentRecord:
-        record = self._known.record(fingerprint).with_unseen(self._policy.unseen())
+        record = self._known.record(fingerprint).with_unobserved(self._policy.get_unobserved())
         return record.with_sends(tuple(each.intent for each in claims))
 
     def _removed_meanwhile(self, claim: _Claim) -> None:
@@ -464,7 +464,7 @@
     def _without_ended(self, record: IntentRecord) -> IntentRecord:
         """Return a record without the sends of this VM that are over."""
         for send in record.sends:
-            is_over = send not in self._own and not self._former.has_ended(send.endpoint_id)
-            if send.vm_id == self._sender.vm_id and is_over:
-                record = record.without(send)
-        return record.with_unseen(self._policy.unseen())
+            is_expired = send not in self._own and not self._former.has_ended(send.endpoint_id)
+            if send.vm_id == self._sender.vm_id and is_expired:
+                record = record.without_send(send)
+        return record.with_unobserved(self._policy.get_unobserved())
--- a/flamingofront/process/node.py
+++ b/flamingofront/process/node.py
@@ -148,7 +148,7 @@
         self._guard_endpoints(incarnation)
         self.limits = SharedLimits(self.gossip, self.hub, self.timers)
         self.hub.capacity_share = self.limits.capacity_share
-        self.directory.own_share = self.limits.capacity_share
+        self.directory.local_share = self.limits.capacity_share
         self.keyed = KeyedRequests(
             settings.vm_id,
             self.hub,
@@ -423,7 +423,7 @@
         self.metrics.gauge("requests_in_flight", len(self.hub.active))
         self.metrics.gauge("requests_waiting", self.hub.waiting())
         self.metrics.gauge("requests_suspected", len(self.hub.guard.suspects()))
-        self.metrics.gauge("requests_held", len(self.hub.guard.quarantine.holds()))
+        self.metrics.gauge("requests_held", len(self.hub.guard.quarantine.list_entries()))
         self.metrics.gauge("configuration_revision", self.gossip.configuration.revision)
         self.metrics.gauge("ready", int(self.ready))
         for state in VmState:
--- a/flamingofront/process/tests/test_intents.py
+++ b/flamingofront/process/tests/test_intents.py
@@ -72,7 +72,7 @@
         (record,) = recorded(world).values()
         (send,) = record.sends
         assert send.vm_id == "front-0"
-        assert len(record.unseen) == 3
+        assert len(record.unobserved) == 3
 
     def test_repeat_of_an_unanswered_request_is_in_the_store_before_its_endpoint_has_it(self):
         world = wary_world()
--- a/flamingofront/request/directory.py
+++ b/flamingofront/request/directory.py
@@ -13,8 +13,8 @@
 from flamingofront.decisions.choice import Candidate, report_weight
 from flamingofront.decisions.retry import EndpointHealth
 from flamingofront.decisions.rollout import VersionRule
-from flamingofront.decisions.shares import NotedPrompts
-from flamingofront.decisions.zone_reach import ZoneReach
+from flamingofront.decisions.shares import RemotePrompts
+from flamingofront.decisions.zone_reach import ZoneReachability
 from flamingofront.process.membership import Fact, FactTable, Role, VmState
 from flamingofront.process.rendezvous import rank
 from flamingofront.request.prefixes import PrefixIndex
@@ -54,7 +54,7 @@
 @dataclass(frozen=True)
 class _Report:
     load: float
-    own_in_flight: int
+    local_in_flight: int
     at: float
 
 
@@ -89,7 +89,7 @@
     home: str
     home_tokens: int
     closed: frozenset[str]
-    own_share: float
+    local_share: float
     report_weight: float
 
 
@@ -122,11 +122,11 @@
         self.sample_size: Callable[[], int] = lambda: MAX_CANDIDATES
         self.first: Callable[[Mapping[str, str]], tuple[str, ...]] = lambda endpoints: ()
         self.before_choice: Callable[[], None] = lambda: None
-        self.noted = NotedPrompts()
+        self.noted = RemotePrompts()
         self.health = EndpointHealth(rng)
         self.prefixes = PrefixIndex()
         self.configuration = Configuration()
-        self.own_share: Callable[[], float] = lambda: 1.0
+        self.local_share: Callable[[], float] = lambda: 1.0
         self._in_flight: Counter[str] = Counter()
         self._reported_at: float | None = None
         self._backlog: Counter[str] = Counter()
@@ -137,7 +137,7 @@
         self._unreachable: dict[str, float] = {}
         self._connect_failures: Counter[str] = Counter()
         self._reached_at: dict[str, float] = {}
-        self.zones = ZoneReach()
+        self.zones = ZoneReachability()
         self._index: dict[str, _ServiceEndpoints] = {}
         self._basis = (-1, -1)
 
@@ -208,7 +208,7 @@
         endpoints = self._endpoints(service.name)
         if rule is not None:
             endpoints = _ServiceEndpoints(rule.select(endpoints.facts), endpoints.drained)
-        ejected = self.health.ejected(endpoints.facts, now)
+        ejected = self.health.list_ejected(endpoints.facts, now)
         home = self._home(endpoints, shared)
         if whole or len(endpoints.facts) <= self.sample_size():
             facts = list(endpoints.facts.values())
@@ -225,7 +225,7 @@
             home=home,
             home_tokens=shared.tokens if shared is not None else 0,
             closed=closed,
-            own_share=self.own_share(),
+            local_share=self.local_share(),
             report_weight=report_weight(sum(self._in_flight[each] for each in ids), len(ids)),
         )
         return [self._candidate(fact, service, hashes, view) for fact in facts]
@@ -279,7 +279,7 @@
         report = self._reports.get(endpoint_id)
         if report is not None and view.now - report.at > REPORT_SECONDS:
             report = None
-        noted_requests, noted_tokens = self.noted.at(endpoint_id, view.now)
+        noted_requests, noted_tokens = self.noted.get_counts(endpoint_id, view.now)
         backlog = self._backlog[endpoint_id] + self._peer_backlog.get(endpoint_id, 0)
         return Candidate(
             endpoint_id=endpoint_id,
@@ -288,9 +288,9 @@
             side=fact.side,
             price=fact.price,
             slots=fact.slots or service.slots,
-            own_in_flight=self._in_flight[endpoint_id],
+            local_in_flight=self._in_flight[endpoint_id],
             reported_load=(report.load if report else 0.0) + noted_requests,
-            own_at_report=report.own_in_flight if report else 0,
+            local_at_report=report.local_in_flight if report else 0,
             cached_tokens=self._cached_tokens(endpoint_id, hashes, view),
             backlog_tokens=backlog + noted_tokens,
             reclaim_risk=DEFAULT_RECLAIM_RATE if fact.reclaimable else 0.0,
@@ -298,7 +298,7 @@
             leaving=endpoint_id in view.drained,
             ejected=endpoint_id in view.ejected,
             reachable=self._is_reachable(fact, view.now),
-            own_share=view.own_share,
+            local_share=view.local_share,
             report_weight=view.report_weight,
             closed=endpoint_id in view.closed,
         )
@@ -384,7 +384,7 @@
         own = float(self._in_flight[endpoint_id])
         if report is None:
             return own
-        return max(own, report.load + own - report.own_in_flight)
+        return max(own, report.load + own - report.local_in_flight)
 
     def loads_age(self, now: float) -> float | None:
         """Return the seconds since the last load reports; None if there were none."""
@@ -417,7 +417,7 @@
         self._unreachable[endpoint_id] = now + seconds
         fact = self._facts.get(endpoint_id)
         if fact is not None and not refused:
-            self.zones.failed(fact.zone, endpoint_id, now)
+            self.zones.record_connect_failure(fact.zone, endpoint_id, now)
 
     def reached(self, endpoint_id: str, now: float) -> None:
         """Note that an endpoint has sent something."""
@@ -426,7 +426,7 @@
             del self._connect_failures[endpoint_id]
         fact = self._facts.get(endpoint_id)
         if fact is not None:
-            self.zones.spoke(fact.zone, now)
+            self.zones.record_response(fact.zone, now)
 
     def reached_at(self, endpoint_id: str) -> float:
         """Return when an endpoint last sent something; minus infinity if it never did."""
@@ -440,7 +440,7 @@
     def _is_reachable(self, fact: Fact, now: float) -> bool:
         if self._unreachable.get(fact.vm_id, -math.inf) > now:
             return False
-        return not self.zones.is_cut_off(fact.zone, now)
+        return not self.zones.is_partitioned(fact.zone, now)
 
     def version_of(self, endpoint_id: str) -> str:
         """Return the version of an endpoint's software; empty if it is not known."""
--- a/flamingofront/request/endpoint_ends.py
+++ b/flamingofront/request/endpoint_ends.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass, field
 
 from flamingofront.connection.interfaces import Reach, Transport
-from flamingofront.decisions.quarantine_facts import EndpointEnd
+from flamingofront.decisions.quarantine_facts import EndpointCrash
 from flamingofront.process.logs import Log
 from flamingofront.process.metrics import Metrics
 from flamingofront.process.timers import TimerService
@@ -51,7 +51,7 @@
     Attributes
     ----------
     on_ended : callable
-        Gets each `EndpointEnd`, with its time on the clock of the timer service. A second one of
+        Gets each `EndpointCrash`, with its time on the clock of the timer service. A second one of
         the same end names what was noticed later.
     on_unwitnessed : callable
         Gets each endpoint whose row went without notice while no request of this process was there.
@@ -73,7 +73,7 @@
         self._metrics = metrics
         self._log = log
         self._doubts: dict[str, _Doubt] = {}
-        self.on_ended: Callable[[EndpointEnd], None] = lambda end: None
+        self.on_ended: Callable[[EndpointCrash], None] = lambda end: None
         self.on_unwitnessed: Callable[[str], None] = lambda endpoint_id: None
         self.on_found: Callable[[str], None] = lambda endpoint_id: None
 
@@ -191,4 +191,4 @@
         self._tell(endpoint_id, doubt, frozenset(doubt.requests))
 
     def _tell(self, endpoint_id: str, doubt: _Doubt, requests: frozenset[str]) -> None:
-        self.on_ended(EndpointEnd(endpoint_id, doubt.zone, doubt.at, tuple(sorted(requests))))
+        self.on_ended(EndpointCrash(endpoint_id, doubt.zone, doubt.at, tuple(sorted(requests))))
--- a/flamingofront/request/hub.py
+++ b/flamingofront/request/hub.py
@@ -12,9 +12,9 @@
     ChoicePolicy,
     CostChoice,
     WorkEstimate,
-    usable,
+    filter_usable,
 )
-from flamingofront.decisions.demand import WorkMeter
+from flamingofront.decisions.demand import LoadMeter
 from flamingofront.decisions.engine_rates import LearnedRates
 from flamingofront.decisions.retry import PacedRetryBudget, RetryBudget
 from flamingofront.decisions.stopping import CompletionBounds
@@ -104,7 +104,7 @@
         self.permits = Permits(self.limits, timers, metrics, rng)
         self.pauses = EndpointPauses(timers, metrics, log, rng)
         self.on_leaving: Callable[[str, str], None] = lambda endpoint_id, request: None
-        self.work = WorkMeter()
+        self.work = LoadMeter()
         self._policy = policy or CostChoice()
         self._admissions: dict[str, FairAdmission] = {}
         self._budgets: dict[str, RetryBudget] = {}
@@ -161,7 +161,7 @@
         self._held[record.workspace] = self._held.get(record.workspace, 0) + 1
         self.metrics.count("requests_accepted_total", service=service.name)
         if not resumed:
-            self.budget(service).accepted(now)
+            self.budget(service).record_request(now)
         return request
 
     def choice_patience(self, record: RequestRecord) -> float:
@@ -181,20 +181,20 @@
     def _pump_service(self, name: str) -> None:
         admission = self._admissions[name]
         while True:
-            ticket = admission.next_ready(self.now())
+            ticket = admission.start_next(self.now())
             if ticket is None:
                 return
             request = self.active.get(ticket.request_id)
             if request is not None and not request.done:
                 request.begin()
             else:
-                admission.finished(ticket, self.now())
+                admission.release(ticket, self.now())
 
     def _expire(self) -> None:
         """Refuse at once what waited for too long, then start what fits."""
         self._expiry = None
         for admission in self._admissions.values():
-            for ticket in admission.expired(self.now()):
+            for ticket in admission.drop_expired(self.now()):
                 request = self.active.get(ticket.request_id)
                 if request is not None and not request.done:
                     retry_after = admission.retry_after(self.now())
@@ -275,12 +275,14 @@
             service.first_token_target,
             service.token_target,
             self.settings.zone,
-            self.rates.of(service.name).now(),
+            self.rates.for_service(service.name).estimate(),
         )
 
     def work_asked(self, service: str, tokens: int) -> None:
         """Count the work of a request, by the prompt tokens that its endpoint has to read."""
-        self.work.add(service, self.rates.of(service).now().work(tokens), self.now())
+        self.work.add(
+            service, self.rates.for_service(service).estimate().endpoint_seconds(tokens), self.now()
+        )
 
     def attempt_lost(
         self, service: Service, endpoint_id: str, executed: Ran, reason: str, now: float
@@ -291,7 +293,7 @@
 
     def endpoint_failed(self, service: Service, endpoint_id: str, now: float) -> None:
         """Note a failure of an endpoint, which may eject it for a while."""
-        if self.directory.health.failed(endpoint_id, now):
+        if self.directory.health.record_failure(endpoint_id, now):
             self.metrics.count("ejections_total", service=service.name)
             self.log.warning("endpoint ejected", service=service.name, endpoint=endpoint_id)
 
@@ -347,7 +349,7 @@
         del self.active[request.request_id]
         now = self.now()
         record = request.record
-        self._admissions[record.service.name].finished(request.ticket, now)
+        self._admissions[record.service.name].release(request.ticket, now)
         left = self._held.get(record.workspace, 0) - 1
         if left > 0:
             self._held[record.workspace] = left
@@ -424,14 +426,14 @@
     The side of a move goes last: only when it has no endpoint at all does the other side answer.
     """
     for wanted_side in (side, None):
-        on_side = list(usable(candidates, wanted_side, frozenset()))
+        on_side = list(filter_usable(candidates, wanted_side, frozenset()))
         fresh = [each for each in on_side if each.endpoint_id not in exclude]
         if fresh or on_side:
             return fresh or on_side
         alive = [
             each
             for each in candidates
-            if not each.barred and (wanted_side is None or each.side == wanted_side)
+            if not each.is_unavailable and (wanted_side is None or each.side == wanted_side)
         ]
         if alive:
             return alive
--- a/flamingofront/request/intent_gate.py
+++ b/flamingofront/request/intent_gate.py
@@ -81,7 +81,7 @@
         """Take note that an endpoint has ended without notice."""
 
     @abstractmethod
-    def unseen_end(self, endpoint_id: str) -> None:
+    def record_unobserved_crash(self, endpoint_id: str) -> None:
         """Take note of an end about a restart at which nobody knows of a request."""
 
 
@@ -110,7 +110,7 @@
     def endpoint_ended(self, endpoint_id: str) -> None:
         """Take note of nothing."""
 
-    def unseen_end(self, endpoint_id: str) -> None:
+    def record_unobserved_crash(self, endpoint_id: str) -> None:
         """Take note of nothing."""
 
 
--- a/flamingofront/request/quota_gate.py
+++ b/flamingofront/request/quota_gate.py
@@ -62,7 +62,7 @@
         then: Callable[[QuotaDecision], None],
     ) -> None:
         """Decide at once."""
-        then(QuotaDecision(self._quota.wait(workspace, units, self._timers.now())))
+        then(QuotaDecision(self._quota.get_wait(workspace, units, self._timers.now())))
 
     def unused(self, workspace: ForwardedWorkspace, units: float, decision: QuotaDecision) -> None:
         """Do nothing: what is allowed here is only taken out once the request is accepted."""
--- a/flamingofront/request/rate_gate.py
+++ b/flamingofront/request/rate_gate.py
@@ -67,7 +67,7 @@
 
     def unused(self, endpoint_id: str, decision: RateDecision) -> None:
         """Give a permit back that was not used."""
-        self._limiter.give_back(endpoint_id)
+        self._limiter.return_permit(endpoint_id)
 
     def forget(self, endpoint_id: str) -> None:
         """Forget what was let through to an endpoint."""
