--- a/bench/answer_mutations.py
+++ b/bench/answer_mutations.py
@@ -29,7 +29,7 @@
     Mutation(
         "Limit: urgent requests are kept a part",
         "decisions/rate_limits.py",
-        "needed = 1.0 + known.rank(claim.priority, now) *",
+        "needed = 1.0 + endpoint.count_urgent(claim.priority, now) *",
         "needed = 1.0 + 0 *",
         BUCKET,
     ),
--- a/bench/known_failure_mutations.py
+++ b/bench/known_failure_mutations.py
@@ -14,8 +14,10 @@
     Mutation(
         "S a deadline alone decides where the size is not known",
         "decisions/stopping.py",
-        "if output_tokens <= 0 or len(self._seen) < MIN_STREAMS:\n            return math.inf",
-        "if output_tokens <= 0 or len(self._seen) < MIN_STREAMS:\n            return 1.0",
+        "if output_tokens <= 0 or len(self._observations) < MIN_STREAMS:\n"
+        "            return math.inf",
+        "if output_tokens <= 0 or len(self._observations) < MIN_STREAMS:\n"
+        "            return 1.0",
         STOPPING,
     ),
     Mutation(
@@ -49,7 +51,7 @@
     Mutation(
         "S what was taken before the start is assumed",
         "decisions/quota.py",
-        "        if age >= self._rules.window_seconds:\n            return math.inf",
+        "        if age >= self._limits.window_seconds:\n            return math.inf",
         "        return math.inf",
         QUOTA,
     ),
@@ -91,22 +93,22 @@
     Mutation(
         "S a side gives back what it took of the others",
         "decisions/quota.py",
-        "        if silent > 0 and name in self._consumed:",
+        "        if lost_share > 0 and name in self._consumed:",
         "        if False:",
         ARBITER,
     ),
     Mutation(
         "S the first retries of a process are few",
         "decisions/shared_retry.py",
-        "is_new = now - self._began < self._window",
+        "is_new = now - self._started_at < self._window",
         "is_new = False",
         QUOTA,
     ),
     Mutation(
         "S unseen ends use up trials",
         "decisions/quarantine.py",
-        "return hold.with_trials(late) if late > 0 else hold",
-        "return hold",
+        "return entry.with_trials(used_trials) if used_trials > 0 else entry",
+        "return entry",
         QUARANTINE,
     ),
     Mutation(
--- a/bench/platform_mutations.py
+++ b/bench/platform_mutations.py
@@ -147,7 +147,7 @@
     Mutation(
         "P the sum over the window keeps the limit",
         "decisions/quota.py",
-        "if unheard > left - units:",
+        "if unreported > remaining - units:",
         "if False:",
         QUOTA,
     ),
@@ -210,8 +210,8 @@
     Mutation(
         "P the retry budget is shared by number",
         "decisions/shared_retry.py",
-        "allowance = self._allowance * part * self._member_share()",
-        "allowance = self._allowance * part",
+        "allowance = self._allowance * fraction * self._member_share()",
+        "allowance = self._allowance * fraction",
         QUOTA,
     ),
     Mutation(
@@ -336,15 +336,15 @@
     Mutation(
         "P rates are learned",
         "decisions/engine_rates.py",
-        "        self._fit(self._seen.plus(self._prior))\n",
+        "        self._fit(self._observations.combine(self._prior))\n",
         "",
         "decisions/tests/test_engine_rates.py",
     ),
     Mutation(
         "P wild answers count as near ones",
         "decisions/engine_rates.py",
-        "        bounded = max(-limit, min(limit, residual))\n",
-        "        bounded = residual\n",
+        "        clipped = max(-limit, min(limit, residual))\n",
+        "        clipped = residual\n",
         "decisions/tests/test_engine_rates.py",
     ),
     Mutation(
--- a/bench/quarantine_mutations.py
+++ b/bench/quarantine_mutations.py
@@ -45,7 +45,7 @@
     Mutation(
         "Q ends with a common cause count once",
         "decisions/quarantine.py",
-        "return 1 if without else len(cluster)",
+        "return 1 if has_crash_without else len(cluster)",
         "return len(cluster)",
         DECISIONS,
     ),
@@ -66,8 +66,8 @@
     Mutation(
         "Q trials are few",
         "decisions/quarantine.py",
-        "return hold.trials < len(TRIAL_SECONDS) and now >= hold.next_trial",
-        "return now >= hold.since + TRIAL_SECONDS[0]",
+        "return entry.trials < len(TRIAL_SECONDS) and now >= entry.next_trial",
+        "return now >= entry.since + TRIAL_SECONDS[0]",
         DECISIONS,
     ),
     Mutation(
@@ -143,8 +143,8 @@
     Mutation(
         "Q ends before a record use up trials",
         "decisions/quarantine.py",
-        "return len(near.union(recorded).difference(names))",
-        "return len(near.difference(names))",
+        "return len(crashed_near_restart.union(unobserved).difference(names))",
+        "return len(crashed_near_restart.difference(names))",
         SERIES,
     ),
     Mutation(
--- a/bench/restart_mutations.py
+++ b/bench/restart_mutations.py
@@ -48,7 +48,7 @@
     Mutation(
         "R processes with late word let through a part",
         "decisions/quota.py",
-        "return room < unheard and self._rng.random() * unheard > room",
+        "return headroom < unreported and self._rng.random() * unreported > headroom",
         "return False",
         QUOTA,
     ),
--- a/flamingofront/decisions/__init__.py
+++ b/flamingofront/decisions/__init__.py
@@ -1,5 +1,6 @@
-"""Decisions: admission, placement, quotas, retries and the fleet, without sockets, clocks or logs.
+"""Policies for admission, placement, quotas, retries and scaling, without I/O, clocks or logs.
 
-Each module states the load that it answers. Observations and the time go in as arguments, orders
-and numbers come out, so the same objects run in a process, in tests and in `bench`.
+Each module describes the load pattern for which it is designed. Observations and the current time
+are arguments and decisions are results, so the same objects run in a process, in tests and in
+`bench`.
 """
--- a/flamingofront/decisions/admission.py
+++ b/flamingofront/decisions/admission.py
@@ -1,7 +1,7 @@
-"""Admission: limits, fair queueing and early refusal.
+"""Admission control: concurrency limits, fair queueing and early rejection.
 
-A request is admitted at once, queued for a bounded time, or refused at once with an honest
-``Retry-After``. Nothing is held back to keep a caller from asking again.
+A request is admitted immediately, queued for a bounded time, or rejected immediately with an
+accurate ``Retry-After``. No response is delayed to slow callers down.
 """
 
 import heapq
@@ -26,22 +26,22 @@
 MIN_RETRY_SECONDS = 0.5
 MAX_RETRY_SECONDS = 60.0
 RATE_WINDOW_SECONDS = 5.0
-# Cost that a slot completes in a second, assumed until the first completions are counted.
+# Cost that one slot completes per second, assumed until completions have been counted.
 PRIOR_COST_PER_SLOT_SECOND = 0.33
 
 
 @dataclass(frozen=True)
 class WorkspaceShare:
-    """What admission knows of a workspace.
+    """Weight, priority and limit of a workspace in admission.
 
     Parameters
     ----------
     weight : float
         Share of the capacity under overload.
     priority : int
-        0 is served first.
+        Priority class; 0 is the most urgent.
     limit : int
-        Requests of the workspace that this process may run at the same time.
+        Requests of the workspace that this process may hold at the same time.
     """
 
     name: str
@@ -52,16 +52,16 @@
 
 @dataclass
 class Ticket:
-    """One request that waits or runs.
+    """A queued or running request.
 
     Parameters
     ----------
     cost : float
-        Work of the request relative to a usual one.
+        Work of the request relative to a typical one.
     latest_start : float
-        Time after which starting it would miss its target or deadline.
+        Latest start time that meets its latency target and deadline.
     resumed : bool
-        True for work that was accepted before and goes first.
+        True for a request that was accepted before and is started first.
     """
 
     request_id: str
@@ -75,67 +75,73 @@
 
 
 def compute_limit_share(
-    limit: int, own_demand: float, heard: Mapping[str, float], members: int, unheard: int
+    limit: int,
+    local_demand: float,
+    live_demands: Mapping[str, float],
+    members: int,
+    unreachable: int,
 ) -> int:
-    """Return this process's part of a limit that all entry VMs share.
+    """Return this process's share of a concurrency limit over all entry VMs.
 
     Parameters
     ----------
-    own_demand : float
-        Requests of the workspace here.
-    heard : mapping of str to float
-        Demand at the members that were heard of lately.
+    limit : int
+        Limit over all entry VMs.
+    local_demand : float
+        Requests of the workspace at this process.
+    live_demands : mapping of str to float
+        Demand at the other live members, by member.
     members : int
-        All members, this one included.
-    unheard : int
-        Members out of hearing; each keeps its fixed part of the limit.
+        Number of all members, including this one.
+    unreachable : int
+        Number of unreachable members, each of which keeps a fixed share of the limit.
 
     Notes
     -----
-    The parts of all processes add up to at most the limit (or to one for each process, if the limit
-    is smaller than that), as long as their views agree; out of hearing, both sides fall back to
-    fixed parts, so a partition cannot double the limit.
+    The shares add up to at most the limit (or to one per process if the limit is smaller) as long
+    as the processes have the same view. Both sides of a partition reserve fixed shares for the
+    other one, so a partition cannot double the limit.
     """
     members = max(1, members)
     fixed = limit / members
-    if unheard >= members - 1:
+    if unreachable >= members - 1:
         return max(1, math.floor(fixed))
-    # Each member may always run one request; what is left of the pool follows the demand.
-    spread = max(0.0, limit - fixed * unheard - (len(heard) + 1))
-    total = own_demand + 1.0 + sum(demand + 1.0 for demand in heard.values())
-    return 1 + math.floor(spread * (own_demand + 1.0) / total)
+    # Each member may always run one request; the rest of the pool is divided by demand.
+    spread = max(0.0, limit - fixed * unreachable - (len(live_demands) + 1))
+    total = local_demand + 1.0 + sum(demand + 1.0 for demand in live_demands.values())
+    return 1 + math.floor(spread * (local_demand + 1.0) / total)
 
 
 class AdmissionPolicy(ABC):
-    """Decides which requests run, wait or are refused."""
+    """Policy that decides which requests run, wait or are rejected."""
 
     @abstractmethod
     def offer(self, ticket: Ticket, now: float) -> None:
-        """Take a new request in or raise `RequestError`."""
+        """Queue a new request, or raise `RequestError` to reject it."""
 
     @abstractmethod
     def start_next(self, now: float) -> Ticket | None:
-        """Return the next request that may start, None if there is none."""
+        """Start the next request and return it, None if none may start."""
 
     @abstractmethod
     def drop_expired(self, now: float) -> list[Ticket]:
-        """Remove and return the waiting requests that can no longer start in time."""
+        """Remove and return the queued requests that can no longer start in time."""
 
     @abstractmethod
     def release(self, ticket: Ticket, now: float) -> None:
-        """Note that a request left, whether it ran or waited."""
+        """Remove a queued or running request and free its resources."""
 
     @abstractmethod
     def set_capacity(self, slots: float) -> None:
-        """Set the number of requests that may run at the same time."""
+        """Set the number of concurrent slots."""
 
     @abstractmethod
     def retry_after(self, now: float) -> float:
-        """Return the seconds after which a refused caller should come back."""
+        """Return the seconds after which a rejected caller should retry."""
 
 
 class _CompletionRate:
-    """Completed cost per second, averaged over a few seconds."""
+    """Moving average of the completed cost per second."""
 
     def __init__(self):
         self._value = 0.0
@@ -143,28 +149,28 @@
         self._sum = 0.0
 
     def add(self, cost: float, now: float) -> None:
-        """Count completed work."""
+        """Add the cost of a completed request."""
         if self._since == -math.inf:
             self._since = now
         self._sum += cost
-        self._roll(now)
+        self._roll_window(now)
 
-    def _roll(self, now: float) -> None:
+    def _roll_window(self, now: float) -> None:
         elapsed = now - self._since
         if elapsed < RATE_WINDOW_SECONDS:
             return
-        fresh = self._sum / elapsed
-        self._value = fresh if not self._value else 0.5 * (self._value + fresh)
+        recent = self._sum / elapsed
+        self._value = recent if not self._value else 0.5 * (self._value + recent)
         self._sum = 0.0
         self._since = now
 
     def get(self) -> float:
-        """Return the average, 0 while nothing is known."""
+        """Return the average, 0 before the first window is complete."""
         return self._value
 
 
 class _BaseAdmission(AdmissionPolicy):
-    """What both policies share: counts, the completion rate and the honest retry time."""
+    """Counts, the completion rate and the retry time, common to both policies."""
 
     def __init__(self, rng: random.Random, slots: float):
         self._rng = rng
@@ -175,22 +181,22 @@
         self._sequence = itertools.count()
 
     def set_capacity(self, slots: float) -> None:
-        """Set the number of requests that may run at the same time."""
+        """Set the number of concurrent slots."""
         self._slots = slots
 
     @property
     def running(self) -> int:
-        """Requests that run now."""
+        """Number of running requests."""
         return self._running
 
-    def expected_wait(self, cost_ahead: float) -> float:
-        """Return the seconds until work worth `cost_ahead` has been started."""
+    def estimate_wait(self, cost_ahead: float) -> float:
+        """Return the seconds until queued work of cost `cost_ahead` has started."""
         rate = self._rate.get() or self._slots * PRIOR_COST_PER_SLOT_SECOND
         return cost_ahead / rate if cost_ahead > 0 and rate > 0 else 0.0
 
     def retry_after(self, now: float) -> float:
-        """Return a time that grows with the queue and is spread by jitter."""
-        wait = max(MIN_RETRY_SECONDS, self.expected_wait(self._waiting_cost))
+        """Return the expected queueing time in seconds, spread by jitter."""
+        wait = max(MIN_RETRY_SECONDS, self.estimate_wait(self._waiting_cost))
         return min(MAX_RETRY_SECONDS, wait * (1.0 + self._rng.random()))
 
     def _reject(self, kind: ErrorKind, now: float, detail: str = "") -> RequestError:
@@ -198,7 +204,7 @@
 
 
 class FirstComeAdmission(_BaseAdmission):
-    """The naive version: one queue in order of arrival, no limit on its length."""
+    """Baseline policy: one unbounded queue in order of arrival."""
 
     def __init__(self, rng: random.Random, slots: float = 16):
         super().__init__(rng, slots)
@@ -210,7 +216,7 @@
         self._waiting_cost += ticket.cost
 
     def start_next(self, now: float) -> Ticket | None:
-        """Return the oldest request if a slot is free."""
+        """Start the oldest request and return it, None if no slot is free."""
         if self._running >= self._slots or not self._queue:
             return None
         ticket = self._queue.pop(0)
@@ -220,11 +226,11 @@
         return ticket
 
     def drop_expired(self, now: float) -> list[Ticket]:
-        """Return nothing: this policy lets requests wait past their time."""
+        """Return an empty list: this policy lets requests wait past their latest start."""
         return []
 
     def release(self, ticket: Ticket, now: float) -> None:
-        """Free the slot."""
+        """Free the slot of a request, or remove it from the queue."""
         if ticket.running:
             self._running -= 1
             self._rate.add(ticket.cost, now)
@@ -234,16 +240,16 @@
 
 
 class FairAdmission(_BaseAdmission):
-    """Start-time fair queueing over workspaces, by class, with refusal at the door.
+    """Start-time fair queueing over workspaces by priority class, with early rejection.
 
     Notes
     -----
-    The order is: resumed work first, then by priority, then by start tag. The start tag of a
-    workspace's request is the virtual finish of its last one, so a workspace with many requests
-    cannot push back another that asks for less than its share [1]_.
+    The order is: resumed requests first, then by priority, then by start tag. The start tag of a
+    request is the virtual finish time of the previous one of its workspace, so a workspace with
+    many requests cannot delay another one that uses less than its share [1]_.
 
-    A request is refused at once if the work ahead of it is expected to take longer than it can
-    wait.
+    A request is rejected on arrival if the work ahead of it is expected to take longer than the
+    request can wait.
 
     References
     ----------
@@ -255,54 +261,56 @@
         self._max_waiting = max_waiting
         self._heap: list[tuple[tuple[bool, int, float, int], Ticket]] = []
         self._deadlines: list[tuple[float, int, Ticket]] = []
-        self._virtual = 0.0
+        self._virtual_time = 0.0
         self._last_finish: dict[str, float] = {}
         self._in_flight: dict[str, int] = {}
         self._waiting = 0
         self._waiting_by_workspace: dict[str, float] = {}
 
     def offer(self, ticket: Ticket, now: float) -> None:
-        """Take the request in, or raise at once."""
+        """Queue a new request, or raise `RequestError` to reject it."""
         name = ticket.share.name
-        held = self._in_flight.get(name, 0)
-        if held >= ticket.share.limit and not ticket.resumed:
-            detail = f"workspace {name} has {held} requests here, its limit is {ticket.share.limit}"
+        in_flight = self._in_flight.get(name, 0)
+        if in_flight >= ticket.share.limit and not ticket.resumed:
+            detail = (
+                f"workspace {name} has {in_flight} requests here, its limit is {ticket.share.limit}"
+            )
             raise self._reject(ErrorKind.LIMIT_EXCEEDED, now, detail)
         if not ticket.resumed:
             self._reject_if_too_late(ticket, now)
-        self._push(ticket)
-        self._in_flight[name] = held + 1
+        self._enqueue(ticket)
+        self._in_flight[name] = in_flight + 1
 
     def _reject_if_too_late(self, ticket: Ticket, now: float) -> None:
         if self._running < self._slots and not self._waiting:
             return
-        ahead = self._cost_ahead(ticket)
+        cost_ahead = self._estimate_cost_ahead(ticket)
         if self._waiting >= self._max_waiting:
             raise self._reject(ErrorKind.OVERLOADED, now, "the queue is full")
-        if now + self.expected_wait(ahead) > ticket.latest_start:
+        if now + self.estimate_wait(cost_ahead) > ticket.latest_start:
             raise self._reject(ErrorKind.OVERLOADED, now, "the queue is too long for the target")
 
-    def _cost_ahead(self, ticket: Ticket) -> float:
-        """Estimate the work that will start before this request, by fair shares."""
+    def _estimate_cost_ahead(self, ticket: Ticket) -> float:
+        """Estimate the cost that starts before this request under fair queueing."""
         share = ticket.share
-        own = self._waiting_by_workspace.get(share.name, 0.0)
-        ahead = own + ticket.cost
+        local_cost = self._waiting_by_workspace.get(share.name, 0.0)
+        cost_ahead = local_cost + ticket.cost
         for name, waiting in self._waiting_by_workspace.items():
             if name != share.name:
-                ahead += min(waiting, (own + ticket.cost) / share.weight)
-        return min(ahead, self._waiting_cost + ticket.cost)
+                cost_ahead += min(waiting, (local_cost + ticket.cost) / share.weight)
+        return min(cost_ahead, self._waiting_cost + ticket.cost)
 
-    def _push(self, ticket: Ticket) -> None:
+    def _enqueue(self, ticket: Ticket) -> None:
         name = ticket.share.name
-        ticket.start_tag = max(self._virtual, self._last_finish.get(name, 0.0))
+        ticket.start_tag = max(self._virtual_time, self._last_finish.get(name, 0.0))
         self._last_finish[name] = ticket.start_tag + ticket.cost / ticket.share.weight
         number = next(self._sequence)
         rank = (not ticket.resumed, ticket.share.priority, ticket.start_tag, number)
         heapq.heappush(self._heap, (rank, ticket))
         heapq.heappush(self._deadlines, (ticket.latest_start, number, ticket))
-        self._count_waiting(ticket, +1)
+        self._update_waiting(ticket, +1)
 
-    def _count_waiting(self, ticket: Ticket, sign: int) -> None:
+    def _update_waiting(self, ticket: Ticket, sign: int) -> None:
         name = ticket.share.name
         self._waiting += sign
         self._waiting_cost = max(0.0, self._waiting_cost + sign * ticket.cost)
@@ -313,20 +321,20 @@
             self._waiting_by_workspace.pop(name, None)
 
     def start_next(self, now: float) -> Ticket | None:
-        """Return the request that comes next if a slot is free."""
+        """Start the next request and return it, None if no slot is free."""
         while self._heap and self._running < self._slots:
             _, ticket = heapq.heappop(self._heap)
             if ticket.cancelled:
                 continue
-            self._virtual = max(self._virtual, ticket.start_tag)
-            self._count_waiting(ticket, -1)
+            self._virtual_time = max(self._virtual_time, ticket.start_tag)
+            self._update_waiting(ticket, -1)
             ticket.running = True
             self._running += 1
             return ticket
         return None
 
     def drop_expired(self, now: float) -> list[Ticket]:
-        """Remove and return the waiting requests that would miss their target."""
+        """Remove and return the queued requests that can no longer start in time."""
         late = []
         while self._deadlines and self._deadlines[0][0] < now:
             ticket = heapq.heappop(self._deadlines)[2]
@@ -336,7 +344,7 @@
         return late
 
     def release(self, ticket: Ticket, now: float) -> None:
-        """Free what the request held."""
+        """Remove a queued or running request and free its resources."""
         if ticket.cancelled:
             return
         ticket.cancelled = True
@@ -344,7 +352,7 @@
             self._running -= 1
             self._rate.add(ticket.cost, now)
         else:
-            self._count_waiting(ticket, -1)
+            self._update_waiting(ticket, -1)
         left = self._in_flight.get(ticket.share.name, 0) - 1
         if left > 0:
             self._in_flight[ticket.share.name] = left
@@ -352,5 +360,5 @@
             self._in_flight.pop(ticket.share.name, None)
 
     def get_in_flight(self) -> Mapping[str, int]:
-        """Return the requests held here by workspace."""
+        """Return the number of queued and running requests by workspace."""
         return dict(self._in_flight)
--- a/flamingofront/decisions/choice.py
+++ b/flamingofront/decisions/choice.py
@@ -1,8 +1,8 @@
 """Choice of the endpoint for an attempt.
 
 The score of an endpoint is the expected cost of running the request there, in the price unit of the
-VM list: machine time, the penalty for missing the latency target, and the work that a reclaim would
-waste. See docs/DESIGN.md, "Choice of endpoint", for the ways weighed.
+VM list: machine time, a penalty for missing the latency target, and work wasted by a reclaim. See
+docs/DESIGN.md, "Choice of endpoint", for the alternatives.
 """
 
 import itertools
@@ -29,34 +29,34 @@
 
 @dataclass(frozen=True)
 class Candidate:
-    """What is known about one endpoint.
+    """State of one endpoint as seen by this process.
 
     Parameters
     ----------
     price : float
         Cost per hour of its VM.
     slots : int
-        Requests that it runs at the same time within the target.
+        Requests that it can run concurrently within the latency target.
     local_in_flight : int
-        Attempts of this process that run there now.
+        Attempts of this process in flight there.
     reported_load : float
-        Requests in its last load report.
+        Number of requests in its last load report.
     local_at_report : int
-        Attempts of this process that ran there when the report was made.
+        Attempts of this process in flight there at the time of the report.
     cached_tokens : int
-        Prompt tokens that its prefix cache is believed to hold for this request.
+        Prompt tokens of this request expected in its prefix cache.
     backlog_tokens : int
-        Prompt tokens of attempts there, of all processes, that have not begun to be answered.
+        Prompt tokens of attempts of all processes there whose responses have not started.
     reclaim_risk : float
         Expected reclaims per hour of its VM; 0 for on-demand VMs.
     slowness : float
-        Observed time relative to the other endpoints of the service; 1 is usual.
+        Observed latency relative to the other endpoints of the service; 1 is normal.
     local_share : float
-        This process's part of all attempts on the service.
+        Fraction of all attempts on the service that are made by this process.
     report_weight : float
-        Weight of the report against the extrapolation from own attempts, 0 to 1.
+        Weight of the report against the extrapolation from local attempts, 0 to 1.
     closed : bool
-        True if it takes nothing now by what it has said itself.
+        True while the endpoint itself asks clients to back off.
     """
 
     endpoint_id: str
@@ -81,18 +81,18 @@
 
     @property
     def is_unavailable(self) -> bool:
-        """True if it must not get new work, whatever else is left."""
+        """True if it must not get new requests, even if no other endpoint is left."""
         return self.leaving or self.closed
 
     @property
     def load(self) -> float:
-        """Requests that it runs now, by the better of two estimates.
+        """Estimated number of running requests, combined from two estimates.
 
         Notes
         -----
-        The report is late, and all processes see the same one, so alone it herds them onto one
-        endpoint. What this process itself runs there is exact; divided by this process's part of
-        all attempts it estimates the whole, the better the more there is of it.
+        The report is delayed and the same for all processes, so on its own it causes herding onto
+        one endpoint. The local count is exact; divided by the local share of all attempts it
+        estimates the total, more precisely the more local attempts there are.
         """
         reported = max(
             float(self.local_in_flight),
@@ -104,18 +104,18 @@
 
 @dataclass(frozen=True)
 class WorkEstimate:
-    """What one request asks of an endpoint.
+    """Expected work of one request at an endpoint.
 
     Parameters
     ----------
     prompt_tokens, output_tokens : int
-        Tokens to read and, expected, to write.
+        Tokens to prefill, and expected tokens to generate.
     first_token_target, token_target : float
         Latency targets in seconds.
     zone : str
         Zone of this process.
     rates : EngineRates
-        What the endpoints of the service can do.
+        Estimated rates of the endpoints of the service.
     """
 
     prompt_tokens: int = 0
@@ -127,19 +127,19 @@
 
 
 def report_weight(local_in_flight: int, endpoints: int) -> float:
-    """Return the weight of load reports, from 0 up to 1.
+    """Return the weight of load reports against local counts, from 0 to 1.
 
     Parameters
     ----------
     local_in_flight : int
         Attempts of this process on all endpoints of the service.
     endpoints : int
-        Number of those endpoints.
+        Number of these endpoints.
 
     Notes
     -----
-    With a few own attempts on each endpoint they tell more than a late report; with hardly any
-    (many entry VMs before many endpoints) the report is all there is.
+    A few local attempts on each endpoint are more informative than a delayed report. With almost
+    none (many entry VMs and many endpoints) the report is the only information.
     """
     mean = local_in_flight / max(1, endpoints)
     return 1.0 / (1.0 + mean) ** 2
@@ -148,12 +148,12 @@
 def filter_usable(
     candidates: Iterable[Candidate], side: str | None, exclude: frozenset[str]
 ) -> Iterator[Candidate]:
-    """Pass on the candidates that may get new work.
+    """Yield the candidates that may get new requests.
 
     Notes
     -----
-    A leaving or closed endpoint never passes. An endpoint that failed this very request, or is
-    ejected, passes only through `relaxed` in the caller when nothing else is left.
+    Leaving and closed endpoints are never usable. Callers relax the rules for ejected endpoints and
+    for those that failed the same request when no other endpoint is left.
     """
     for each in candidates:
         if each.is_unavailable or not each.reachable:
@@ -166,7 +166,7 @@
 
 
 class ChoicePolicy(ABC):
-    """Picks one of the usable endpoints."""
+    """Policy that picks one of the usable endpoints."""
 
     @abstractmethod
     def choose(
@@ -176,7 +176,7 @@
 
 
 class RoundRobinChoice(ChoicePolicy):
-    """The naive version: one after the other."""
+    """Baseline policy: endpoints in turn."""
 
     def __init__(self):
         self._turn = itertools.count()
@@ -184,7 +184,7 @@
     def choose(
         self, candidates: Sequence[Candidate], work: WorkEstimate, rng: random.Random
     ) -> Candidate | None:
-        """Return the next endpoint in order of their ids."""
+        """Return the next endpoint in the order of ids."""
         if not candidates:
             return None
         ordered = sorted(candidates, key=lambda each: each.endpoint_id)
@@ -192,7 +192,7 @@
 
 
 class LeastReportedChoice(ChoicePolicy):
-    """A second baseline: the emptiest load report, without own corrections."""
+    """Baseline policy: the lowest reported load, without correction by local attempts."""
 
     def choose(
         self, candidates: Sequence[Candidate], work: WorkEstimate, rng: random.Random
@@ -208,20 +208,20 @@
     Parameters
     ----------
     prefill_tokens_per_second : float
-        Prompt tokens a second that an idle endpoint reads.
+        Prompt tokens that an idle endpoint prefills per second.
     idle_interval_ratio : float
-        Time between tokens on an idle endpoint, relative to the target that it just keeps when all
-        its slots are taken.
+        Time between tokens on an idle endpoint, relative to the target, which an endpoint just
+        meets when all its slots are in use.
     late_cost : float
         Cost of a second beyond the target, in price units per hour.
     waste_cost : float
         Cost of a recomputed token relative to a prompt token.
     remote_zone_seconds : float
-        Latency added by leaving the zone.
+        Latency added by an endpoint in another zone.
     full_factor : float
-        Load, relative to `slots`, above which an endpoint gets no more work.
+        Load, relative to `slots`, from which an endpoint gets no more requests.
     strain_threshold : float
-        Expected time between tokens, relative to the target, from which on it costs.
+        Expected time between tokens, relative to the target, above which it is penalized.
     """
 
     prefill_tokens_per_second: float = 4000.0
@@ -234,15 +234,15 @@
 
 
 class CostChoice(ChoicePolicy):
-    """Expected cost, compared over a random sample of the endpoints.
+    """Policy that minimizes the expected cost over a random sample of the endpoints.
 
     Parameters
     ----------
     weights : CostWeights
         Weights and rates.
     sample : int
-        Endpoints compared; the rest is left out so that many processes with the same late reports
-        don't all pick the same endpoint. The endpoint with the longest cached prefix is always in.
+        Number of endpoints compared. Sampling keeps processes with the same delayed reports from
+        all picking the same endpoint. The one with the longest cached prefix is always included.
     """
 
     def __init__(self, weights: CostWeights | None = None, sample: int = 4):
@@ -254,70 +254,82 @@
     ) -> Candidate | None:
         """Return the endpoint with the smallest expected cost, None if all are full."""
         limit = self._weights.full_factor
-        free = [each for each in candidates if each.load < each.slots * limit]
-        if not free:
+        available = [each for each in candidates if each.load < each.slots * limit]
+        if not available:
             return None
-        picked = self._pick_sample(free, rng)
+        picked = self._pick_sample(available, rng)
         return min(picked, key=lambda each: (self.score(each, work), rng.random()))
 
-    def _pick_sample(self, free: list[Candidate], rng: random.Random) -> list[Candidate]:
-        if len(free) <= self._sample:
-            return free
-        picked = rng.sample(free, self._sample)
-        warmest = max(free, key=lambda each: each.cached_tokens)
+    def _pick_sample(self, available: list[Candidate], rng: random.Random) -> list[Candidate]:
+        if len(available) <= self._sample:
+            return available
+        picked = rng.sample(available, self._sample)
+        warmest = max(available, key=lambda each: each.cached_tokens)
         if warmest.cached_tokens and warmest not in picked:
             picked.append(warmest)
         return picked
 
     def score(self, each: Candidate, work: WorkEstimate) -> float:
-        """Return the expected cost of the request on one endpoint, in price units times hours."""
+        """Return the expected cost of the request on one endpoint, in price units."""
         weights = self._weights
-        filled = each.load / each.slots
-        pace = weights.idle_interval_ratio + (1.0 - weights.idle_interval_ratio) * filled
+        utilization = each.load / each.slots
+        interval_ratio = (
+            weights.idle_interval_ratio + (1.0 - weights.idle_interval_ratio) * utilization
+        )
         new_tokens = max(0, work.prompt_tokens - each.cached_tokens)
-        first = new_tokens / weights.prefill_tokens_per_second * (1.0 + filled) * each.slowness
-        first += weights.remote_zone_seconds if each.zone != work.zone else 0.0
-        between = work.token_target * pace * each.slowness
-        duration = first + between * work.output_tokens
-        late = max(0.0, first - work.first_token_target)
-        # Reports are late and other processes choose too, so the penalty begins below the target.
-        strain = max(0.0, between / work.token_target - weights.strain_threshold)
-        late += strain * strain * between * work.output_tokens
-        machine = each.price * duration / each.slots
-        lost = each.reclaim_risk * duration / 3600.0
-        waste = lost * (new_tokens + work.output_tokens) / weights.prefill_tokens_per_second
-        return (machine + late * weights.late_cost + waste * weights.waste_cost) / 3600.0
-
-
-# Latency added by leaving the zone, in seconds; zones are up to 1.4 ms apart, one way.
+        first_seconds = (
+            new_tokens / weights.prefill_tokens_per_second * (1.0 + utilization) * each.slowness
+        )
+        first_seconds += weights.remote_zone_seconds if each.zone != work.zone else 0.0
+        token_interval = work.token_target * interval_ratio * each.slowness
+        duration = first_seconds + token_interval * work.output_tokens
+        late_seconds = max(0.0, first_seconds - work.first_token_target)
+        # The penalty starts below the target: reports are late, and other processes choose too.
+        strain = max(0.0, token_interval / work.token_target - weights.strain_threshold)
+        late_seconds += strain * strain * token_interval * work.output_tokens
+        machine_cost = each.price * duration / each.slots
+        expected_reclaims = each.reclaim_risk * duration / 3600.0
+        waste_seconds = (
+            expected_reclaims
+            * (new_tokens + work.output_tokens)
+            / weights.prefill_tokens_per_second
+        )
+        return (
+            machine_cost + late_seconds * weights.late_cost + waste_seconds * weights.waste_cost
+        ) / 3600.0
+
+
+# Latency added by an endpoint in another zone; the one-way delay between zones is up to 1.4 ms.
 REMOTE_ZONE_SECONDS = 0.003
-# Part by which the other requests of a full plain endpoint lengthen a call.
+# Fraction by which the other requests on a fully loaded plain endpoint slow down a call.
 FULL_LOAD_SLOWDOWN = 0.33
 
 
 class BacklogChoice(ChoicePolicy):
-    """The endpoint with the least expected delay, for the request and for those beside it.
+    """Policy that minimizes the expected delay of the request and of those running beside it.
 
-    An engine reads prompts one after another, in chunks between the tokens of all that runs. So
-    what counts is the prompts that wait there, what its cache spares of this prompt, and how many
-    requests run.
+    An engine prefills prompts one after another, in chunks between the decoding steps of running
+    requests. The delay therefore depends on the queued prompts, on the uncached tokens of this
+    prompt, and on the number of running requests.
     """
 
     def choose(
         self, candidates: Sequence[Candidate], work: WorkEstimate, rng: random.Random
     ) -> Candidate | None:
         """Return the endpoint with the smallest expected delay, None if all are full."""
-        free = [each for each in candidates if each.load < each.slots]
+        available = [each for each in candidates if each.load < each.slots]
         return min(
-            free, key=lambda each: (self.estimate_delay(each, work), rng.random()), default=None
+            available,
+            key=lambda each: (self.estimate_delay(each, work), rng.random()),
+            default=None,
         )
 
     def estimate_delay(self, each: Candidate, work: WorkEstimate) -> float:
         """Return the expected delay in seconds."""
         rates = work.rates
         new_tokens = max(0, work.prompt_tokens - each.cached_tokens)
-        reading = (each.backlog_tokens + new_tokens) * rates.token_seconds
-        crowd = rates.crowding_seconds * each.load
+        prefill = (each.backlog_tokens + new_tokens) * rates.token_seconds
+        crowding = rates.crowding_seconds * each.load
         strain = FULL_LOAD_SLOWDOWN * rates.base_seconds * each.load / each.slots
-        way = REMOTE_ZONE_SECONDS if each.zone != work.zone else 0.0
-        return (reading + crowd + strain) * each.slowness + way
+        network = REMOTE_ZONE_SECONDS if each.zone != work.zone else 0.0
+        return (prefill + crowding + strain) * each.slowness + network
--- a/flamingofront/decisions/demand.py
+++ b/flamingofront/decisions/demand.py
@@ -1,9 +1,9 @@
-"""How much work callers ask of a service, in endpoints that it would keep busy.
+"""Offered load of a service, in endpoints that it would keep busy.
 
-Load pattern: clumps of some seconds on waves of tens of seconds. A fast mean shows a burst before
-its queue does; a slow one is not driven by each clump. Requests in flight are no measure: a queue
-that has formed counts as demand long after its cause is over, and an idle stream as much as a
-prompt of 20,000 tokens.
+Load pattern: bursts of a few seconds on top of waves of tens of seconds. A fast moving average
+shows a burst before a queue forms; a slow one does not follow each burst. Requests in flight are
+not a suitable measure: a queue counts as demand long after its cause has ended, and an idle stream
+counts as much as a prompt of 20,000 tokens.
 """
 
 import math
@@ -11,16 +11,22 @@
 
 __all__ = ["Demand", "OfferedLoad", "LoadMeter"]
 
-# Time constants of the two means. A clump lasts one to three seconds; a wave 40.
+# Time constants of the two averages. A burst lasts one to three seconds, a wave 40.
 FAST_SECONDS = 2.0
 SLOW_SECONDS = 8.0
-# Least time that counts as observed: longer than a clump of requests at one process takes to begin.
+# Minimum observed time of an average; longer than the start of a burst at one process.
 MIN_OBSERVED_SECONDS = 1.5
 
 
 @dataclass(frozen=True)
 class OfferedLoad:
-    """Offered work in busy endpoints: seconds of one endpoint that a second of requests takes."""
+    """Offered load in busy endpoints (endpoint-seconds per second), as two moving averages.
+
+    Parameters
+    ----------
+    fast, slow : float
+        Averages with time constants of `FAST_SECONDS` and `SLOW_SECONDS`.
+    """
 
     fast: float = 0.0
     slow: float = 0.0
@@ -31,16 +37,18 @@
 
 @dataclass(frozen=True)
 class Demand:
-    """Load of one service, over all entry processes.
+    """Demand of one service over all entry processes.
 
     Parameters
     ----------
     in_flight : float
-        Requests that run or wait at its endpoints.
+        Requests running or queued at its endpoints.
     slots : int
-        Requests that one endpoint runs at once.
+        Requests that one endpoint runs concurrently.
+    work : OfferedLoad
+        Offered load in busy endpoints.
     known : bool
-        False until requests were seen for a while.
+        False until requests have been observed long enough for an estimate.
     """
 
     in_flight: float
@@ -50,42 +58,42 @@
 
 
 class _DecayingMean:
-    """Sum over an exponential window, as a rate; unbiased also before the window is full."""
+    """Exponentially weighted rate, corrected for bias before the window is full."""
 
     def __init__(self, seconds: float, now: float):
         self._seconds = seconds
-        self._began = self._updated = now
+        self._started = self._updated = now
         self._sum = 0.0
 
     def add(self, amount: float, now: float) -> None:
-        """Count an amount."""
+        """Add an amount at a time."""
         self._sum = self._sum * self._decay(now - self._updated) + amount
         self._updated = now
 
     def _decay(self, elapsed: float) -> float:
         return math.exp(-max(0.0, elapsed) / self._seconds)
 
-    def get(self, now: float) -> float:
-        """Return the amount a second.
+    def get_rate(self, now: float) -> float:
+        """Return the rate per second.
 
         Notes
         -----
-        A window of a tenth of a second says nothing: no less than `MIN_OBSERVED_SECONDS` count
-        as seen. With half of the window counted from the start, the slow mean told half of the work
-        for its first three seconds.
+        At least `MIN_OBSERVED_SECONDS` count as observed, since a window of about 0.1 s is not
+        meaningful. A longer minimum of half the window made the slow average report half of the
+        load for its first three seconds.
         """
-        seen = 1.0 - self._decay(max(now - self._began, MIN_OBSERVED_SECONDS))
-        return self._sum * self._decay(now - self._updated) / (self._seconds * seen)
+        observed = 1.0 - self._decay(max(now - self._started, MIN_OBSERVED_SECONDS))
+        return self._sum * self._decay(now - self._updated) / (self._seconds * observed)
 
 
 class LoadMeter:
-    """Work that this process places, by service."""
+    """Offered load placed by this process, by service."""
 
     def __init__(self):
         self._rates: dict[str, tuple[_DecayingMean, _DecayingMean]] = {}
 
     def add(self, service: str, seconds: float, now: float) -> None:
-        """Count the work of one request, in seconds of one endpoint."""
+        """Add the work of one request, in endpoint-seconds."""
         if service not in self._rates:
             self._rates[service] = (
                 _DecayingMean(FAST_SECONDS, now),
@@ -95,8 +103,8 @@
             rate.add(seconds, now)
 
     def get_loads(self, now: float) -> dict[str, OfferedLoad]:
-        """Return the work by service."""
+        """Return the offered load by service."""
         return {
-            name: OfferedLoad(fast.get(now), slow.get(now))
+            name: OfferedLoad(fast.get_rate(now), slow.get_rate(now))
             for name, (fast, slow) in self._rates.items()
         }
--- a/flamingofront/decisions/fleet_plan.py
+++ b/flamingofront/decisions/fleet_plan.py
@@ -1,9 +1,9 @@
-"""How many endpoints of a service are wanted in each zone.
+"""Desired number of endpoints of a service in each zone.
 
-Load pattern: reclaimable endpoints of a whole zone are taken back with a notice that is shorter
-than the start of a replacement, the next zone follows while none are to be had anywhere, and what
-remains has to carry the work. Limits, endpoints and demand go in, wanted numbers come out; nothing
-is sent here.
+Load pattern: the reclaimable endpoints of a whole zone are reclaimed with a notice shorter than the
+start time of a replacement, the next zone follows while there is no spare reclaimable capacity in
+any zone, and the remaining endpoints have to carry the load. The module only computes numbers and
+sends no requests.
 """
 
 import math
@@ -21,7 +21,7 @@
 
 @dataclass(frozen=True)
 class FleetCounts:
-    """Wanted endpoints of one service by zone, ordered apart by kind."""
+    """Desired endpoints of one service by zone, on reclaimable and on on-demand VMs."""
 
     reclaimable: Counts
     on_demand: Counts
@@ -29,16 +29,16 @@
 
 @dataclass(frozen=True)
 class FleetState:
-    """What serves and what can be had.
+    """Current endpoints and available capacity.
 
     Parameters
     ----------
-    reclaimable, firm : mapping of str to int
-        Endpoints that serve now and are not leaving, by zone.
-    dry : frozenset of str
-        Zones in which no more reclaimable endpoints are to be had now.
+    reclaimable, on_demand : mapping of str to int
+        Endpoints that are serving and not leaving, by zone.
+    exhausted_zones : frozenset of str
+        Zones without spare reclaimable capacity.
     found : mapping of str to int
-        Endpoints of both kinds that served when this process began, by zone.
+        Endpoints of both kinds that were serving when this process started, by zone.
     """
 
     reclaimable: Counts = field(default_factory=dict)
@@ -48,60 +48,60 @@
 
 
 class ScalingPolicy(ABC):
-    """Decides on the wanted numbers."""
+    """Policy that computes the desired number of endpoints."""
 
     @abstractmethod
     def plan(self, limits: ScalingLimits, demand: Demand, state: FleetState) -> FleetCounts:
-        """Return the wanted endpoints."""
+        """Return the desired endpoints by zone."""
 
 
 @dataclass(frozen=True)
-class _Need:
-    """Endpoints that the demand asks for.
+class _Requirement:
+    """Number of endpoints required for the demand.
 
     Parameters
     ----------
-    lasting : int
-        So many keep answers in time, also in clumps.
-    firm : int
-        The same while reclaimable ones are not to be had.
+    steady : int
+        Endpoints required to respond in time, also during bursts.
+    on_demand : int
+        The same while a zone has no spare reclaimable capacity.
     surviving : int
-        So many must be left when a zone's reclaimable ones are taken back.
+        Endpoints that must be left when the reclaimable ones of a zone are reclaimed.
     """
 
-    lasting: int
+    steady: int
     on_demand: int
     surviving: int
 
 
 @dataclass(frozen=True)
 class CheapestSafeFleet(ScalingPolicy):
-    """The cheapest mix of both kinds that carries the work, also when the next zone is taken back.
+    """Cheapest mix of reclaimable and on-demand endpoints that survives the reclaim of one zone.
 
-    Reclaimable endpoints are spread evenly. How many are kept beyond the work follows from their
-    price against that of firm ones: where they cost a fifth, a spare zone of them is cheaper than
-    firm ones; where they cost nearly as much, firm ones are.
+    Reclaimable endpoints are spread evenly over the zones. The price difference decides on the
+    reserve: if reclaimable endpoints cost a fifth, a spare zone of them is cheaper than on-demand
+    endpoints; if they cost nearly as much, on-demand endpoints are cheaper.
 
     Parameters
     ----------
     spare : float
-        Endpoints beyond those that the work keeps busy, for each square root of these: what queues
-        at a clump grows with the root of the load [1]_. One and a half busy endpoints are given
-        six, sixteen are given thirty: four for each busy one, whatever their number, cost 0.02 more
-        of the worth of a calm day of 89 VMs.
+        Spare endpoints per square root of the busy endpoints, since the queue in a burst grows with
+        the square root of the load [1]_. 1.5 busy endpoints get six in total and 16 get thirty. A
+        fixed ratio of four endpoints per busy one cost 0.02 more of the total value of a normal day
+        with 89 VMs.
     on_demand_spare : float
-        The same for firm endpoints, which cost several times as much.
+        The same for on-demand endpoints, which cost several times as much.
     survivor_utilization : float
-        Part of the time for which endpoints may be busy in the seconds in which replacements start.
-        At 0.95 of sixteen, 46 in 100 requests of four seconds were late.
+        Maximum utilization of the remaining endpoints while replacements start. At 0.95 of 16
+        endpoints, 46 in 100 requests within four seconds were late.
     slot_utilization : float
-        Part of the slots that may be taken.
+        Maximum fraction of the slots in use.
     initial_per_zone : int
-        Least endpoints in each zone while the demand is not yet known.
+        Minimum number of endpoints per zone until the demand has been observed.
     initial_fraction : float
-        Part of the endpoints that were found in a zone that are kept until then: what somebody set
-        up is the only word on the demand. With half of 90 endpoints kept, 25 in 100 requests of the
-        first six seconds were late.
+        Fraction of the endpoints found in a zone at start that are kept until the demand has been
+        observed, as they are the only information about it. With half of 90 endpoints kept, 25 in
+        100 requests of the first six seconds were late.
 
     References
     ----------
@@ -117,30 +117,32 @@
     initial_fraction: float = 2 / 3
 
     def plan(self, limits: ScalingLimits, demand: Demand, state: FleetState) -> FleetCounts:
-        """Return the wanted endpoints, cheapest zones first."""
+        """Return the desired endpoints; cheaper zones are filled first."""
         zones = sorted(limits.zone_prices, key=lambda zone: (limits.zone_prices[zone], zone))
-        need = self._need(demand)
+        need = self._compute_requirement(demand)
         least = {
             zone: self._get_minimum(limits, demand, state.found.get(zone, 0)) for zone in zones
         }
         plans = (
             self._add_on_demand(reclaimable, zones, limits, need, state)
-            for reclaimable in self._reclaimable_counts(zones, limits, least, state)
+            for reclaimable in self._generate_reclaimable_counts(zones, limits, least, state)
         )
-        return min(plans, key=lambda plan: self._rank(plan, limits, need, state))
+        return min(plans, key=lambda plan: self._sort_key(plan, limits, need, state))
 
-    def _need(self, demand: Demand) -> _Need:
+    def _compute_requirement(self, demand: Demand) -> _Requirement:
         peak = max(demand.work.fast, demand.work.slow)
-        full = demand.in_flight / demand.slots
-        on_demand = _round_up(_with_spare(peak, self.on_demand_spare), full / self.slot_utilization)
-        return _Need(
-            lasting=max(on_demand, _round_up(_with_spare(demand.work.slow, self.spare))),
+        slots_in_use = demand.in_flight / demand.slots
+        on_demand = _round_up(
+            _with_spare(peak, self.on_demand_spare), slots_in_use / self.slot_utilization
+        )
+        return _Requirement(
+            steady=max(on_demand, _round_up(_with_spare(demand.work.slow, self.spare))),
             on_demand=on_demand,
-            surviving=_round_up(peak / self.survivor_utilization, full),
+            surviving=_round_up(peak / self.survivor_utilization, slots_in_use),
         )
 
     def _get_minimum(self, limits: ScalingLimits, demand: Demand, found: int) -> int:
-        """Return the least endpoints of a zone."""
+        """Return the minimum number of endpoints of a zone."""
         least = max(1, limits.least)
         if demand.known:
             return least
@@ -149,19 +151,19 @@
         )
 
     @staticmethod
-    def _reclaimable_counts(
+    def _generate_reclaimable_counts(
         zones: list[str], limits: ScalingLimits, least: Counts, state: FleetState
     ) -> Iterator[dict[str, int]]:
-        """Yield ever more reclaimable endpoints, spread evenly; dry zones keep what they have."""
+        """Yield increasing numbers of reclaimable endpoints; exhausted zones keep theirs."""
         counts = {
             zone: state.reclaimable.get(zone, 0) if zone in state.exhausted_zones else least[zone]
             for zone in zones
         }
         yield dict(counts)
-        open_zones = [zone for zone in zones if zone not in state.exhausted_zones]
-        while any(counts[zone] < limits.most for zone in open_zones):
-            fewest = min(open_zones, key=lambda zone: (counts[zone], zones.index(zone)))
-            counts[fewest] += 1
+        available_zones = [zone for zone in zones if zone not in state.exhausted_zones]
+        while any(counts[zone] < limits.most for zone in available_zones):
+            smallest = min(available_zones, key=lambda zone: (counts[zone], zones.index(zone)))
+            counts[smallest] += 1
             yield dict(counts)
 
     @classmethod
@@ -170,60 +172,60 @@
         reclaimable: dict[str, int],
         zones: list[str],
         limits: ScalingLimits,
-        need: _Need,
+        need: _Requirement,
         state: FleetState,
     ) -> FleetCounts:
-        """Add the firm endpoints that are missing.
+        """Add the on-demand endpoints that are needed beside the reclaimable ones.
 
         Notes
         -----
-        A zone without reclaimable endpoints keeps the least number of firm ones in any case: the
-        platform starts them where nobody orders them, and then later.
+        On-demand endpoints fill up each zone to its minimum. Otherwise the platform would start
+        them itself, but later.
         """
         on_demand = {zone: max(0, limits.least - reclaimable[zone]) for zone in zones}
         missing = cls._count_missing(reclaimable, need, state) - sum(on_demand.values())
         for zone in zones:
-            room = limits.most - reclaimable[zone] - on_demand[zone]
-            more = max(0, min(missing, room))
+            free_places = limits.most - reclaimable[zone] - on_demand[zone]
+            more = max(0, min(missing, free_places))
             on_demand[zone] += more
             missing -= more
         return FleetCounts(reclaimable, on_demand)
 
     @staticmethod
-    def _count_missing(reclaimable: Counts, need: _Need, state: FleetState) -> int:
-        """Return the firm endpoints that the reclaimable ones leave to be wished for.
+    def _count_missing(reclaimable: Counts, need: _Requirement, state: FleetState) -> int:
+        """Return the number of on-demand endpoints needed beside the reclaimable ones.
 
         Notes
         -----
-        Firm ones that serve stay until reclaimable ones have taken their place: without that the
-        work of a drought lay on half of the endpoints for four seconds at its end.
+        On-demand endpoints stay until reclaimable ones are serving in their place. Otherwise half
+        of the endpoints carried the whole load for four seconds after a capacity shortage ended.
         """
         total = sum(reclaimable.values())
         survivors = total - max(reclaimable.values())
-        lasting = need.on_demand if state.exhausted_zones else need.lasting
+        steady = need.on_demand if state.exhausted_zones else need.steady
         serving = sum(min(each, reclaimable[zone]) for zone, each in state.reclaimable.items())
         uncovered = min(sum(state.on_demand.values()), need.on_demand - serving)
-        return max(0, lasting - total, need.surviving - survivors, uncovered)
+        return max(0, steady - total, need.surviving - survivors, uncovered)
 
     @classmethod
-    def _rank(
-        cls, plan: FleetCounts, limits: ScalingLimits, need: _Need, state: FleetState
+    def _sort_key(
+        cls, plan: FleetCounts, limits: ScalingLimits, need: _Requirement, state: FleetState
     ) -> tuple[int, float]:
-        """Return the endpoints that a plan lacks, then its price; the least is best."""
+        """Return the sort key of a plan: the endpoints that it lacks, then its price."""
         missing = cls._count_missing(plan.reclaimable, need, state)
-        lacking = max(0, missing - sum(plan.on_demand.values()))
+        unmet = max(0, missing - sum(plan.on_demand.values()))
         price = sum(
             limits.zone_prices[zone] * (limits.reclaimable_price * plan.reclaimable[zone] + count)
             for zone, count in plan.on_demand.items()
         )
-        return lacking, price
+        return unmet, price
 
 
 def _round_up(*endpoints: float) -> int:
-    """Return the endpoints that all of some needs ask for, at least one."""
+    """Round the largest of several requirements up to a number of endpoints, at least one."""
     return max(1, *(math.ceil(each) for each in endpoints))
 
 
 def _with_spare(work: float, spare: float) -> float:
-    """Return the endpoints for some busy ones, with spare ones by the square root of these."""
+    """Return a number of busy endpoints plus spare ones in proportion to its square root."""
     return work + spare * math.sqrt(work)
--- a/flamingofront/decisions/lateness.py
+++ b/flamingofront/decisions/lateness.py
@@ -1,9 +1,9 @@
-"""Which work goes first at an engine, by whether it can still be in time.
+"""Priority of attempts at an engine, by whether they can meet their latency objective.
 
-Load pattern: the seconds after a reclaim or in a burst, when more is to be read than engines can
-read. Served in the order of arrival, each request then waits for those that are late already, and
-nearly all become late. What will miss its objective in any case is therefore asked for as the least
-urgent, and read in the gaps; it is served all the same.
+Load pattern: the seconds after a reclaim or in a burst, when engines get more prompts than they can
+prefill. In order of arrival each request would wait for those that are already late, and nearly all
+would become late. Requests that cannot meet their latency objective therefore get the lowest
+urgency and run when engines have spare time. They are still served.
 """
 
 from dataclasses import dataclass
@@ -11,18 +11,18 @@
 
 __all__ = ["LatencyEstimate", "Urgency", "compute_yield_delay", "classify_urgency"]
 
-# Work that is late in any case goes to an engine with no more than this to read before it, in
-# seconds: a tenth to a third of the objectives seen, so that what comes next is still in time.
+# Maximum prefill backlog of an engine that gets late requests: a tenth to a third of the observed
+# objectives, so that the next request can still meet its objective.
 IDLE_BACKLOG_SECONDS = 0.05
-# Pause between two looks for such an engine: about the time in which it reads one prompt.
+# Interval of the checks for such an engine: about the prefill time of one prompt.
 RECHECK_SECONDS = 0.06
-# Part of the time until the deadline after which late work goes on in any case: the rest is for
-# reading it behind others and for the answer.
+# Fraction of the deadline after which a late request stops yielding: the rest is left for queueing,
+# prefill and the response.
 MAX_YIELD_FRACTION = 0.4
 
 
 class Urgency(IntEnum):
-    """How soon an engine takes a request; the smaller, the sooner."""
+    """Urgency of a request at an engine; smaller values go first."""
 
     RESUMED = 3
     IN_TIME = 5
@@ -31,16 +31,16 @@
 
 @dataclass(frozen=True)
 class LatencyEstimate:
-    """What is expected of an attempt, in seconds.
+    """Expected latency of an attempt.
 
     Parameters
     ----------
-    first_event : float
-        Time until the first event.
-    left : float
-        Time left of the latency objective; below nothing where it is over.
+    first_event_seconds : float
+        Expected time to the first event.
+    remaining : float
+        Seconds left of the latency objective; negative once it is missed.
     resumed : bool
-        True if the caller has a part of the answer and waits for the next one.
+        True if the caller has already received a part of the response.
     """
 
     first_event_seconds: float
@@ -49,7 +49,7 @@
 
 
 def classify_urgency(expected: LatencyEstimate) -> Urgency:
-    """Return the urgency of an attempt."""
+    """Return the urgency of an attempt from its expected latency."""
     if expected.resumed:
         return Urgency.RESUMED
     return Urgency.IN_TIME if expected.first_event_seconds <= expected.remaining else Urgency.LATE
@@ -58,16 +58,18 @@
 def compute_yield_delay(
     expected: LatencyEstimate, ahead: float, waited: float, deadline: float
 ) -> float:
-    """Return the seconds for which an attempt stands back; 0 if it goes now.
+    """Return the seconds for which an attempt yields to others, 0 if it is sent now.
 
     Parameters
     ----------
+    expected : LatencyEstimate
+        Expected latency of the attempt.
     ahead : float
-        Seconds of reading before it at the best endpoint.
+        Prefill backlog at the best endpoint, in seconds.
     waited : float
-        Seconds since the request came.
+        Seconds since the arrival of the request.
     deadline : float
-        Seconds from its coming until its caller leaves.
+        Seconds from the arrival until the caller times out.
     """
     in_time = expected.first_event_seconds <= expected.remaining
     if expected.resumed or in_time or ahead <= IDLE_BACKLOG_SECONDS:
--- a/flamingofront/decisions/quarantine.py
+++ b/flamingofront/decisions/quarantine.py
@@ -1,22 +1,24 @@
-"""Requests that crash the endpoints that run them: who is suspected, and what is not run any more.
-
-Load pattern: one request, repeated by its caller under new ids at any entry process, ends each
-endpoint that begins to run it, and with it all that ran there. Limits on attempts count a request
-id at one process, and health counts an endpoint, so neither sees it. Here the request itself is
-counted, by its fingerprint, over all processes.
-
-The evidence against a request is that endpoints ended while it was there. All that ran beside it
-has the same, so that one end proves nothing: three ends of a request are enough, or two if nothing
-else was at both. An end that a held request explains is no evidence against others. Several ends in
-one availability zone at the same moment, of which some were without the request, have a common
-cause and count once. Any answer clears a request.
-
-A request that is held back may be innocent, so that it is tried again after a while: three times in
-all over all processes, each claimed by one of them, and served again when a trial is answered.
-
-A process that is killed takes with it what it knew of its requests. Endpoints that ended about then
-may have ended under any of them, so that a request which is found out later may have had its three
-ends before: each that it then had beyond them counts as a trial.
+"""Detection and quarantine of poison requests, which crash the endpoints that run them.
+
+Load pattern: a caller repeats one request under new request ids at any entry process, and each
+endpoint that starts to run it crashes together with everything else running there. Attempt limits
+count one request id at one process, and health checks count one endpoint, so neither detects this.
+Here crashes are counted per request fingerprint over all processes.
+
+Evidence against a request is that endpoints crashed while it was running on them. Requests running
+beside it collect the same evidence, so a single crash is not sufficient. A request is quarantined
+after three crashes, or after two if no other request was present at both. A crash explained by an
+already quarantined request is not evidence against others. Several crashes in one availability
+zone at the same moment, some of them without the request, have a common cause and count once. Any
+response to a request clears it.
+
+A quarantined request may be innocent, so it gets trial requests after a delay, as in a half-open
+circuit breaker: at most three over all processes, each claimed by one process. A successful trial
+releases the request.
+
+A killed process loses its in-memory evidence, and any of its requests may have caused the endpoint
+crashes around that time. A request confirmed later may therefore have caused three crashes before,
+so every crash beyond the third is counted as a used trial.
 """
 
 import itertools
@@ -44,35 +46,37 @@
     "is_near_restart",
 ]
 
-# Ends under a request from which on it is not run any more. A fleet is lost at nine ends within
-# 1.3 s, and a retried stream that ran beside such a request was seen at two of its ends, 50 times.
+# Crashes after which a request is quarantined. Nine crashes within 1.3 s lose a whole fleet, and an
+# innocent retried stream was present at two crashes of a poison request in 50 observed cases.
 CRASHES_TO_QUARANTINE = 3
-# Ends that are enough even if held requests explain some of them: two requests that crash endpoints
-# may have met, and the one that was found first must not hide the other.
+# Sufficient even if quarantined requests explain some of the crashes: two poison requests may have
+# run on the same endpoints, and the one confirmed first must not hide the other.
 MIXED_CRASHES_TO_QUARANTINE = CRASHES_TO_QUARANTINE + 1
-# Ends that are enough if no other request was at all of them.
+# Sufficient if no other request was present at all of the crashes.
 LONE_CRASHES_TO_QUARANTINE = 2
-# Ends of one request that are kept in the store at once: with them one more is enough after a
-# restart of all. A single end is kept if nothing has cleared the request once word has settled.
+# Crashes of one request at which its evidence is stored immediately, so that one more crash is
+# enough after all processes restart. A single crash is stored if the request is not cleared within
+# `PROPAGATION_SECONDS`.
 CRASHES_TO_PERSIST = 2
-# Word of what ran beside it at other processes has come by then, also through relays.
+# Time in which gossip about requests at other processes arrives, also through relays.
 PROPAGATION_SECONDS = 1.0
-# Tellings of one end by several processes, whose clocks differ; an endpoint takes longer to start.
+# Reports within this time describe the same crash: processes have different clocks, and an endpoint
+# takes longer than this to restart.
 SAME_CRASH_SECONDS = 3.0
-# Ends with a common cause, as a zone's loss of power, come within this time.
+# Crashes with a common cause, such as a power loss in a zone, occur within this time.
 COMMON_CAUSE_SECONDS = 0.2
-# A process that began so shortly before or after an end may have had requests there in the life
-# before, of which nobody knows: a killed one is back within seconds, and a row lapses after four.
+# A process that started this close to a crash may have had unknown requests there in its previous
+# incarnation: a killed process restarts within seconds, and an endpoint row expires after four.
 RESTART_SECONDS = 8.0
 MAX_UNOBSERVED = 64
 NO_INTENTS = IntentSummary()
-# Memory: 1.6 MB with all suspects at 512 ends (traced).
+# These bounds limit memory to 1.6 MB when all suspects are present at 512 crashes.
 MAX_SUSPECTS = 4096
 MAX_CRASHES = 512
 MAX_ENTRIES = 1024
 MAX_RELEASES = 1024
-# How long what is new is told to others, and at most how much of it: a report to 16 peers stays
-# small enough to be sent to all of them at once.
+# How long and how much new evidence is gossiped: a report to 16 peers must stay small enough to be
+# sent to all of them at once.
 GOSSIP_SECONDS = 3.0
 MAX_GOSSIPED_REQUESTS = 96
 MAX_GOSSIPED_ENTRIES = 48
@@ -88,12 +92,12 @@
     explained_by: set[str] = field(default_factory=set)
 
     def is_explained_for(self, fingerprint: str) -> bool:
-        """Tell whether other requests explain the end."""
+        """Return True if only other, quarantined requests explain the crash."""
         return bool(self.explained_by) and fingerprint not in self.explained_by
 
 
 class Quarantine:
-    """Counts ends by request; times are seconds of the wall clock that the processes agree on."""
+    """Evidence and quarantine entries by fingerprint; times are shared wall clock seconds."""
 
     def __init__(self):
         self._crashes: OrderedDict[tuple[str, float], _Crash] = OrderedDict()
@@ -101,42 +105,45 @@
         self._entries: OrderedDict[str, QuarantineEntry] = OrderedDict()
         self._released: OrderedDict[str, float] = OrderedDict()
         self._unobserved: deque[tuple[str, float]] = deque(maxlen=MAX_UNOBSERVED)
-        # What the records of a request tell, which outlast the processes that sent it.
+        # Intents in the store outlive the processes that sent the request.
         self._intents: OrderedDict[str, IntentSummary] = OrderedDict()
 
     def __bool__(self) -> bool:
-        """True while there is evidence against any request, or a record of its sends."""
+        """Return True while there is evidence against any request, or an intent for it."""
         return bool(self._suspects or self._entries or self._intents)
 
     # Evidence
 
-    def record_crash(self, end: EndpointCrash, now: float) -> bool:
-        """Take note of an end; True if it told anything new."""
-        if now - end.at > EVIDENCE_LIFETIME_SECONDS:
+    def record_crash(self, crash: EndpointCrash, now: float) -> bool:
+        """Record a crash and return True if it added a crash or a request."""
+        if now - crash.at > EVIDENCE_LIFETIME_SECONDS:
             return False
-        known = self._find_crash(end)
-        is_new = known is None
-        if known is None:
-            known = self._crashes[end.endpoint_id, end.at] = _Crash(
-                end.endpoint_id, end.zone, end.at
+        existing = self._find_crash(crash)
+        is_new = existing is None
+        if existing is None:
+            existing = self._crashes[crash.endpoint_id, crash.at] = _Crash(
+                crash.endpoint_id, crash.zone, crash.at
             )
-        known.omitted = max(known.omitted, end.omitted)
-        for fingerprint in end.requests:
-            if fingerprint in known.requests or self._is_cleared_since(fingerprint, known.at):
+        existing.omitted = max(existing.omitted, crash.omitted)
+        for fingerprint in crash.requests:
+            if fingerprint in existing.requests or self._is_cleared_since(fingerprint, existing.at):
                 continue
             is_new = True
-            known.requests.add(fingerprint)
-            self._suspects.setdefault(fingerprint, []).append(known)
+            existing.requests.add(fingerprint)
+            self._suspects.setdefault(fingerprint, []).append(existing)
             self._suspects.move_to_end(fingerprint)
             if fingerprint in self._entries and not self._entries[fingerprint].is_released:
-                known.explained_by.add(fingerprint)
+                existing.explained_by.add(fingerprint)
         self._evict_oldest()
         return is_new
 
-    def _find_crash(self, end: EndpointCrash) -> _Crash | None:
-        for known in reversed(self._crashes.values()):
-            if known.endpoint_id == end.endpoint_id and abs(known.at - end.at) < SAME_CRASH_SECONDS:
-                return known
+    def _find_crash(self, crash: EndpointCrash) -> _Crash | None:
+        for existing in reversed(self._crashes.values()):
+            if (
+                existing.endpoint_id == crash.endpoint_id
+                and abs(existing.at - crash.at) < SAME_CRASH_SECONDS
+            ):
+                return existing
         return None
 
     def _is_cleared_since(self, fingerprint: str, at: float) -> bool:
@@ -153,75 +160,81 @@
             self._released.popitem(last=False)
 
     def _drop_suspect(self, fingerprint: str) -> None:
-        for end in self._suspects.pop(fingerprint, ()):
-            end.requests.discard(fingerprint)
+        for crash in self._suspects.pop(fingerprint, ()):
+            crash.requests.discard(fingerprint)
 
     def _drop_crash(self, key: tuple[str, float]) -> None:
-        end = self._crashes.pop(key)
-        for fingerprint in end.requests:
-            ends = self._suspects[fingerprint]
-            ends.remove(end)
-            if not ends:
+        crash = self._crashes.pop(key)
+        for fingerprint in crash.requests:
+            crashes = self._suspects[fingerprint]
+            crashes.remove(crash)
+            if not crashes:
                 del self._suspects[fingerprint]
 
     def add_unobserved_crash(self, endpoint_id: str, at: float) -> None:
-        """Take note of an endpoint that ended while no request of a known process was there."""
+        """Record a crash at which no running process had a request on the endpoint."""
         self._unobserved.append((endpoint_id, at))
 
-    def merge_intents(self, fingerprint: str, recorded: IntentSummary) -> None:
-        """Take what is recorded of a request that no endpoint has answered."""
-        self._intents[fingerprint] = recorded
+    def merge_intents(self, fingerprint: str, intents: IntentSummary) -> None:
+        """Store the summary of the recorded intents of an unanswered request."""
+        self._intents[fingerprint] = intents
         self._intents.move_to_end(fingerprint)
         while len(self._intents) > MAX_ENTRIES:
             self._intents.popitem(last=False)
 
-    def crashed_endpoints(self) -> frozenset[str]:
-        """Return the endpoints of which ends are known."""
+    def get_crashed_endpoints(self) -> frozenset[str]:
+        """Return the ids of endpoints with recorded crashes."""
         return frozenset(endpoint_id for endpoint_id, _ in self._crashes)
 
     def is_unattributed(self, endpoint_id: str) -> bool:
-        """Tell whether all that is known of an endpoint's end is that nobody knows of a request."""
-        ends = [each for (name, _), each in self._crashes.items() if name == endpoint_id]
-        return bool(ends) and not any(each.requests or each.omitted for each in ends)
+        """Return True if an endpoint crashed and no request is known to have been running on it."""
+        crashes = [each for (name, _), each in self._crashes.items() if name == endpoint_id]
+        return bool(crashes) and not any(each.requests or each.omitted for each in crashes)
 
     def collect_evidence(
-        self, fingerprints: Iterable[str], least: int
+        self, fingerprints: Iterable[str], min_crashes: int
     ) -> dict[str, tuple[EndpointCrash, ...]]:
-        """Return the ends of those requests that have so many, or more, and are not held yet.
+        """Return the crashes of those requests that have enough and are not yet quarantined.
+
+        Parameters
+        ----------
+        min_crashes : int
+            Crashes that a request needs to be included.
 
         Notes
         -----
-        Each is told as known in part: that nothing else was there cannot be seen from it.
+        Every crash is marked as incomplete, because the other requests at it are left out.
         """
         found = {}
         for fingerprint in fingerprints:
-            ends = self._suspects.get(fingerprint, ())
-            if len(ends) >= least and self.get_entry(fingerprint) is None:
+            crashes = self._suspects.get(fingerprint, ())
+            if len(crashes) >= min_crashes and self.get_entry(fingerprint) is None:
                 found[fingerprint] = tuple(
                     EndpointCrash(each.endpoint_id, each.zone, each.at, (fingerprint,), omitted=1)
-                    for each in ends
+                    for each in crashes
                 )
         return found
 
     def get_crashes(self, fingerprint: str) -> tuple[EndpointCrash, ...]:
-        """Return the ends that are evidence against a request, in the order of their telling."""
+        """Return the crashes that are evidence against a request, in the order of arrival."""
         return tuple(
             EndpointCrash(each.endpoint_id, each.zone, each.at, (fingerprint,))
-            for each in self._unexplained_crashes(fingerprint)
+            for each in self._get_unexplained_crashes(fingerprint)
         )
 
-    def _unexplained_crashes(self, fingerprint: str) -> list[_Crash]:
+    def _get_unexplained_crashes(self, fingerprint: str) -> list[_Crash]:
         found = self._suspects.get(fingerprint, ())
         return [each for each in found if not each.is_explained_for(fingerprint)]
 
-    def _count_causes(self, fingerprint: str, ends: list[_Crash]) -> int:
-        """Return how many causes a request's ends have; ends with a common cause are one."""
+    def _count_causes(self, fingerprint: str, crashes: list[_Crash]) -> int:
+        """Count crashes of a request; those with a common cause count as one."""
         count = 0
-        for _, of_zone in itertools.groupby(
-            sorted(ends, key=lambda each: (each.zone, each.at)), lambda each: each.zone
+        for _, zone_crashes in itertools.groupby(
+            sorted(crashes, key=lambda each: (each.zone, each.at)), lambda each: each.zone
         ):
             count += sum(
-                self._count_cluster_causes(fingerprint, each) for each in _group_by_time(of_zone)
+                self._count_cluster_causes(fingerprint, each)
+                for each in _group_by_time(zone_crashes)
             )
         return count
 
@@ -229,13 +242,13 @@
         if len(cluster) == 1:
             return 1
         first, last = cluster[0].at - COMMON_CAUSE_SECONDS, cluster[-1].at + COMMON_CAUSE_SECONDS
-        without = any(
+        has_crash_without = any(
             each.zone == cluster[0].zone
             and first <= each.at <= last
             and fingerprint not in each.requests
             for each in self._crashes.values()
         )
-        return 1 if without else len(cluster)
+        return 1 if has_crash_without else len(cluster)
 
     def _is_confirmed(self, fingerprint: str, now: float) -> bool:
         if (
@@ -243,155 +256,157 @@
             >= MIXED_CRASHES_TO_QUARANTINE
         ):
             return True
-        ends = self._unexplained_crashes(fingerprint)
-        count = self._count_causes(fingerprint, ends)
+        crashes = self._get_unexplained_crashes(fingerprint)
+        count = self._count_causes(fingerprint, crashes)
         if count >= CRASHES_TO_QUARANTINE:
             return True
-        # Ends with a common cause are no evidence by themselves.
-        if count < max(LONE_CRASHES_TO_QUARANTINE, len(ends)):
+        # Crashes with a common cause are not sufficient evidence.
+        if count < max(LONE_CRASHES_TO_QUARANTINE, len(crashes)):
             return False
         if self._has_only_unanswered_sends(fingerprint):
             return True
-        if now - max(each.at for each in ends) < PROPAGATION_SECONDS:
+        if now - max(each.at for each in crashes) < PROPAGATION_SECONDS:
             return False
-        others = set.intersection(*(each.requests for each in ends))
-        return others == {fingerprint} and not any(each.omitted for each in ends)
+        others = set.intersection(*(each.requests for each in crashes))
+        return others == {fingerprint} and not any(each.omitted for each in crashes)
 
     def _has_only_unanswered_sends(self, fingerprint: str) -> bool:
-        """Tell whether no recorded send was ever answered, and earlier ends had no witness.
+        """Return True if enough sends got no response and there were unobserved crashes before.
 
         Notes
         -----
-        A send that its process took with it a moment after may not have begun, so that its endpoint
-        is still there. Of three sends of a life that ended 0.03 s later one was such, each time.
+        A process killed just after it recorded a send may not have sent the request, so that the
+        endpoint is still running. Of three sends recorded 0.03 s before a kill, one was not sent.
         """
-        recorded = self._intents.get(fingerprint, NO_INTENTS)
-        return recorded.sends >= CRASHES_TO_QUARANTINE and bool(recorded.unobserved)
+        intents = self._intents.get(fingerprint, NO_INTENTS)
+        return intents.sends >= CRASHES_TO_QUARANTINE and bool(intents.unobserved)
 
     def get_status(self, fingerprint: str, now: float) -> QuarantineStatus:
-        """Return what is known of a request, by holds and by the evidence against it."""
-        hold = self._entries.get(fingerprint)
-        if hold is not None and not hold.is_released:
+        """Return the quarantine status of a request."""
+        entry = self._entries.get(fingerprint)
+        if entry is not None and not entry.is_released:
             return (
                 QuarantineStatus.TRIAL_DUE
-                if self._is_trial_due(hold, now)
+                if self._is_trial_due(entry, now)
                 else QuarantineStatus.QUARANTINED
             )
         return (
             QuarantineStatus.SUSPECTED
-            if self._unexplained_crashes(fingerprint)
+            if self._get_unexplained_crashes(fingerprint)
             else QuarantineStatus.CLEAR
         )
 
     @staticmethod
-    def _is_trial_due(hold: QuarantineEntry, now: float) -> bool:
-        return hold.trials < len(TRIAL_SECONDS) and now >= hold.next_trial
+    def _is_trial_due(entry: QuarantineEntry, now: float) -> bool:
+        return entry.trials < len(TRIAL_SECONDS) and now >= entry.next_trial
 
-    # Verdicts
+    # Quarantine entries
 
     def evaluate(self, now: float, restarts: Sequence[float] = ()) -> tuple[QuarantineEntry, ...]:
-        """Hold back what is proved by now and return it; the rest of what ran there is cleared.
+        """Quarantine all requests with sufficient evidence and return their new entries.
 
         Parameters
         ----------
         restarts : sequence of float
-            When the entry processes began; what they ran before is not known.
+            Start times of the entry processes; the requests of earlier incarnations are unknown.
 
         Notes
         -----
-        Those with the most ends go first: what ran beside one of them at fewer ends was there by
-        chance. Of several with equally many none is cleared by the others.
+        Requests with the most crashes are quarantined first, which explains these crashes for the
+        requests beside them. Requests with equally many crashes are quarantined together.
         """
         found: list[QuarantineEntry] = []
-        while proved := self._confirmed(now):
-            most = max(len(self._suspects[each]) for each in proved)
-            worst = sorted(each for each in proved if len(self._suspects[each]) == most)
-            holds = [self._create_entry(each, restarts) for each in worst]
-            for hold in holds:
-                self._store_entry(hold)
-            found += holds
+        while confirmed := self._find_confirmed(now):
+            most = max(len(self._suspects[each]) for each in confirmed)
+            worst = sorted(each for each in confirmed if len(self._suspects[each]) == most)
+            entries = [self._create_entry(each, restarts) for each in worst]
+            for entry in entries:
+                self._store_entry(entry)
+            found += entries
         return tuple(found)
 
-    def _confirmed(self, now: float) -> list[str]:
+    def _find_confirmed(self, now: float) -> list[str]:
         return [
             each
-            for each, ends in self._suspects.items()
-            if len(ends) >= LONE_CRASHES_TO_QUARANTINE
+            for each, crashes in self._suspects.items()
+            if len(crashes) >= LONE_CRASHES_TO_QUARANTINE
             and self.get_entry(each) is None
             and self._is_confirmed(each, now)
         ]
 
     def _create_entry(self, fingerprint: str, restarts: Sequence[float]) -> QuarantineEntry:
-        ends = self._suspects[fingerprint]
-        since = max(each.at for each in ends)
-        names = tuple(dict.fromkeys(each.endpoint_id for each in ends))
-        hold = QuarantineEntry(fingerprint, names, since, next_trial=since + TRIAL_SECONDS[0])
-        # Each end later than the third one has used up a trial, and so has a send without answer.
-        recorded = self._intents.get(fingerprint, NO_INTENTS)
-        unobserved = self._count_unobserved_crashes(recorded.unobserved, names, restarts)
-        late = max(len(names), recorded.sends) + unobserved - CRASHES_TO_QUARANTINE
-        return hold.with_trials(late) if late > 0 else hold
+        crashes = self._suspects[fingerprint]
+        since = max(each.at for each in crashes)
+        names = tuple(dict.fromkeys(each.endpoint_id for each in crashes))
+        entry = QuarantineEntry(fingerprint, names, since, next_trial=since + TRIAL_SECONDS[0])
+        # Every crash or unanswered send beyond the third one uses up a trial.
+        intents = self._intents.get(fingerprint, NO_INTENTS)
+        unobserved = self._count_unobserved_crashes(intents.unobserved, names, restarts)
+        used_trials = max(len(names), intents.sends) + unobserved - CRASHES_TO_QUARANTINE
+        return entry.with_trials(used_trials) if used_trials > 0 else entry
 
     def _count_unobserved_crashes(
-        self, recorded: frozenset[str], names: tuple[str, ...], restarts: Sequence[float]
+        self, unobserved: frozenset[str], names: tuple[str, ...], restarts: Sequence[float]
     ) -> int:
-        """Return how many other endpoints may have ended under a request that nobody remembers."""
-        ends = [
+        """Count further endpoints whose unattributed crashes the request may have caused."""
+        crashes = [
             *self._unobserved,
             *((each.endpoint_id, each.at) for each in self._crashes.values()),
         ]
-        near = {endpoint_id for endpoint_id, at in ends if is_near_restart(at, restarts)}
-        return len(near.union(recorded).difference(names))
-
-    def _store_entry(self, hold: QuarantineEntry) -> None:
-        self._entries[hold.fingerprint] = hold
-        self._entries.move_to_end(hold.fingerprint)
-        if not hold.is_released:
-            for end in self._suspects.get(hold.fingerprint, ()):
-                end.explained_by.add(hold.fingerprint)
+        crashed_near_restart = {
+            endpoint_id for endpoint_id, at in crashes if is_near_restart(at, restarts)
+        }
+        return len(crashed_near_restart.union(unobserved).difference(names))
+
+    def _store_entry(self, entry: QuarantineEntry) -> None:
+        self._entries[entry.fingerprint] = entry
+        self._entries.move_to_end(entry.fingerprint)
+        if not entry.is_released:
+            for crash in self._suspects.get(entry.fingerprint, ()):
+                crash.explained_by.add(entry.fingerprint)
         self._evict_oldest()
 
     def get_entry(self, fingerprint: str) -> QuarantineEntry | None:
-        """Return the hold of a request that is not run; None if it is run."""
-        hold = self._entries.get(fingerprint)
-        return None if hold is None or hold.is_released else hold
+        """Return the entry of a quarantined request, None if it is not quarantined."""
+        entry = self._entries.get(fingerprint)
+        return None if entry is None or entry.is_released else entry
 
     def list_entries(self) -> tuple[QuarantineEntry, ...]:
-        """Return all holds, the oldest first."""
+        """Return the entries of all quarantined requests, oldest first."""
         return tuple(each for each in self._entries.values() if not each.is_released)
 
-    def merge_entry(self, hold: QuarantineEntry, now: float) -> bool:
-        """Take a hold that another process told or that was kept; True if it is news."""
-        known = self._entries.get(hold.fingerprint)
-        if is_entry_expired(hold, now):
+    def merge_entry(self, entry: QuarantineEntry, now: float) -> bool:
+        """Merge an entry from a peer or from the store; return True if it changed anything."""
+        existing = self._entries.get(entry.fingerprint)
+        if is_entry_expired(entry, now):
             return False
-        if known is not None and hold.rank <= known.rank:
+        if existing is not None and entry.rank <= existing.rank:
             return False
-        self._store_entry(hold)
-        if hold.is_released:
-            self.clear_request(hold.fingerprint, hold.since)
+        self._store_entry(entry)
+        if entry.is_released:
+            self.clear_request(entry.fingerprint, entry.since)
         return True
 
     def list_suspects(self, now: float) -> frozenset[str]:
-        """Return the requests that are suspected, and run."""
+        """Return the fingerprints of suspected requests, which are still run."""
         return frozenset(
             each
             for each in self._suspects
             if self.get_status(each, now) is QuarantineStatus.SUSPECTED
         )
 
-    # What clears a request
+    # Release
 
     def clear_request(self, fingerprint: str, now: float) -> bool:
-        """Clear a request that an endpoint has answered; True if there was evidence against it."""
+        """Clear a request after a response; return True if there was evidence against it."""
         self._intents.pop(fingerprint, None)
         if fingerprint not in self._suspects and self.get_entry(fingerprint) is None:
             return False
-        hold = self.get_entry(fingerprint)
-        if hold is not None:
-            self._entries[fingerprint] = replace(hold, is_released=True)
-        for end in self._suspects.get(fingerprint, ()):
-            end.explained_by.discard(fingerprint)
+        entry = self.get_entry(fingerprint)
+        if entry is not None:
+            self._entries[fingerprint] = replace(entry, is_released=True)
+        for crash in self._suspects.get(fingerprint, ()):
+            crash.explained_by.discard(fingerprint)
         self._drop_suspect(fingerprint)
         self._released[fingerprint] = now
         self._released.move_to_end(fingerprint)
@@ -399,76 +414,76 @@
         return True
 
     def merge_release(self, release: Release) -> bool:
-        """Take word that a request was answered elsewhere; True if that is news."""
-        ends = self._suspects.get(release.fingerprint, ())
-        hold = self.get_entry(release.fingerprint)
-        is_later = hold is not None and hold.since > release.at
-        if is_later or any(each.at > release.at for each in ends):
+        """Merge a release by another process; return True if it cleared the request."""
+        crashes = self._suspects.get(release.fingerprint, ())
+        entry = self.get_entry(release.fingerprint)
+        is_later = entry is not None and entry.since > release.at
+        if is_later or any(each.at > release.at for each in crashes):
             return False
         return self.clear_request(release.fingerprint, release.at)
 
     def drop_expired(self, now: float) -> tuple[str, ...]:
-        """Drop what is too old, and return the requests that were held back until now."""
-        for key in [key for key, end in self._crashes.items() if is_expired(end.at, now)]:
+        """Drop expired crashes, entries and releases; return requests whose quarantine expired."""
+        for key in [key for key, crash in self._crashes.items() if is_expired(crash.at, now)]:
             self._drop_crash(key)
-        old = [each for each in self._entries.values() if is_entry_expired(each, now)]
-        for hold in old:
-            del self._entries[hold.fingerprint]
+        expired = [each for each in self._entries.values() if is_entry_expired(each, now)]
+        for entry in expired:
+            del self._entries[entry.fingerprint]
         for name in [name for name, at in self._released.items() if is_expired(at, now)]:
             del self._released[name]
         while self._unobserved and is_expired(self._unobserved[0][1], now):
             self._unobserved.popleft()
-        return tuple(each.fingerprint for each in old if not each.is_released)
+        return tuple(each.fingerprint for each in expired if not each.is_released)
 
-    # Word between processes
+    # Gossip
 
     def build_update(self, now: float) -> QuarantineUpdate | None:
-        """Return what others have to be told; None if that is nothing."""
-        fresh = [each for each in self._crashes.values() if now - each.at <= GOSSIP_SECONDS]
-        holds = tuple(self._entries.values())[-MAX_GOSSIPED_ENTRIES:]
+        """Return the gossip message for peers, None if there is nothing to send."""
+        recent = [each for each in self._crashes.values() if now - each.at <= GOSSIP_SECONDS]
+        entries = tuple(self._entries.values())[-MAX_GOSSIPED_ENTRIES:]
         released = tuple(
             Release(name, at) for name, at in self._released.items() if now - at <= GOSSIP_SECONDS
         )
-        if not fresh and not holds and not released:
+        if not recent and not entries and not released:
             return None
         return QuarantineUpdate(
-            self._select_gossip(fresh), holds, released[-MAX_GOSSIPED_REQUESTS:]
+            self._select_gossip(recent), entries, released[-MAX_GOSSIPED_REQUESTS:]
         )
 
-    def _select_gossip(self, ends: list[_Crash]) -> tuple[EndpointCrash, ...]:
-        """Return ends with as many of their requests as may be told: the most suspected ones."""
+    def _select_gossip(self, crashes: list[_Crash]) -> tuple[EndpointCrash, ...]:
+        """Return crashes with the most suspected of their requests, up to the message limit."""
         ranked = sorted(
-            {each for end in ends for each in end.requests},
+            {each for crash in crashes for each in crash.requests},
             key=lambda each: (-len(self._suspects[each]), each),
         )
-        told = frozenset(ranked[:MAX_GOSSIPED_REQUESTS])
-        return tuple(_to_message(each, told) for each in ends)
+        included = frozenset(ranked[:MAX_GOSSIPED_REQUESTS])
+        return tuple(_to_message(each, included) for each in crashes)
 
-    def merge_update(self, word: QuarantineUpdate, now: float) -> bool:
-        """Take what another process tells; True if anything was news."""
-        news = [self.record_crash(each, now) for each in word.crashes]
-        news += [self.merge_entry(each, now) for each in word.entries]
-        news += [self.merge_release(each) for each in word.releases]
-        return any(news)
+    def merge_update(self, update: QuarantineUpdate, now: float) -> bool:
+        """Merge a gossip message from a peer; return True if it changed anything."""
+        changes = [self.record_crash(each, now) for each in update.crashes]
+        changes += [self.merge_entry(each, now) for each in update.entries]
+        changes += [self.merge_release(each) for each in update.releases]
+        return any(changes)
 
 
 def is_near_restart(at: float, restarts: Sequence[float]) -> bool:
-    """Tell whether something happened so close to a restart that its witness may be gone."""
+    """Return True if a restart close to a time may have lost the evidence of that time."""
     return any(abs(at - began) <= RESTART_SECONDS for began in restarts)
 
 
-def _to_message(end: _Crash, told: frozenset[str]) -> EndpointCrash:
-    requests = tuple(sorted(end.requests & told))
-    omitted = max(end.omitted, len(end.requests) - len(requests))
-    return EndpointCrash(end.endpoint_id, end.zone, end.at, requests, omitted)
+def _to_message(crash: _Crash, included: frozenset[str]) -> EndpointCrash:
+    requests = tuple(sorted(crash.requests & included))
+    omitted = max(crash.omitted, len(crash.requests) - len(requests))
+    return EndpointCrash(crash.endpoint_id, crash.zone, crash.at, requests, omitted)
 
 
-def _group_by_time(ends: Iterable[_Crash]) -> list[list[_Crash]]:
-    """Return ends of one zone in groups that came at the same moment; they are sorted by time."""
+def _group_by_time(crashes: Iterable[_Crash]) -> list[list[_Crash]]:
+    """Group the crashes of one zone, sorted by time, by moments of simultaneous crashes."""
     found: list[list[_Crash]] = []
-    for end in ends:
-        if found and end.at - found[-1][-1].at <= COMMON_CAUSE_SECONDS:
-            found[-1].append(end)
+    for crash in crashes:
+        if found and crash.at - found[-1][-1].at <= COMMON_CAUSE_SECONDS:
+            found[-1].append(crash)
         else:
-            found.append([end])
+            found.append([crash])
     return found
--- a/flamingofront/decisions/quarantine_facts.py
+++ b/flamingofront/decisions/quarantine_facts.py
@@ -1,4 +1,4 @@
-"""Facts on requests that crash endpoints: ends, holds, and what processes tell of them."""
+"""Data types of the quarantine of poison requests: crashes, entries and gossip messages."""
 
 from dataclasses import dataclass, replace
 from enum import StrEnum
@@ -15,39 +15,39 @@
     "is_expired",
 ]
 
-# Pauses before the trials of a request that is held back: several times the start of an endpoint,
-# and six times longer after each that ended one. After the last it is held until it is forgotten.
+# Delays before the trials of a quarantined request: several endpoint start times at first, then six
+# times longer after each failed trial. After the last trial it stays quarantined until it expires.
 TRIAL_SECONDS = (20.0, 120.0, 720.0)
 ENTRY_LIFETIME_SECONDS = 86_400.0
-# Suspicion of a request under which no further endpoint has ended for so long is dropped.
+# Evidence against a request is dropped if no further endpoint crashes for this long.
 EVIDENCE_LIFETIME_SECONDS = 600.0
 
 
 class QuarantineStatus(StrEnum):
-    """What is known of a request."""
+    """Quarantine status of a request."""
 
     CLEAR = "clear"
     """There is no evidence against it."""
     SUSPECTED = "suspected"
-    """An endpoint ended while it was there; it is run apart from other suspects."""
+    """An endpoint crashed while running it; it is run apart from other suspects."""
     QUARANTINED = "held"
-    """It is not run."""
+    """It is rejected."""
     TRIAL_DUE = "trial_due"
-    """It is not run but for one trial, which has to be claimed."""
+    """It is rejected, except for one trial, which a process has to claim."""
 
 
 @dataclass(frozen=True)
 class EndpointCrash:
-    """An endpoint that ended without notice, and the requests that were there.
+    """Unexpected termination of an endpoint, and the requests that were running on it.
 
     Parameters
     ----------
     at : float
-        When it ended, in seconds of the wall clock that the processes agree on.
+        Time of the crash in seconds of the shared wall clock.
     requests : tuple of str
-        Fingerprints of the requests, of one process or of several.
-    untold : int
-        Requests that are left out here.
+        Fingerprints of the requests, from one process or several.
+    omitted : int
+        Number of further requests, left out of `requests`.
     """
 
     endpoint_id: str
@@ -59,20 +59,20 @@
 
 @dataclass(frozen=True)
 class QuarantineEntry:
-    """A request that is not run.
+    """Quarantine entry of a request, which is not run.
 
     Parameters
     ----------
     endpoints : tuple of str
-        Endpoints that ended under it.
+        Endpoints that crashed while running it.
     since : float
-        When the last of them ended, in seconds of the wall clock.
+        Time of the last of these crashes, in seconds of the wall clock.
     trials : int
-        Trials that were claimed.
+        Number of claimed trials.
     next_trial : float
-        Wall clock seconds from which on the next trial may be claimed.
-    lifted : bool
-        True once it was answered: it is run as any other.
+        Earliest wall clock time of the next trial, in seconds.
+    is_released : bool
+        True once an endpoint has responded to the request, which then runs normally.
     """
 
     fingerprint: str
@@ -84,15 +84,15 @@
 
     @property
     def rank(self) -> tuple[float, int, bool, float]:
-        """Order in which holds of the same request supersede each other."""
+        """Sort key: of two entries for one request, the greater supersedes the other."""
         return self.since, self.trials, self.is_released, self.next_trial
 
     def with_claimed_trial(self, now: float) -> "QuarantineEntry":
-        """Return the hold with a further trial claimed."""
+        """Return the entry with one more trial claimed."""
         return self._with_trial_count(self.trials + 1, now)
 
     def with_trials(self, trials: int) -> "QuarantineEntry":
-        """Return the hold with so many trials, or all, taken for made."""
+        """Return the entry with this many trials used, at most all."""
         return self._with_trial_count(min(trials, len(TRIAL_SECONDS)), self.since)
 
     def _with_trial_count(self, trials: int, now: float) -> "QuarantineEntry":
@@ -103,14 +103,14 @@
 
 @dataclass(frozen=True)
 class IntentSummary:
-    """What is recorded of a request that no endpoint has answered.
+    """Summary of the recorded send intents of an unanswered request.
 
     Parameters
     ----------
     sends : int
-        How often it was sent while its sends were recorded.
-    unseen : frozenset of str
-        Endpoints that ended with no witness before, of which any may have ended under it.
+        Number of recorded sends.
+    unobserved : frozenset of str
+        Endpoints with an earlier unobserved crash, any of which the request may have caused.
     """
 
     sends: int = 0
@@ -119,7 +119,7 @@
 
 @dataclass(frozen=True)
 class Release:
-    """A request of which an endpoint has given an answer, and when."""
+    """Release of a request from suspicion by a response at a time."""
 
     fingerprint: str
     at: float
@@ -127,18 +127,18 @@
 
 @dataclass(frozen=True)
 class QuarantineUpdate:
-    """What one process tells others: what is new, and all that is held back."""
+    """Gossip message of a process: recent crashes and releases, and its quarantine entries."""
 
     crashes: tuple[EndpointCrash, ...] = ()
     entries: tuple[QuarantineEntry, ...] = ()
     releases: tuple[Release, ...] = ()
 
 
-def is_entry_expired(hold: QuarantineEntry, now: float) -> bool:
-    """Tell whether a hold is so old that it counts no more."""
-    return now - hold.since > ENTRY_LIFETIME_SECONDS
+def is_entry_expired(entry: QuarantineEntry, now: float) -> bool:
+    """Return True if a quarantine entry has expired."""
+    return now - entry.since > ENTRY_LIFETIME_SECONDS
 
 
 def is_expired(at: float, now: float) -> bool:
-    """Tell whether an end is so old that it is no evidence any more."""
+    """Return True if a crash at a time is too old to be evidence."""
     return now - at > EVIDENCE_LIFETIME_SECONDS
--- a/flamingofront/decisions/quota.py
+++ b/flamingofront/decisions/quota.py
@@ -1,19 +1,19 @@
-"""Quotas of workspaces, kept by all entry processes together.
-
-Each process keeps a copy of one token bucket a workspace. It takes its own requests out at once and
-those of the others when it hears of them, so that all copies agree but for the time that word
-takes. A process that does not hear some of the others lets its copy fill at a lower rate, in
-proportion to those that it hears: the parts of all sides of a partition add up to the quota.
-
-The bucket says what a workspace is owed. Beside it each process sums what all took in the last
-seconds, and refuses what would take that sum over the limit that the deployment sets: so the bucket
-may take up the clumps in which requests come, and large requests may run into debt, though word of
-the others comes late.
-
-Word comes too late for a surge: what comes before the first word of it passes wherever it comes in.
-So one process decides for all on the requests of a workspace, while it can be reached. It charges
-what it allows at once, before those who asked tell of it. Where none is reached, each process keeps
-to its part of what is left.
+"""Workspace quotas shared by all entry processes.
+
+Each process keeps a replica of one token bucket per workspace. It charges its own requests
+immediately and those of its peers when their reports arrive, so that replicas differ only by the
+gossip lag. A process that does not receive reports from some peers refills its replica at a lower
+rate, in proportion to the live processes: the rates of all sides of a partition add up to the
+quota.
+
+Beside the bucket, each process sums what all processes consumed in a sliding window and rejects
+requests that would exceed the limit set by the deployment. The bucket can therefore absorb bursts,
+and large requests may run into debt, although the reports of peers arrive late.
+
+Reports arrive too late for a surge: everything that arrives before the first report is admitted at
+every process. Therefore one process, the arbiter, decides on the requests of a workspace for all
+while it is reachable. It charges what it grants at once, before the requesting processes report it.
+Without a reachable arbiter each process keeps to its share of the remaining quota.
 """
 
 import math
@@ -34,66 +34,66 @@
 
 __all__ = ["QuotaPolicy", "QuotaLimits", "QuotaState", "SharedQuota", "UnlimitedQuota"]
 
-# Part of the allowance by which a quota may be exceeded that is given to callers, so that clumps of
-# requests within the quota are not refused. The rest covers large requests and late word around a
-# restart of all processes at once, who then know nothing of what was taken.
+# Fraction of the allowance that is added to the burst, so that bursts within the quota are not
+# rejected. The rest covers large requests and late reports around a simultaneous restart of all
+# processes, which then do not know what was consumed.
 USED_ALLOWANCE_FRACTION = 0.3
-# Span over which the present rate of a workspace is taken, in seconds: four reports.
+# Time over which the current rate of a workspace is measured: four report intervals.
 RATE_SECONDS = 1.0
-# Part of a request that the bucket must hold for it to pass; the rest is taken as debt. Smaller:
-# more large requests pass, and more small ones wait for their debt to be paid.
+# Fraction of a request that the bucket must hold for admission; the rest becomes debt. A smaller
+# value admits more large requests, and more small requests wait until the debt is paid.
 MIN_BUCKET_FRACTION = 0.25
-# Part of a full bucket that a new process begins with, times the part of the processes that it
-# hears. When all restart at once, what they took before is in the same window: with a quarter, a
-# tenth over the quota covers bursts of up to five seconds of the rate, with a half of two seconds.
+# Initial level of a new process as a fraction of the burst, scaled by its live share. After a
+# simultaneous restart, earlier consumption is in the same window: with 0.25 a limit of 1.1 times
+# the quota covers bursts of up to 5 s of the rate, with 0.5 only of 2 s.
 INITIAL_LEVEL_FRACTION = 0.25
-# Part of a full bucket that an arbiter begins with once it decides alone.
+# Maximum level, as a fraction of the burst, with which a process becomes the only arbiter.
 ARBITER_LEVEL_FRACTION = 0.1
-# The age of word is a mean: some of it is older by half.
+# The lag is a mean; some reports are older by half.
 MAX_LAG_FACTOR = 1.5
-# A process that hears nobody takes itself for no less than this part of all.
+# Lower bound of the live share, used as a divisor when no peer is live.
 MIN_LIVE_SHARE = 0.001
-# Units in the busiest second, in parts of the rate, from which on a workspace sends too much.
+# Units in the busiest second, relative to the rate, above which a workspace is in a surge.
 SURGE_RATE_FACTOR = 2.0
-# Part of the reserve (what the window allows beyond rate and burst) that all may take beyond the
-# bucket while a workspace sends too much.
+# Fraction of the reserve (what the window allows beyond rate and burst) that all processes may
+# consume beyond the bucket during a surge.
 SURGE_RESERVE_FRACTION = 0.2
-# What may be taken at the start of a process, in parts of the reserve: it does not know what was
-# taken before, which is in the same window.
+# Multiple of the reserve that may be consumed at process start: earlier consumption in the same
+# window is unknown.
 INITIAL_RESERVE_FACTOR = 2.0
-# Processes that may decide for all at the same time, while the choice of one changes.
+# Processes that may act as arbiter at the same time while the choice of the arbiter changes.
 CONCURRENT_ARBITERS = 2
-# The part of one side of a partition is not renewed for so long, in seconds: by then the sides have
-# found out that they do not hear each other.
+# The share of one side of a partition is not renewed within this time, by which the sides have
+# detected the partition.
 PARTITION_DETECTION_SECONDS = 2.0
-# Time after which the silence of a process is noticed, in seconds.
+# Time after which an unresponsive process is detected.
 SILENCE_DETECTION_SECONDS = 1.6
-# How fast a peak of what was taken fades: a workspace sends too much for about so long.
+# Decay of the peak rate, which determines how long a surge is assumed to last.
 PEAK_HALF_LIFE_SECONDS = 8.0
 
 
 class QuotaPolicy(ABC):
-    """Decides whether a workspace may send another request now."""
+    """Policy that decides whether a workspace may send another request now."""
 
     @abstractmethod
     def get_wait(self, workspace: ForwardedWorkspace, units: float, now: float) -> float:
-        """Return 0 if the request is within the quota, else the seconds until it would be."""
+        """Return 0 if the request is within the quota, else the seconds until a retry may pass."""
 
     @abstractmethod
     def get_state(self, workspace: ForwardedWorkspace, now: float) -> QuotaState:
-        """Return what decides on the workspace's requests now."""
+        """Return the figures on which decisions about the workspace are based."""
 
     @abstractmethod
     def consume(self, workspace: ForwardedWorkspace, units: float, now: float) -> None:
-        """Take an accepted request out of the quota."""
+        """Charge an accepted request to the quota."""
 
     @abstractmethod
     def refund(self, workspace: ForwardedWorkspace, units: float, now: float) -> None:
-        """Give back what a request took that did not run."""
+        """Refund the units of a request that did not run."""
 
 
 class UnlimitedQuota(QuotaPolicy):
-    """No quota at all; for tests and measurements."""
+    """Policy without any quota, for tests and benchmarks."""
 
     def get_wait(self, workspace: ForwardedWorkspace, units: float, now: float) -> float:
         """Return 0."""
@@ -111,36 +111,40 @@
 
 
 class SharedQuota(QuotaPolicy):
-    """Token buckets that agree over all entry processes.
+    """Quota policy with token buckets replicated over all entry processes.
 
     Parameters
     ----------
-    heard_share : callable
-        Returns the part of the entry processes that is heard now, this one included; 0 to 1.
+    live_share : callable
+        Returns the fraction of the entry processes that are live, including this one; 0 to 1.
+    limits : QuotaLimits, optional
+        Limits over the sliding window.
     lag : callable
-        Returns the seconds after which word of the others comes, in the mean.
+        Returns the mean age of the reports of peers, in seconds.
+    rng : random.Random, optional
+        Source of the random admission of requests during a surge.
     members : callable, optional
-        Returns the number of entry processes; estimated from those that are heard if not given.
+        Returns the number of entry processes; estimated from the live ones if not given.
     """
 
     def __init__(
         self,
-        heard_share: Callable[[], float],
-        rules: QuotaLimits | None = None,
+        live_share: Callable[[], float],
+        limits: QuotaLimits | None = None,
         lag: Callable[[], float] = lambda: 0.0,
         rng: random.Random | None = None,
         members: Callable[[], int] | None = None,
     ):
         self._rng = rng or random.Random()
         self._members = members or self._estimate_members
-        self._peers_reporting: set[str] = set()
+        self._reporting_peers: set[str] = set()
         self._started_at: dict[str, float] = {}
         self._grants: dict[str, OutstandingGrants] = {}
         self._local_shares: dict[str, LocalShare] = {}
-        self._live_share = heard_share
-        self._rules = rules or QuotaLimits()
+        self._live_share = live_share
+        self._limits = limits or QuotaLimits()
         self._lag = lag
-        self._extra = self._rules.allowance * USED_ALLOWANCE_FRACTION
+        self._burst_allowance = self._limits.allowance * USED_ALLOWANCE_FRACTION
         self._consumed: dict[str, ConsumedUnits] = {}
         self._buckets: dict[str, TokenBucket] = {}
         self._local_totals: dict[str, float] = {}
@@ -149,17 +153,17 @@
         self._reject_reasons: dict[str, QuotaRejectReason] = {}
 
     def _reject(
-        self, workspace: ForwardedWorkspace, rule: QuotaRejectReason, seconds: float
+        self, workspace: ForwardedWorkspace, reason: QuotaRejectReason, seconds: float
     ) -> float:
-        """Note what a request is refused for, and return the seconds until it may pass."""
-        self._reject_reasons[workspace.name] = rule
+        """Record the reason of a rejection and return the seconds until a retry may pass."""
+        self._reject_reasons[workspace.name] = reason
         return max(MIN_RETRY_SECONDS, seconds)
 
     def _estimate_members(self) -> int:
-        return math.ceil((1 + len(self._peers_reporting)) / max(self._live_share(), MIN_LIVE_SHARE))
+        return math.ceil((1 + len(self._reporting_peers)) / max(self._live_share(), MIN_LIVE_SHARE))
 
     def get_consumed(self) -> dict[str, float]:
-        """Return what this process has taken out in all, by workspace, to tell the others."""
+        """Return the total units consumed by this process, by workspace."""
         return dict(self._local_totals)
 
     def _update_bucket(self, workspace: ForwardedWorkspace, now: float) -> TokenBucket:
@@ -168,290 +172,296 @@
         if bucket is None:
             level = workspace.burst * share * INITIAL_LEVEL_FRACTION
             bucket = self._buckets[workspace.name] = TokenBucket(level, share, now)
-        self._charge_silent_share(workspace.name, bucket, share, now)
-        # Out of hearing each side keeps its part of the burst too.
-        bucket.fill(workspace.rate * share, (workspace.burst + self._extra) * share, now)
+        self._charge_lost_share(workspace.name, bucket, share, now)
+        # During a partition the burst is divided between the sides too.
+        bucket.fill(workspace.rate * share, (workspace.burst + self._burst_allowance) * share, now)
         return bucket
 
-    def _charge_silent_share(
-        self, name: str, bucket: TokenBucket, share: float, now: float
-    ) -> None:
-        """Take out what was taken here of the parts of processes that are not heard any more.
+    def _charge_lost_share(self, name: str, bucket: TokenBucket, share: float, now: float) -> None:
+        """Charge what this side consumed of the shares of processes that became unresponsive.
 
         Notes
         -----
-        Until their silence is noticed, each side of a partition takes the whole quota for its own.
+        Until a partition is detected, each side of it uses the whole quota.
         """
-        silent = bucket.share - share
+        lost_share = bucket.share - share
         bucket.share = share
-        if silent > 0 and name in self._consumed:
-            bucket.level -= silent * self._consumed[name].since(now - SILENCE_DETECTION_SECONDS)
+        if lost_share > 0 and name in self._consumed:
+            bucket.level -= lost_share * self._consumed[name].sum_since(
+                now - SILENCE_DETECTION_SECONDS
+            )
 
     def get_wait_as_newcomer(
         self, workspace: ForwardedWorkspace, units: float, now: float
     ) -> float:
-        """Return the seconds until a request may pass, if others know what was taken before.
+        """Return the seconds until a request may pass at a process that has just started.
 
         Notes
         -----
-        A process that has just begun, beside older ones, has not found out yet whom to ask.
+        Older processes know the earlier consumption, but this one does not know the arbiter yet.
         """
         if workspace.rate <= 0:
             return 0.0
-        if lacking := self._get_bucket_wait(workspace, units, now):
-            return lacking
+        if shortfall := self._get_bucket_wait(workspace, units, now):
+            return shortfall
         age = now - self._started_at.get(workspace.name, now)
-        part = (INITIAL_LEVEL_FRACTION * workspace.burst + workspace.rate * age) / self._members()
-        since = now - self._rules.window_seconds
-        is_within = self._fits_local_share(workspace.name, units, part, since, now)
+        share = (INITIAL_LEVEL_FRACTION * workspace.burst + workspace.rate * age) / self._members()
+        since = now - self._limits.window_seconds
+        is_within = self._fits_local_share(workspace.name, units, share, since, now)
         return 0.0 if is_within else self._reject(workspace, QuotaRejectReason.SHARE, self._lag())
 
     def get_wait(self, workspace: ForwardedWorkspace, units: float, now: float) -> float:
-        """Return 0 if the bucket holds a part of the request, else the seconds until it will.
+        """Return 0 if the request is within the quota, else the seconds until a retry may pass.
 
         Notes
         -----
-        A request may take more than the bucket holds, and its workspace then waits until the debt
-        is paid. Otherwise small requests would take what trickles in, and a large one, which can
-        be larger than the whole burst, would hardly ever pass (1 in 15 of the largest kind was
-        refused on calm days).
+        A request may need more than the bucket holds; its workspace then waits until the debt is
+        paid. Otherwise small requests would consume each refill, and a large one, which can exceed
+        the whole burst, would rarely pass: 1 in 15 of the largest requests was rejected at normal
+        load.
         """
         if workspace.rate <= 0:
             return 0.0
-        lacking = self._get_bucket_wait(workspace, units, now)
-        return lacking or self._get_window_wait(workspace, units, self._members(), now)
+        shortfall = self._get_bucket_wait(workspace, units, now)
+        return shortfall or self._get_window_wait(workspace, units, self._members(), now)
 
     def _get_bucket_wait(self, workspace: ForwardedWorkspace, units: float, now: float) -> float:
-        lacking = (
+        shortfall = (
             MIN_BUCKET_FRACTION * min(units, workspace.burst)
             - self._update_bucket(workspace, now).level
         )
-        if lacking <= 0:
+        if shortfall <= 0:
             return 0.0
-        return self._reject(workspace, QuotaRejectReason.BUCKET, lacking / workspace.rate)
+        return self._reject(workspace, QuotaRejectReason.BUCKET, shortfall / workspace.rate)
 
-    # Decisions for all processes
+    # Decisions as arbiter
 
     def start_as_arbiter(self, workspace: ForwardedWorkspace, now: float) -> None:
-        """Forget what the bucket has filled with while others may have decided unheard."""
+        """Lower the bucket level at the start as arbiter: grants of others may be unreported."""
         bucket = self._update_bucket(workspace, now)
         bucket.level = min(bucket.level, ARBITER_LEVEL_FRACTION * workspace.burst)
 
     def get_wait_as_arbiter(self, workspace: ForwardedWorkspace, units: float, now: float) -> float:
-        """Return the seconds until a request may pass, if nothing is taken without this process."""
+        """Return the seconds until a request may pass if this process is the only arbiter."""
         if workspace.rate <= 0:
             return 0.0
-        if lacking := self._get_bucket_wait(workspace, units, now):
-            return lacking
+        if shortfall := self._get_bucket_wait(workspace, units, now):
+            return shortfall
         total = self._sum_window(workspace.name, now)
-        excess = total + units - self._rules.limit(workspace) * self._live_share()
+        excess = total + units - self._limits.limit(workspace) * self._live_share()
         if excess > 0:
-            taken = self._consumed.get(workspace.name)
+            consumed = self._consumed.get(workspace.name)
             self._reject_reasons[workspace.name] = QuotaRejectReason.WINDOW
-            return taken.get_wait_until_freed(excess, now) if total else self._rules.window_seconds
-        since_start = self._get_startup_allowance(workspace, total, now)
-        if since_start > 0:
+            return (
+                consumed.get_wait_until_freed(excess, now) if total else self._limits.window_seconds
+            )
+        startup_allowance = self._get_startup_allowance(workspace, total, now)
+        if startup_allowance > 0:
             return 0.0
-        return self._reject(workspace, QuotaRejectReason.START, -since_start / workspace.rate)
+        return self._reject(workspace, QuotaRejectReason.START, -startup_allowance / workspace.rate)
 
     def get_wait_as_new_arbiter(
         self, workspace: ForwardedWorkspace, units: float, sides: int, now: float
     ) -> float:
-        """Return the seconds until a request may pass, if others may decide on it, too.
+        """Return the seconds until a request may pass while there may be other arbiters.
 
         Parameters
         ----------
         sides : int
-            Sides of a partition that there may be, each with an arbiter of its own; 1 if all zones
-            are heard, so that only the arbiter before this one has decided on anything lately.
+            Possible sides of a partition, each with its own arbiter; 1 if all zones are live, so
+            that only the previous arbiter may have granted anything recently.
         """
         if workspace.rate <= 0:
             return 0.0
-        if lacking := self._get_bucket_wait(workspace, units, now):
-            return lacking
+        if shortfall := self._get_bucket_wait(workspace, units, now):
+            return shortfall
         if sides == 1:
             return self._get_window_wait(workspace, units, CONCURRENT_ARBITERS, now)
         total = self._sum_window(workspace.name, now)
-        left = min(
-            self._rules.limit(workspace) * self._live_share() - total,
+        remaining = min(
+            self._limits.limit(workspace) * self._live_share() - total,
             self._get_startup_allowance(workspace, total, now),
             self._update_bucket(workspace, now).level
-            + SURGE_RESERVE_FRACTION * self._rules.reserve(workspace),
+            + SURGE_RESERVE_FRACTION * self._limits.reserve(workspace),
         )
         since = now - PARTITION_DETECTION_SECONDS
-        if self._fits_local_share(workspace.name, units, left / sides, since, now):
+        if self._fits_local_share(workspace.name, units, remaining / sides, since, now):
             return 0.0
         return self._reject(workspace, QuotaRejectReason.SHARE, MIN_RETRY_SECONDS)
 
     def _sum_window(self, name: str, now: float) -> float:
-        """Return what all processes that are heard took of a workspace within the window."""
-        taken = self._consumed.get(name)
-        return taken.sum(now) if taken is not None else 0.0
+        """Return the units that live processes consumed of a workspace within the window."""
+        consumed = self._consumed.get(name)
+        return consumed.sum_window(now) if consumed is not None else 0.0
 
     def charge_grant(
         self, workspace: ForwardedWorkspace, units: float, is_alone: bool, now: float
     ) -> None:
-        """Take out what another process was allowed; its own word of it is not counted again.
+        """Charge a grant to another process, whose own report of it is then not charged again.
 
         Parameters
         ----------
         is_alone : bool
-            False if another arbiter may allow as much at the same time, which is taken out, too.
+            False if another arbiter may grant as much at the same time, which is charged too.
         """
         charged = units if is_alone else CONCURRENT_ARBITERS * units
         self._update_bucket(workspace, now).level -= charged
         self._record_consumed(workspace.name, charged, now)
-        self._local_shares.setdefault(workspace.name, LocalShare()).use(units, now)
+        self._local_shares.setdefault(workspace.name, LocalShare()).record_use(units, now)
         self._grants.setdefault(workspace.name, OutstandingGrants()).add(units, now)
 
     def refund_grant(self, workspace: ForwardedWorkspace, units: float, now: float) -> None:
-        """Give back what another process was allowed and has not used."""
-        ahead = self._grants.setdefault(workspace.name, OutstandingGrants())
-        units = ahead.cover(units, now)
+        """Refund a grant that another process has not used."""
+        grants = self._grants.setdefault(workspace.name, OutstandingGrants())
+        units = grants.settle(units, now)
         self._update_bucket(workspace, now).level += units
         self._record_consumed(workspace.name, -units, now)
 
     def get_state(self, workspace: ForwardedWorkspace, now: float) -> QuotaState:
-        """Return what decides on the workspace's requests now."""
+        """Return the figures on which decisions about the workspace are based."""
         total, share = self._sum_window(workspace.name, now), self._live_share()
-        since_start = self._get_startup_allowance(workspace, total, now)
+        startup_allowance = self._get_startup_allowance(workspace, total, now)
         return QuotaState(
             bucket=round(self._update_bucket(workspace, now).level),
             taken=round(total),
-            limit=round(self._rules.limit(workspace) * share),
+            limit=round(self._limits.limit(workspace) * share),
             heard_share=round(share, 3),
             lag=round(self._lag(), 3),
             decided_by=self._reject_reasons.get(workspace.name, QuotaRejectReason.NONE),
-            left_since_start=None if math.isinf(since_start) else round(since_start),
+            left_since_start=None if math.isinf(startup_allowance) else round(startup_allowance),
         )
 
     def _get_window_wait(
         self, workspace: ForwardedWorkspace, units: float, members: int, now: float
     ) -> float:
-        """Return the seconds until the request keeps the limit of the window; 0 if it does now."""
-        taken, total = self._consumed.get(workspace.name), self._sum_window(workspace.name, now)
-        left = self._rules.limit(workspace) * self._live_share() - total
+        """Return the seconds until the request fits the limit of the window, 0 if it does now."""
+        consumed, total = self._consumed.get(workspace.name), self._sum_window(workspace.name, now)
+        remaining = self._limits.limit(workspace) * self._live_share() - total
         if total > 0:
-            # Of what the others take now this process hears later.
-            unheard = self._lag() * taken.since(now - RATE_SECONDS) / RATE_SECONDS
-            if unheard > left - units:
+            # Current consumption of peers is reported only after the lag.
+            unreported = self._lag() * consumed.sum_since(now - RATE_SECONDS) / RATE_SECONDS
+            if unreported > remaining - units:
                 self._reject_reasons[workspace.name] = QuotaRejectReason.WINDOW
-                return taken.get_wait_until_freed(unheard - left + units, now)
-            if self._is_throttled(workspace, left - units, now):
+                return consumed.get_wait_until_freed(unreported - remaining + units, now)
+            if self._is_throttled(workspace, remaining - units, now):
                 return self._reject(workspace, QuotaRejectReason.RATIONED, self._lag())
-        since_start = self._get_startup_allowance(workspace, total, now)
-        if since_start <= 0:
-            return self._reject(workspace, QuotaRejectReason.START, -since_start / workspace.rate)
-        left = min(left, since_start, self._get_surge_allowance(workspace, now))
-        part, since = left / members, now - MAX_LAG_FACTOR * self._lag() - BIN_SECONDS
-        if members > 1 and not self._fits_local_share(workspace.name, units, part, since, now):
+        startup_allowance = self._get_startup_allowance(workspace, total, now)
+        if startup_allowance <= 0:
+            return self._reject(
+                workspace, QuotaRejectReason.START, -startup_allowance / workspace.rate
+            )
+        remaining = min(remaining, startup_allowance, self._get_surge_allowance(workspace, now))
+        share, since = remaining / members, now - MAX_LAG_FACTOR * self._lag() - BIN_SECONDS
+        if members > 1 and not self._fits_local_share(workspace.name, units, share, since, now):
             return self._reject(workspace, QuotaRejectReason.SHARE, self._lag())
         return 0.0
 
     def _get_startup_allowance(
         self, workspace: ForwardedWorkspace, total: float, now: float
     ) -> float:
-        """Return what may be taken before this process knows what was taken before its start."""
+        """Return the units left while consumption before the start is unknown, else infinity."""
         age = now - self._started_at.get(workspace.name, now)
-        if age >= self._rules.window_seconds:
+        if age >= self._limits.window_seconds:
             return math.inf
-        first = (
+        initial = (
             INITIAL_LEVEL_FRACTION * workspace.burst
-            + INITIAL_RESERVE_FACTOR * self._rules.reserve(workspace)
+            + INITIAL_RESERVE_FACTOR * self._limits.reserve(workspace)
         )
-        return first + workspace.rate * age - total
+        return initial + workspace.rate * age - total
 
     def _get_surge_allowance(self, workspace: ForwardedWorkspace, now: float) -> float:
-        """Return what may be taken beyond the bucket while a workspace sends too much."""
+        """Return the units that may still be consumed during a surge, else infinity."""
         if self._get_peak_rate(workspace.name, now) <= SURGE_RATE_FACTOR * workspace.rate:
             return math.inf
         level = self._update_bucket(workspace, now).level
-        return level + SURGE_RESERVE_FRACTION * self._rules.reserve(workspace)
+        return level + SURGE_RESERVE_FRACTION * self._limits.reserve(workspace)
 
     def _fits_local_share(
-        self, name: str, units: float, part: float, since: float, now: float
+        self, name: str, units: float, share: float, since: float, now: float
     ) -> bool:
-        """Tell whether a request keeps to this process's part of what is left of the window.
+        """Return True if a request fits this process's share of the remaining window.
 
         Notes
         -----
-        All processes may let requests through at the same moment, before any word of it: the parts
-        add up to what is left, whatever comes.
+        All processes may admit requests at the same moment, before any report of it: the shares
+        add up to the remaining units at any load.
         """
-        own = self._local_shares.setdefault(name, LocalShare())
-        return own.allows(units, part, since, now, self._rng)
+        local_share = self._local_shares.setdefault(name, LocalShare())
+        return local_share.decide(units, share, since, now, self._rng)
 
-    def _is_throttled(self, workspace: ForwardedWorkspace, left: float, now: float) -> bool:
-        """Tell whether a request is refused so that all processes together do not take too much.
+    def _is_throttled(self, workspace: ForwardedWorkspace, remaining: float, now: float) -> bool:
+        """Return True if a request is rejected at random because the bucket is nearly empty.
 
         Notes
         -----
-        While the bucket holds less than what all may take until word of it comes, each process lets
-        through only such a part of the requests as the bucket holds of that. Without this all let
-        everything through at once whenever their copies come above zero: with 4.8 times the quota
-        asked for, and word 0.8 s old, 32 processes took up to 1.20 of the limit of a window (nine
-        plays). With it 24 processes take up to 0.99, also when all are killed midway, and of what
-        comes at 0.9 of the quota 0.986 passes (16 plays each of the load that the tests replay).
-        What was taken, kept in the store for those that start, added nothing to that: 0.946 of the
-        limit with it and without, for word 0.5 s old (24 plays). It is needed where word is young,
-        too: 17 processes with word 0.18 s old take up to 1.07 without it when 7.5 times the quota
-        comes, 0.89 with it (16 plays).
+        While the bucket holds less than all processes may consume until the reports arrive, each
+        process admits only the corresponding fraction of requests. Otherwise all processes admit
+        everything whenever their replicas rise above zero: at 4.8 times the quota and a lag of
+        0.8 s, 32 processes consumed up to 1.20 of the window limit (nine simulations). With this
+        rule 24 processes consume up to 0.99, also when all are killed midway, and at 0.9 of the
+        quota 0.986 of the load is admitted (16 simulations each of the load in the tests).
+        Persisting the consumption for restarted processes did not improve this: 0.946 of the limit
+        with and without it at a lag of 0.5 s (24 simulations). The rule is needed at a short lag
+        too: at 7.5 times the quota and a lag of 0.18 s, 17 processes consume up to 1.07 of the
+        limit without it and 0.89 with it (16 simulations).
         """
-        unheard = MAX_LAG_FACTOR * self._lag() * self._get_peak_rate(workspace.name, now)
-        room = min(self._update_bucket(workspace, now).level, left)
-        return room < unheard and self._rng.random() * unheard > room
+        unreported = MAX_LAG_FACTOR * self._lag() * self._get_peak_rate(workspace.name, now)
+        headroom = min(self._update_bucket(workspace, now).level, remaining)
+        return headroom < unreported and self._rng.random() * unreported > headroom
 
     def _get_peak_rate(self, name: str, now: float) -> float:
-        """Return the units a second that were taken at most lately; it fades away."""
-        peak = self._consumed[name].peak(now) if name in self._consumed else 0.0
-        known, at = self._peaks.get(name, (0.0, now))
-        peak = max(peak, known * 0.5 ** ((now - at) / PEAK_HALF_LIFE_SECONDS))
+        """Return the decaying peak of the consumption, in units per second."""
+        peak = self._consumed[name].get_peak(now) if name in self._consumed else 0.0
+        previous, at = self._peaks.get(name, (0.0, now))
+        peak = max(peak, previous * 0.5 ** ((now - at) / PEAK_HALF_LIFE_SECONDS))
         self._peaks[name] = (peak, now)
         return peak
 
     def _record_consumed(self, name: str, units: float, now: float) -> None:
-        self._consumed.setdefault(name, ConsumedUnits(self._rules.window_seconds)).add(units, now)
+        self._consumed.setdefault(name, ConsumedUnits(self._limits.window_seconds)).add(units, now)
 
     def consume(self, workspace: ForwardedWorkspace, units: float, now: float) -> None:
-        """Take an accepted request out, here at once and elsewhere with the next report."""
+        """Charge an accepted request to the local replica; peers charge it with the next report."""
         if workspace.rate > 0:
             self._update_bucket(workspace, now).level -= units
             self._record_consumed(workspace.name, units, now)
-            self._local_shares.setdefault(workspace.name, LocalShare()).use(units, now)
+            self._local_shares.setdefault(workspace.name, LocalShare()).record_use(units, now)
         self._local_totals[workspace.name] = self._local_totals.get(workspace.name, 0.0) + units
 
     def refund(self, workspace: ForwardedWorkspace, units: float, now: float) -> None:
-        """Give back what a request took that did not run."""
+        """Refund the units of a request that did not run."""
         self.consume(workspace, -units, now)
 
     def start_buckets(self, workspaces: Iterable[ForwardedWorkspace], now: float) -> None:
-        """Let the copies of all workspaces begin to fill."""
+        """Create the token buckets of all workspaces, which start to refill."""
         for each in workspaces:
             if each.rate > 0:
                 self._update_bucket(each, now)
                 self._started_at.setdefault(each.name, now)
 
     def merge_consumed(
-        self, process: str, spent: Mapping[str, float], continuous: bool, now: float
+        self, process: str, totals: Mapping[str, float], continuous: bool, now: float
     ) -> None:
-        """Take in what another process has taken out in all.
+        """Merge the reported total consumption of another process.
 
         Parameters
         ----------
         process : str
-            VM and incarnation: a new process counts from 0.
+            VM id and incarnation; each incarnation counts from 0.
+        totals : mapping of str to float
+            Total units consumed by the process, by workspace.
         continuous : bool
-            False if the process was out of hearing: what it took meanwhile was its own part, which
-            this process's copies have left out.
+            False if the process was unreachable before: its consumption in the meantime came from
+            its own share, which is not part of this replica.
         """
-        self._peers_reporting.add(process)
-        for name, total in spent.items():
-            known = self._remote_totals.get((process, name), 0.0)
+        self._reporting_peers.add(process)
+        for name, total in totals.items():
+            previous = self._remote_totals.get((process, name), 0.0)
             self._remote_totals[process, name] = total
             bucket = self._buckets.get(name)
-            if continuous and bucket is not None and total != known:
-                added = total - known
+            if continuous and bucket is not None and total != previous:
+                added = total - previous
                 if added > 0 and name in self._grants:
-                    added -= self._grants[name].cover(added, now)
+                    added -= self._grants[name].settle(added, now)
                 bucket.level -= added
                 self._record_consumed(name, added, now)
--- a/flamingofront/decisions/quota_facts.py
+++ b/flamingofront/decisions/quota_facts.py
@@ -1,4 +1,4 @@
-"""Facts on quotas: the limits that a deployment sets, and what decided on a request."""
+"""Data types of quotas: the limits of a deployment, and the basis of a decision."""
 
 from dataclasses import dataclass
 from enum import StrEnum
@@ -10,16 +10,16 @@
 
 @dataclass(frozen=True)
 class QuotaLimits:
-    """How much may be taken in any span of time.
+    """Limits on the consumption of a workspace in any sliding window.
 
     Parameters
     ----------
-    window : float
-        Length of the span in seconds.
-    over : float
-        Part of the quota by which it may be exceeded in a window.
+    window_seconds : float
+        Length of the window in seconds.
+    over_ratio : float
+        Fraction of the quota by which it may be exceeded in a window.
     allowance : float
-        Units by which it may be exceeded besides.
+        Further units by which the quota may be exceeded.
     """
 
     window_seconds: float = 8.0
@@ -27,11 +27,11 @@
     allowance: float = 0.0
 
     def limit(self, workspace: ForwardedWorkspace) -> float:
-        """Return the most that a workspace may take in a window."""
+        """Return the maximum units that a workspace may consume in a window."""
         return self._quota(workspace) * (1 + self.over_ratio) + self.allowance
 
     def reserve(self, workspace: ForwardedWorkspace) -> float:
-        """Return the part of the limit that goes beyond rate and burst."""
+        """Return the units of the limit beyond rate and burst."""
         return self._quota(workspace) * self.over_ratio + self.allowance
 
     def _quota(self, workspace: ForwardedWorkspace) -> float:
@@ -39,42 +39,42 @@
 
 
 class QuotaRejectReason(StrEnum):
-    """What a request is refused for."""
+    """Reason for which the quota rejected a request."""
 
     NONE = ""
     BUCKET = "bucket"
-    """The bucket does not hold a part of it."""
+    """The token bucket holds too little."""
     WINDOW = "window"
-    """What was taken within the window, and what others take unheard, leaves no room for it."""
+    """Consumption in the window, including estimated unreported consumption, reaches the limit."""
     RATIONED = "rationed"
-    """All processes together would take too much before they hear of one another."""
+    """Rejected at random: all processes would consume too much before their reports arrive."""
     START = "start"
-    """What was taken before the start of the process is not known, and assumed to be much."""
+    """Consumption before the start of the process is unknown and assumed to be high."""
     SHARE = "part"
-    """Others may decide at the same time: each keeps to its part of what is left."""
+    """Other processes may decide at the same time: the share of this one is used up."""
 
 
 @dataclass(frozen=True)
 class QuotaState:
-    """What decides on the requests of a workspace, in units.
+    """Figures on which quota decisions about a workspace are based, in units.
 
     Parameters
     ----------
     bucket : float
-        What this process's copy of the bucket holds.
+        Level of the local replica of the token bucket.
     taken : float
-        What all processes that are heard took within the window.
+        Consumption of all live processes within the window.
     limit : float
-        Most that may be taken in a window, here: less while some processes are not heard.
+        Maximum consumption in a window, reduced while some processes are not live.
     heard_share : float
-        Part of the processes that is heard.
+        Fraction of the processes that are live.
     lag : float
-        Age of the word of the others, in seconds.
+        Mean age of the reports of peers, in seconds.
     decided_by : QuotaRejectReason
-        What the last refusal of the workspace was for, where it was decided.
+        Reason of the last rejection of the workspace at the deciding process.
     left_since_start : float or None
-        What may still be taken while it is not known what was taken before the start of the process
-        that decided; None once its start is a window ago.
+        Units that may still be consumed while the consumption before the start of the deciding
+        process is unknown; None once it has run for a full window.
     """
 
     bucket: float = 0.0
--- a/flamingofront/decisions/quota_ledger.py
+++ b/flamingofront/decisions/quota_ledger.py
@@ -1,4 +1,4 @@
-"""What a process keeps of a workspace's quota: its bucket, and what was taken, by whom and when."""
+"""Quota accounting of a process: token buckets, consumption over time, and outstanding grants."""
 
 import random
 from collections import deque
@@ -13,14 +13,14 @@
 ]
 
 MIN_RETRY_SECONDS = 0.05
-# What was taken is summed in steps of this length, in seconds: as often as processes report.
+# Consumption is summed in bins of the report interval.
 BIN_SECONDS = 0.25
-# What was allowed and is not told by then was not used: several times the age of late word.
+# A grant not reported within this time was not used; several times the lag of late reports.
 GRANT_EXPIRY_SECONDS = 4.0
 
 
 class TokenBucket:
-    """This process's copy of one workspace's token bucket; it may hold less than nothing."""
+    """Local replica of a workspace's token bucket, whose level may be negative."""
 
     def __init__(self, level: float, share: float, now: float):
         self.level = level
@@ -28,49 +28,49 @@
         self.updated = now
 
     def fill(self, rate: float, burst: float, now: float) -> None:
-        """Add what was earned since the last time."""
+        """Add the tokens earned since the last call, at most up to the burst."""
         self.level = min(burst, self.level + (now - self.updated) * rate)
         self.updated = now
 
 
 class ConsumedUnits:
-    """Units that all processes took of one workspace lately, in steps of time."""
+    """Units of one workspace that all processes consumed recently, in time bins."""
 
     def __init__(self, window: float):
         self._window = window
-        self._steps: deque[list[float]] = deque()
+        self._bins: deque[list[float]] = deque()
         self._sum = 0.0
 
     def add(self, units: float, now: float) -> None:
-        """Note units taken, or given back."""
+        """Add consumed units, or subtract refunded ones if negative."""
         start = now - now % BIN_SECONDS
-        if self._steps and self._steps[-1][0] == start:
-            self._steps[-1][1] += units
+        if self._bins and self._bins[-1][0] == start:
+            self._bins[-1][1] += units
         else:
-            self._steps.append([start, units])
+            self._bins.append([start, units])
         self._sum += units
 
-    def sum(self, now: float) -> float:
-        """Return what was taken within the window."""
-        while self._steps and self._steps[0][0] + BIN_SECONDS <= now - self._window:
-            self._sum -= self._steps.popleft()[1]
+    def sum_window(self, now: float) -> float:
+        """Return the units consumed within the window."""
+        while self._bins and self._bins[0][0] + BIN_SECONDS <= now - self._window:
+            self._sum -= self._bins.popleft()[1]
         return self._sum
 
-    def peak(self, now: float) -> float:
-        """Return the most that was taken in a second of the window."""
-        self.sum(now)
+    def get_peak(self, now: float) -> float:
+        """Return the maximum units consumed in one second of the window."""
+        self.sum_window(now)
         seconds: dict[int, float] = {}
-        for start, units in self._steps:
+        for start, units in self._bins:
             seconds[int(start)] = seconds.get(int(start), 0.0) + units
         return max(seconds.values(), default=0.0)
 
-    def since(self, time: float) -> float:
-        """Return what was taken since a time."""
-        return sum(units for start, units in self._steps if start >= time)
+    def sum_since(self, time: float) -> float:
+        """Return the units consumed since a time."""
+        return sum(units for start, units in self._bins if start >= time)
 
     def get_wait_until_freed(self, excess: float, now: float) -> float:
-        """Return the seconds until so many units have left the window."""
-        for start, units in self._steps:
+        """Return the seconds until the excess units have left the window."""
+        for start, units in self._bins:
             excess -= units
             if excess <= 0:
                 return max(MIN_RETRY_SECONDS, start + BIN_SECONDS + self._window - now)
@@ -78,62 +78,62 @@
 
 
 class LocalShare:
-    """What this process lately let through of a workspace on its own word.
+    """Units of a workspace that this process admitted recently from its own share.
 
-    A request that is larger than what is left of the part passes by chance, with the probability
-    that keeps the mean; the rest of the part is used up either way. So many small chances do not
-    add up to more than the part.
+    A request larger than the remaining share is admitted at random, with the probability that
+    preserves the mean. A rejection uses up the rest of the share as well, so that repeated attempts
+    cannot exceed the share.
     """
 
     def __init__(self):
-        self._used: deque[tuple[float, float]] = deque()
+        self._uses: deque[tuple[float, float]] = deque()
         self._sum = 0.0
 
-    def use(self, units: float, now: float) -> None:
-        """Note units of the part that are used."""
-        self._used.append((now, units))
+    def record_use(self, units: float, now: float) -> None:
+        """Record used units of the share."""
+        self._uses.append((now, units))
         self._sum += units
 
-    def used(self, since: float) -> float:
-        """Return what was used since a time; what is older is forgotten."""
-        while self._used and self._used[0][0] < since:
-            self._sum -= self._used.popleft()[1]
+    def sum_used(self, since: float) -> float:
+        """Return the units used since a time, and drop older ones."""
+        while self._uses and self._uses[0][0] < since:
+            self._sum -= self._uses.popleft()[1]
         return self._sum
 
-    def allows(
-        self, units: float, part: float, since: float, now: float, rng: random.Random
+    def decide(
+        self, units: float, share: float, since: float, now: float, rng: random.Random
     ) -> bool:
-        """Tell whether a request passes within a part."""
-        left = part - self.used(since)
-        if units <= left:
+        """Return True if a request is admitted; the caller then records the use of the share."""
+        remaining = share - self.sum_used(since)
+        if units <= remaining:
             return True
-        if left <= 0:
+        if remaining <= 0:
             return False
-        if rng.random() * units < left:
+        if rng.random() * units < remaining:
             return True
-        self.use(left, now)
+        self.record_use(remaining, now)
         return False
 
 
 class OutstandingGrants:
-    """What other processes were allowed and have not told yet."""
+    """Grants to other processes that they have not reported as consumed yet."""
 
     def __init__(self):
-        self._allowed: deque[list[float]] = deque()
+        self._granted: deque[list[float]] = deque()
 
     def add(self, units: float, now: float) -> None:
-        """Note what was allowed."""
-        self._allowed.append([now, units])
+        """Record a grant."""
+        self._granted.append([now, units])
 
-    def cover(self, units: float, now: float) -> float:
-        """Return how much of some units was allowed before, and strike it off."""
-        while self._allowed and self._allowed[0][0] < now - GRANT_EXPIRY_SECONDS:
-            self._allowed.popleft()
+    def settle(self, units: float, now: float) -> float:
+        """Remove granted units up to the reported ones, and return how many were covered."""
+        while self._granted and self._granted[0][0] < now - GRANT_EXPIRY_SECONDS:
+            self._granted.popleft()
         covered = 0.0
-        while self._allowed and covered < units:
-            part = min(self._allowed[0][1], units - covered)
-            covered += part
-            self._allowed[0][1] -= part
-            if self._allowed[0][1] <= 0:
-                self._allowed.popleft()
+        while self._granted and covered < units:
+            amount = min(self._granted[0][1], units - covered)
+            covered += amount
+            self._granted[0][1] -= amount
+            if self._granted[0][1] <= 0:
+                self._granted.popleft()
         return covered
--- a/flamingofront/decisions/rate_limits.py
+++ b/flamingofront/decisions/rate_limits.py
@@ -1,49 +1,49 @@
-"""Who may send to an endpoint that takes a limited rate from all entry processes together.
-
-Load pattern: an overloaded endpoint names the requests a second that it accepts, 0.5 to 200, before
-up to some hundred processes that offer more. One process decides on an endpoint for all and keeps a
-token bucket for it. Limits: a bucket begins empty, so that what an earlier decider has let through
-is not let through again; it holds half a second's requests and two more, so that any four seconds
-bring at most 4.5 times the rate and two; a decider that may not be the only one has a part.
+"""Permits for requests to endpoints that advertise a rate limit over all entry processes.
+
+Load pattern: an overloaded endpoint advertises the requests per second that it accepts, 0.5 to 200,
+to up to a few hundred processes that offer more. One process, the arbiter, decides on an endpoint
+for all and keeps a token bucket for it. The bucket starts empty, so that permits of an earlier
+arbiter are not granted again. It holds the requests of half a second plus two, so that at most 4.5
+times the rate plus two requests are sent in any four seconds. An arbiter that may not be the only
+one uses a share of the rate.
 """
 
 from dataclasses import dataclass
 
 __all__ = ["MIN_WAIT_SECONDS", "RateBucket", "RateClaim", "RateLimiter", "RateVerdict"]
 
-# Tokens that a bucket holds: requests that come in clumps use what was left over just before.
+# Depth of a bucket: bursts use tokens that were left over just before.
 DEPTH_SECONDS = 0.5
 DEPTH_EXTRA_REQUESTS = 2.0
-# An endpoint that names a lower rate, or none at all, is still tried now and then: only an answer
-# tells that it takes more again. In requests a second.
+# Minimum rate even if an endpoint advertises a lower one or zero, because only a response shows
+# that it accepts more requests again.
 MIN_RATE_PER_SECOND = 0.1
-# Priorities that were asked for within so long, in seconds, are kept some tokens from less urgent
-# ones.
+# A priority claimed within this time has tokens reserved against less urgent ones.
 PRIORITY_MEMORY_SECONDS = 2.0
-# Priorities before which a less urgent request stands back; further ones make no difference.
+# Maximum number of more urgent priorities that count in the reservation.
 MAX_RANKS = 2
-# Claims a second that a decider answers; more processes than that are told to pause for longer.
+# Claims per second that an arbiter answers; with more processes each has to pause for longer.
 MAX_CLAIMS_PER_SECOND = 200.0
-# Shortest pause of a process whose claim was refused, in seconds: some ways there and back.
+# Minimum pause of a process whose claim was rejected: several round trips.
 MIN_WAIT_SECONDS = 0.05
-# Time over which the processes that claim are counted, in seconds.
+# Time over which claiming processes are counted.
 CLAIMANT_SECONDS = 1.0
 
 
 @dataclass(frozen=True)
 class RateClaim:
-    """A request that is to be sent to an endpoint with a limit.
+    """Claim for a permit to send a request to a rate-limited endpoint.
 
     Parameters
     ----------
     rate : float
-        Requests a second that the endpoint takes from all.
+        Requests per second that the endpoint accepts from all processes.
     priority : int
-        Rank of the request, 0 is the most urgent.
+        Priority of the request; 0 is the most urgent.
     patience : float
-        Seconds for which it can wait for its turn.
+        Maximum delay of the request in seconds.
     claimant : str
-        Process that wants to send it.
+        Process that sends the request.
     """
 
     endpoint_id: str
@@ -55,14 +55,14 @@
 
 @dataclass(frozen=True)
 class RateVerdict:
-    """What is decided on a claim.
+    """Decision on a claim.
 
     Parameters
     ----------
     delay : float
-        Seconds after which the request may be sent, if it may.
+        Seconds after which the request may be sent if the claim is granted.
     wait : float
-        0 if it may, else the seconds until a further claim makes sense.
+        0 if the claim is granted, else the seconds until the next claim.
     """
 
     delay: float = 0.0
@@ -70,46 +70,46 @@
 
     @property
     def is_granted(self) -> bool:
-        """True if the request may be sent."""
+        """True if the request may be sent, after the delay."""
         return self.wait <= 0
 
 
 class RateBucket:
-    """Token bucket that begins empty; tokens that are promised for later are taken out already."""
+    """Token bucket that starts empty; tokens for delayed requests are charged in advance."""
 
     def __init__(self, now: float):
         self.level = 0.0
         self._updated = now
 
     def fill(self, rate: float, depth: float, now: float) -> None:
-        """Add what was earned since the last time."""
+        """Add the tokens earned since the last call, at most up to the depth."""
         self.level = min(depth, self.level + (now - self._updated) * rate)
         self._updated = now
 
 
 class _EndpointState:
-    """What is kept of one endpoint."""
+    """Token bucket and recent claims of one endpoint."""
 
     def __init__(self, now: float):
         self.bucket = RateBucket(now)
-        self.asked_at: dict[int, float] = {}
+        self.claimed_at: dict[int, float] = {}
         self.claimants: dict[str, float] = {}
 
-    def note(self, claim: RateClaim, now: float) -> None:
-        """Note who asks, and how urgently."""
-        self.asked_at[claim.priority] = now
+    def record_claim(self, claim: RateClaim, now: float) -> None:
+        """Record the claimant and the priority of a claim."""
+        self.claimed_at[claim.priority] = now
         self.claimants[claim.claimant] = now
 
-    def rank(self, priority: int, now: float) -> int:
-        """Return the number of more urgent priorities that were asked for lately."""
+    def count_urgent(self, priority: int, now: float) -> int:
+        """Return the number of more urgent priorities with recent claims, up to `MAX_RANKS`."""
         urgent = sum(
             each < priority and now - at <= PRIORITY_MEMORY_SECONDS
-            for each, at in self.asked_at.items()
+            for each, at in self.claimed_at.items()
         )
         return min(MAX_RANKS, urgent)
 
-    def claimant_count(self, now: float) -> int:
-        """Return the number of processes that asked lately."""
+    def count_claimants(self, now: float) -> int:
+        """Return the number of processes with recent claims."""
         self.claimants = {
             name: at for name, at in self.claimants.items() if now - at <= CLAIMANT_SECONDS
         }
@@ -117,41 +117,45 @@
 
 
 class RateLimiter:
-    """Decides on requests to endpoints with a limit; times in seconds."""
+    """Rate limiter for requests to endpoints that advertise a limit; times in seconds."""
 
     def __init__(self):
         self._endpoints: dict[str, _EndpointState] = {}
 
-    def decide(self, claim: RateClaim, part: float, now: float) -> RateVerdict:
+    def decide(self, claim: RateClaim, share: float, now: float) -> RateVerdict:
         """Return whether and when the request may be sent.
 
         Parameters
         ----------
-        part : float
-            Part of the rate that is decided on here, 0 to 1.
+        claim : RateClaim
+            Claim of a process.
+        share : float
+            Fraction of the rate that this process may grant, 0 to 1.
+        now : float
+            Current time.
         """
-        known = self._endpoints.get(claim.endpoint_id)
-        if known is None:
-            known = self._endpoints[claim.endpoint_id] = _EndpointState(now)
-        known.note(claim, now)
-        rate = max(MIN_RATE_PER_SECOND, claim.rate) * part
+        endpoint = self._endpoints.get(claim.endpoint_id)
+        if endpoint is None:
+            endpoint = self._endpoints[claim.endpoint_id] = _EndpointState(now)
+        endpoint.record_claim(claim, now)
+        rate = max(MIN_RATE_PER_SECOND, claim.rate) * share
         depth = DEPTH_EXTRA_REQUESTS + DEPTH_SECONDS * rate
-        known.bucket.fill(rate, depth, now)
-        # Less urgent requests leave a part of the bucket to the more urgent ones.
-        needed = 1.0 + known.rank(claim.priority, now) * (depth - 1.0) / MAX_RANKS
-        delay = max(0.0, (needed - known.bucket.level) / rate)
+        endpoint.bucket.fill(rate, depth, now)
+        # Less urgent requests leave some tokens to the more urgent ones.
+        needed = 1.0 + endpoint.count_urgent(claim.priority, now) * (depth - 1.0) / MAX_RANKS
+        delay = max(0.0, (needed - endpoint.bucket.level) / rate)
         if delay <= claim.patience:
-            known.bucket.level -= 1.0
+            endpoint.bucket.level -= 1.0
             return RateVerdict(delay=delay)
-        pause = known.claimant_count(now) / MAX_CLAIMS_PER_SECOND
+        pause = endpoint.count_claimants(now) / MAX_CLAIMS_PER_SECOND
         return RateVerdict(wait=max(MIN_WAIT_SECONDS, delay - claim.patience, pause))
 
     def return_permit(self, endpoint_id: str) -> None:
-        """Take a permit back that was not used."""
-        known = self._endpoints.get(endpoint_id)
-        if known is not None:
-            known.bucket.level += 1.0
+        """Return the token of an unused permit."""
+        endpoint = self._endpoints.get(endpoint_id)
+        if endpoint is not None:
+            endpoint.bucket.level += 1.0
 
     def forget(self, endpoint_id: str) -> None:
-        """Forget an endpoint that is gone, has started again, or names no limit any more."""
+        """Drop the state of an endpoint that was removed, restarted or advertises no limit."""
         self._endpoints.pop(endpoint_id, None)
--- a/flamingofront/decisions/retry.py
+++ b/flamingofront/decisions/retry.py
@@ -1,4 +1,4 @@
-"""Retry budget, attempt limits and ejection of failing endpoints."""
+"""Retry budgets, and ejection of failing endpoints as in a circuit breaker."""
 
 import math
 import random
@@ -20,44 +20,45 @@
 
 
 class RetryBudget(ABC):
-    """Decides when a further attempt may start."""
+    """Policy that decides when a retry may start."""
 
     @abstractmethod
     def record_request(self, now: float) -> None:
-        """Note a newly accepted request."""
+        """Record a newly accepted request."""
 
     @abstractmethod
     def reserve(self, now: float) -> float:
-        """Reserve one further attempt and return the seconds until it may start."""
+        """Reserve one retry and return the seconds until it may start."""
 
 
 class UnlimitedRetryBudget(RetryBudget):
-    """The naive version: each loss is retried at once."""
+    """Baseline policy: each failed attempt is retried immediately."""
 
     def record_request(self, now: float) -> None:
         """Ignore the request."""
 
     def reserve(self, now: float) -> float:
-        """Return 0 always."""
+        """Return 0."""
         return 0.0
 
 
 class PacedRetryBudget(RetryBudget):
-    """Tokens earned by accepted requests; further attempts wait for theirs.
+    """Token bucket filled by accepted requests, in which retries wait for their tokens.
 
     Parameters
     ----------
     ratio : float
-        Tokens earned by one accepted request.
+        Tokens earned per accepted request.
     floor_rate : float
-        Tokens a second that are earned in any case, so that a quiet service can still recover.
+        Tokens earned per second independently of requests, so that a service with little traffic
+        can recover.
     burst : float
-        Most tokens that can be saved up.
+        Maximum number of saved tokens.
 
     Notes
     -----
-    An attempt that finds no token is not refused but paced: a wave of reclaims resumes all of its
-    streams one after another, in the order of their reservations, instead of all at once.
+    A retry without a token is delayed and not rejected: after a wave of reclaims the streams resume
+    one after another, in the order of their reservations, instead of all at once.
     """
 
     def __init__(self, ratio: float = 0.2, floor_rate: float = 10.0, burst: float = 32.0):
@@ -74,18 +75,18 @@
         self._updated = now
 
     def record_request(self, now: float) -> None:
-        """Earn the tokens of one accepted request."""
+        """Add the tokens earned by one accepted request."""
         self._refill(now)
         self._tokens = min(self._burst, self._tokens + self._ratio)
 
     def reserve(self, now: float) -> float:
-        """Take one token, possibly a future one, and return the seconds until it is earned."""
+        """Charge one token, possibly in advance, and return the seconds until it is earned."""
         self._refill(now)
         self._tokens -= 1.0
         return max(0.0, -self._tokens / self._floor_rate)
 
     def cancel(self) -> None:
-        """Give a reservation back that will not be used."""
+        """Return the token of an unused reservation."""
         self._tokens = min(self._burst, self._tokens + 1.0)
 
 
@@ -97,13 +98,13 @@
 
 
 class EndpointHealth:
-    """Ejection of failing endpoints and their gradual return.
+    """Ejection of failing endpoints and their return after a backoff.
 
     Notes
     -----
-    An endpoint that answers errors quickly looks idle, so consecutive failures take it out of the
-    choice. It returns after a growing, jittered time and is out again at its first failure. At most
-    half of a service's endpoints are out at a time: when all fail, the cause is elsewhere.
+    An endpoint that fails quickly looks idle, so it is ejected after consecutive failures. It
+    returns after an increasing, jittered time and is ejected again at its next failure. At most
+    half of a service's endpoints are ejected at a time: if all fail, the cause is elsewhere.
     """
 
     def __init__(self, rng: random.Random):
@@ -111,11 +112,11 @@
         self._health: dict[str, _Health] = {}
 
     def record_success(self, endpoint_id: str) -> None:
-        """Note a completed attempt."""
+        """Record a successful attempt, which resets the failures of the endpoint."""
         self._health.pop(endpoint_id, None)
 
     def record_failure(self, endpoint_id: str, now: float) -> bool:
-        """Note a lost attempt; True if the endpoint is ejected now."""
+        """Record a failed attempt; return True if it ejects the endpoint."""
         health = self._health.setdefault(endpoint_id, _Health())
         health.failures += 1
         limit = EJECT_AFTER_FAILURES if health.ejections == 0 else 1
@@ -128,21 +129,21 @@
         return True
 
     def forget(self, endpoint_id: str) -> None:
-        """Drop what is known about an endpoint that is gone."""
+        """Drop the state of a removed endpoint."""
         self._health.pop(endpoint_id, None)
 
     def list_ejected(self, endpoint_ids: Collection[str], now: float) -> frozenset[str]:
-        """Return which of a service's endpoints are out, at most half of them.
+        """Return the ejected endpoints of a service, at most half of them.
 
         Notes
         -----
-        When more are failing than may be out, those whose time ends first stay in.
+        If more endpoints are failing, those whose ejection ends first are left out.
         """
-        out = [
+        ejected = [
             (health.until, each)
             for each, health in self._health.items()
             if health.until > now and each in endpoint_ids
         ]
-        most = int(len(endpoint_ids) * MAX_EJECTED_FRACTION)
-        out.sort(reverse=True)
-        return frozenset(each for _, each in out[:most])
+        max_ejected = int(len(endpoint_ids) * MAX_EJECTED_FRACTION)
+        ejected.sort(reverse=True)
+        return frozenset(each for _, each in ejected[:max_ejected])
--- a/flamingofront/decisions/rollout.py
+++ b/flamingofront/decisions/rollout.py
@@ -1,14 +1,13 @@
-"""Roll-outs: a service's traffic moves to a new version, or comes back when the version is bad.
+"""Canary rollouts: traffic of a service moves to a new version, or back if the version is bad.
 
-A version may be bad in a part of its answers, at once or only after a while. So a small part of the
-requests goes to it first, from every entry process alike, and what became of them is compared with
-what became of the others in the same time. Each process stops by the evidence that it has heard,
-before any verdict; the holder of the duties gives the verdict, and it is final.
+A version may fail only for some responses, immediately or after some time. A small fraction of the
+requests therefore goes to it first from every entry process, and its responses are compared with
+those of the old version in the same period. Each process stops sending requests to a version that
+looks bad by the evidence it has received; the leader takes the final decision.
 
-The thresholds are plain ones. Of 1,000 seeded plays of 150 requests each a version as good as the
-old one was stopped in 1 where 3 in 100 answers of both were bad, and in 16 where 10 in 100 were.
-One of which 20 in 100 were bad, and 3 of the old one, was stopped in 977, after 28 requests in the
-median.
+The thresholds are fixed. In 1,000 seeded simulations of 150 requests each, a version as good as the
+old one was rolled back once at 3 % bad responses of both, and 16 times at 10 %. A version with 20 %
+bad responses against 3 % of the old one was rolled back in 977, after a median of 28 requests.
 """
 
 import enum
@@ -29,60 +28,59 @@
     "is_worse",
 ]
 
-# Part of the share that a bad version may get that is used: requests come unevenly, those that are
-# tried again reach it beside those that were counted, and word of the order may come late.
+# Used fraction of the share that a bad version may get: requests arrive unevenly, retries reach it
+# in addition to the counted requests, and the rollout may be received late.
 EXPOSED_FRACTION = 0.4
-# Bad answers from which on a version can seem bad, and by how much its share of them must be over
-# that of the old version: twice as much and this besides.
+# Minimum number of bad responses of a bad version; their share must also exceed twice the share of
+# the old version plus this margin.
 MIN_BAD_RESPONSES = 6
 BAD_MARGIN = 0.10
-# Requests that a version must have had to be taken for good, if so many come in time.
+# Requests after which a version can be accepted early, and the minimum after a longer time.
 SUFFICIENT_REQUESTS = 80
 MIN_REQUESTS = 20
-# Part of the time of a roll-out for which a version is watched at least and, if few requests come,
-# at most: some turn bad only after a while.
+# Fraction of the rollout time for which a version is observed, with sufficient requests and with
+# few requests: some versions fail only after some time.
 MIN_OBSERVATION_FRACTION = 0.5
 MAX_OBSERVATION_FRACTION = 0.65
-# Time that is left for the requests at the old version to end and for word to come round, seconds:
-# the longest timeout of a route here, and two rounds of word.
+# Time reserved for draining the old version: the longest timeout of a route plus two gossip rounds.
 DRAIN_SECONDS = 14.0
-# So long nothing has run at the old version when it is given up, in seconds: several times what
-# word of the move takes to all, and word of what they run back.
+# Time without requests at the old version after which the rollout is complete: several times the
+# gossip round trip between all processes.
 IDLE_SECONDS = 4.0
 
 
 class Phase(enum.IntEnum):
-    """How far a roll-out is; of two words on the same order the later phase holds."""
+    """Phase of a rollout; of two reports on the same rollout the later phase applies."""
 
     ORDERED = 0
-    """The order is known, and nothing has been done."""
+    """The rollout has been requested but not started."""
     RUNNING = 1
-    """A part of the requests goes to the new version."""
+    """A fraction of the requests goes to the new version."""
     MOVING = 2
-    """All new requests go there; those at the old version end."""
+    """All new requests go to the new version, and the old one drains."""
     COMPLETED = 3
-    """Nothing runs at the old version any more; it may be stopped."""
+    """The old version has drained and may be stopped."""
     ROLLED_BACK = 4
-    """The new version gets nothing any more."""
+    """The new version gets no more requests."""
 
     @property
     def is_final(self) -> bool:
-        """True if nothing follows."""
+        """True if no other phase follows."""
         return self >= Phase.COMPLETED
 
 
 @dataclass(frozen=True)
 class RolloutSpec:
-    """An operator's order.
+    """Rollout requested by an operator.
 
     Parameters
     ----------
     version : str
         Version of the endpoints that are to get the service's traffic.
     seconds : float
-        Time within which it is to be completed.
+        Time within which the rollout is to be completed.
     number : int
-        Tells orders for the same service apart; grows with each.
+        Number that increases with each rollout of the service.
     """
 
     service: str
@@ -93,18 +91,18 @@
 
 @dataclass(frozen=True)
 class RolloutStatus:
-    """How far a roll-out is, as it is kept for those that start and for the next holder.
+    """Progress of a rollout, as stored for restarted processes and the next leader.
 
     Parameters
     ----------
     number : int
-        Number of the order.
+        Number of the rollout.
     version : str
-        Version that was ordered.
+        New version.
     since : float
-        Wall clock seconds at which the order was seen first.
-    withheld : frozenset of str
-        Versions that were ordered before and not completed.
+        Wall clock time at which the rollout was first seen, in seconds.
+    blocked : frozenset of str
+        Versions of earlier rollouts that were not completed.
     """
 
     number: int
@@ -116,34 +114,34 @@
 
 @dataclass(frozen=True)
 class Tally:
-    """Answers of the endpoints of a version: good ones, and failed or much too slow ones."""
+    """Number of good and of bad (failed or much too slow) responses of a version."""
 
     good: int = 0
     bad: int = 0
 
     @property
     def total(self) -> int:
-        """Number of answers."""
+        """Number of responses."""
         return self.good + self.bad
 
     @property
     def bad_share(self) -> float:
-        """Part of the answers that was bad; 0 while there are none."""
+        """Fraction of bad responses, 0 without responses."""
         return self.bad / self.total if self.total else 0.0
 
 
 @dataclass(frozen=True)
 class RolloutEvidence:
-    """What is known of a roll-out, over all entry processes that are heard.
+    """Evidence on a rollout from all live entry processes.
 
     Parameters
     ----------
     new, old : Tally
-        Answers of both versions since the order.
+        Responses of both versions since the start of the rollout.
     age : float
-        Seconds since the order was seen.
+        Seconds since the rollout was first seen.
     clear : float
-        Seconds since which nothing runs at the old version; 0 if something does.
+        Seconds for which no request has run at the old version, 0 if any does.
     """
 
     new: Tally
@@ -153,12 +151,12 @@
 
 
 def is_worse(new: Tally, old: Tally) -> bool:
-    """Tell whether a new version does worse than the old one."""
+    """Return True if a new version has significantly more bad responses than the old one."""
     return new.bad >= MIN_BAD_RESPONSES and new.bad_share > 2 * old.bad_share + BAD_MARGIN
 
 
 def next_phase(phase: Phase, order: RolloutSpec, evidence: RolloutEvidence) -> Phase:
-    """Return the phase that follows from what is known; the same one if none does yet."""
+    """Return the phase that follows from the evidence, the same one if it is insufficient."""
     if phase.is_final:
         return phase
     if evidence.age >= order.seconds or is_worse(evidence.new, evidence.old):
@@ -171,27 +169,27 @@
 
 
 def _is_confirmed(order: RolloutSpec, evidence: RolloutEvidence) -> bool:
-    """Tell whether a version has done well for long enough."""
+    """Return True if a version has had enough requests and observation time."""
     latest = order.seconds - DRAIN_SECONDS
-    watched = min(MIN_OBSERVATION_FRACTION * order.seconds, latest)
-    patience = min(MAX_OBSERVATION_FRACTION * order.seconds, latest)
+    min_age = min(MIN_OBSERVATION_FRACTION * order.seconds, latest)
+    max_age = min(MAX_OBSERVATION_FRACTION * order.seconds, latest)
     if evidence.new.total >= SUFFICIENT_REQUESTS:
-        return evidence.age >= watched
-    return evidence.new.total >= MIN_REQUESTS and evidence.age >= patience
+        return evidence.age >= min_age
+    return evidence.new.total >= MIN_REQUESTS and evidence.age >= max_age
 
 
 @dataclass(frozen=True)
 class VersionRule:
-    """Which endpoints a request may go to during a roll-out.
+    """Rule that selects the endpoints for a request during a rollout.
 
     Parameters
     ----------
     version : str
         The new version.
     exposed : bool
-        True if the request is to go to the new version, if any endpoint has it.
-    withheld : frozenset of str
-        Versions that were ordered before and not completed: they get nothing.
+        True if the request goes to the new version when any endpoint has it.
+    blocked : frozenset of str
+        Versions of earlier rollouts that were not completed; they get no requests.
     """
 
     version: str
@@ -199,16 +197,20 @@
     blocked: frozenset[str] = frozenset()
 
     def select(self, facts: Mapping[str, Fact]) -> dict[str, Fact]:
-        """Return the endpoints among which may be chosen.
+        """Return the endpoints that the request may use.
 
         Notes
         -----
-        A request that is not to go to the new version is not sent there for want of others: a bad
-        version would get the whole traffic when the old endpoints are lost. Where all others are
-        withheld, the order is to go back to the version from which one of them was to lead away.
+        A request that is not exposed never falls back to the new version: a bad version would get
+        all traffic when the old endpoints are lost. If all other versions are blocked, the rollout
+        returns to the version that they were to replace, which then gets all requests.
         """
         new = {name: fact for name, fact in facts.items() if fact.side == self.version}
-        held = {name for name, fact in facts.items() if fact.side in self.blocked}
-        old = {name: fact for name, fact in facts.items() if name not in new and name not in held}
-        goes_back = bool(held) and not old
-        return new if new and (self.exposed or goes_back) else old
+        blocked_facts = {name for name, fact in facts.items() if fact.side in self.blocked}
+        old = {
+            name: fact
+            for name, fact in facts.items()
+            if name not in new and name not in blocked_facts
+        }
+        is_return = bool(blocked_facts) and not old
+        return new if new and (self.exposed or is_return) else old
--- a/flamingofront/decisions/send_intents.py
+++ b/flamingofront/decisions/send_intents.py
@@ -1,16 +1,16 @@
-"""Which requests are recorded before they are sent, and how many unanswered sends one may have.
+"""Policy of send intents: which requests are recorded in the store before they are sent.
 
-Load pattern: all entry processes are killed while a request that crashes endpoints is under way,
-again and again. The ends that it causes have no witness, since whoever sent it is gone, so each
-life begins with no evidence. A send that is recorded in the store first (a write-ahead intent)
-outlasts its process: the next life finds it and sees that its endpoint has ended.
+Load pattern: all entry processes are killed repeatedly while a poison request is in flight. Its
+crashes are unobserved, since the sending process is gone, so each incarnation starts without
+evidence. A send that was recorded in the store first (a write-ahead intent) survives its process:
+the next incarnation finds it and sees that the endpoint has crashed.
 
-A record costs a call to the store, so it is made only while something speaks for it: shortly after
-a start that may have followed a kill, and after endpoints have ended about the time of a restart
-with no witness. What an endpoint has answered needs none.
+Recording costs a call to the store. It is therefore active only shortly after a start that may have
+followed a kill, and after unobserved crashes around a restart. Requests with a response need no
+intent.
 
-A request with several unanswered sends is not sent again at once: what it did to these endpoints is
-known a moment later.
+A request with several unanswered sends is delayed, because their effect on the endpoints is known a
+moment later.
 """
 
 import math
@@ -22,34 +22,32 @@
 
 __all__ = ["UNANSWERED_WAIT_SECONDS", "IntentPolicy", "IntentRecord", "SendIntent"]
 
-# Unanswered sends of one request from which on a further one waits for their outcome.
+# Unanswered sends of one request from which the next one waits for their outcome.
 MAX_UNANSWERED = CRASHES_TO_QUARANTINE
-# Wait of a request that has so many: endpoints were seen to end 40 to 180 ms after such a request
-# came.
+# Delay of such a request: endpoints crashed 40 to 180 ms after a poison request arrived.
 UNANSWERED_WAIT_SECONDS = 0.2
-# Records are made for so long after an endpoint has ended with no witness: longer than a series of
-# kills a dozen seconds apart needs.
+# Recording time after an unobserved crash: longer than the interval of repeated kills, about 12 s.
 RECORDING_SECONDS = 20.0
-# ... and for so long after the start of a process whose predecessor may have been killed, until
-# endpoints that ended with it have been found.
+# Recording time after a start that may have followed a kill: until endpoints that crashed together
+# with the previous incarnation have been detected.
 STARTUP_SECONDS = 0.6
-# Requests that are remembered as answered.
+# Requests remembered as having got a response.
 MAX_RESPONDED = 4096
-# Sends and unseen ends that one record names.
+# Sends and unobserved crashes listed in one record.
 MAX_SENDS = 8
 MAX_UNOBSERVED_CRASHES = 16
 
 
 @dataclass(frozen=True)
 class SendIntent:
-    """One request that is about to be sent to an endpoint.
+    """Write-ahead record of the send of a request to an endpoint.
 
     Parameters
     ----------
     vm_id, incarnation : str, int
-        Process that sends it, and its start in milliseconds.
+        VM and incarnation (start time in milliseconds) of the sending process.
     at : float
-        Seconds of the wall clock that the processes agree on.
+        Time of the send in seconds of the shared wall clock.
     """
 
     endpoint_id: str
@@ -62,12 +60,12 @@
 
 @dataclass(frozen=True)
 class IntentRecord:
-    """What is recorded of one request: sends that no answer has cleared.
+    """Unanswered sends of one request, as recorded in the store.
 
     Parameters
     ----------
-    unseen : tuple of str
-        Endpoints that had ended with no witness before; they may have ended under this request.
+    unobserved : tuple of str
+        Endpoints with an earlier unobserved crash, which this request may have caused.
     """
 
     fingerprint: str
@@ -75,16 +73,16 @@
     unobserved: tuple[str, ...] = ()
 
     def with_sends(self, sends: tuple[SendIntent, ...]) -> "IntentRecord":
-        """Return the record with further sends; the oldest ones are left out if it gets long."""
+        """Return the record with further sends, limited to the latest `MAX_SENDS`."""
         added = tuple(each for each in sends if each not in self.sends)
         return replace(self, sends=(self.sends + added)[-MAX_SENDS:])
 
     def without_send(self, intent: SendIntent) -> "IntentRecord":
-        """Return the record without a send."""
+        """Return the record without one send."""
         return replace(self, sends=tuple(each for each in self.sends if each != intent))
 
     def with_unobserved(self, endpoint_ids: frozenset[str]) -> "IntentRecord":
-        """Return the record with further ends that had no witness."""
+        """Return the record with further endpoints that had an unobserved crash."""
         own = {each.endpoint_id for each in self.sends}
         unobserved = dict.fromkeys((*self.unobserved, *sorted(endpoint_ids)))
         names = tuple(each for each in unobserved if each not in own)
@@ -92,12 +90,12 @@
 
 
 class IntentPolicy:
-    """Decides what is recorded; times are those of the timer service.
+    """Policy that decides which sends are recorded; times are those of the timer service.
 
     Parameters
     ----------
     began : float
-        Start of this process; minus infinity if it is no restart.
+        Start time of this process; minus infinity if it is not a restart.
     """
 
     def __init__(self, began: float = -math.inf):
@@ -107,35 +105,35 @@
         self._responded: OrderedDict[str, None] = OrderedDict()
 
     def record_unobserved_crash(self, endpoint_id: str, service: str, now: float) -> bool:
-        """Take note of an end with no witness; True if records were not made for its service.
+        """Record an unobserved crash; return True if it activated recording for the service.
 
         Parameters
         ----------
         service : str
-            Service of the endpoint; empty if it is not known, which stands for all services.
+            Service of the endpoint; empty if unknown, which stands for all services.
         """
-        was_wary = self.is_recording(service, now)
+        was_recording = self.is_recording(service, now)
         self._record_until[service] = now + RECORDING_SECONDS
         self._unobserved[endpoint_id] = None
         while len(self._unobserved) > MAX_UNOBSERVED_CRASHES:
             self._unobserved.popitem(last=False)
-        return not was_wary
+        return not was_recording
 
     def get_unobserved(self) -> frozenset[str]:
-        """Return the endpoints that ended with no witness."""
+        """Return the endpoints with unobserved crashes."""
         return frozenset(self._unobserved)
 
     def is_recording(self, service: str, now: float) -> bool:
-        """Tell whether requests to a service are recorded."""
+        """Return True while recording is active for a service."""
         until = max(self._record_until.get(each, -math.inf) for each in (service, ""))
         return now < max(until, self._start_until)
 
     def must_record(self, fingerprint: str, service: str, now: float) -> bool:
-        """Tell whether a request is recorded before it is sent."""
+        """Return True if a request must be recorded before it is sent."""
         return fingerprint not in self._responded and self.is_recording(service, now)
 
     def record_response(self, fingerprint: str) -> None:
-        """Take note that an endpoint has answered a request."""
+        """Record that an endpoint has responded to a request."""
         self._responded[fingerprint] = None
         self._responded.move_to_end(fingerprint)
         while len(self._responded) > MAX_RESPONDED:
@@ -143,13 +141,13 @@
 
     @staticmethod
     def must_wait(record: IntentRecord, last_alive: Mapping[str, float]) -> bool:
-        """Tell whether a request has too many unanswered sends for a further one now.
+        """Return True if a request has too many unanswered sends to be sent again now.
 
         Parameters
         ----------
         last_alive : mapping of str to float
-            Wall clock seconds at which endpoints were found to be there: one that has outlived a
-            send by so much was not ended by it.
+            Wall clock time at which each endpoint was last found running, in seconds. An endpoint
+            that survived a send by `UNANSWERED_WAIT_SECONDS` did not crash because of it.
         """
         unanswered = [
             each
--- a/flamingofront/decisions/shared_retry.py
+++ b/flamingofront/decisions/shared_retry.py
@@ -1,4 +1,4 @@
-"""The retry budget that all entry processes of a deployment keep together."""
+"""Retry budget shared by all entry processes of a deployment."""
 
 import math
 from collections import deque
@@ -8,30 +8,30 @@
 
 __all__ = ["SharedRetryBudget"]
 
-# Part of the allowance that is handed out: the rest covers members not yet known and calls of
-# which it is not clear whether they arrived.
+# Used fraction of the allowance: the rest covers members that are not known yet, and attempts of
+# which it is uncertain whether they arrived.
 USED_ALLOWANCE_FRACTION = 0.8
-# Part that a process hands out in its first window: attempts made before its start are in the same
-# window, and all may start twice within one.
+# Used fraction in the first window of a process: attempts of its previous incarnation are in the
+# same window, and all processes may restart twice within one window.
 INITIAL_ALLOWANCE_FRACTION = 0.1
 
 
 class SharedRetryBudget(RetryBudget):
-    """Further attempts within a sliding window, as a part of the requests seen here.
+    """Retry budget over a sliding window, in proportion to the requests of this process.
 
-    Each process keeps to its own requests and its part of the allowance, so the sum over all
-    processes keeps the limit also while they cannot hear each other.
+    Each process uses only its own requests and its share of the allowance, so the sum over all
+    processes stays within the limit also while they cannot reach each other.
 
     Parameters
     ----------
     ratio, allowance : float
-        All processes together make at most ``ratio * requests + allowance`` further attempts.
+        All processes together make at most ``ratio * requests + allowance`` retries.
     window : float
-        Seconds over which they are counted.
+        Length of the window in seconds.
     member_share : callable
-        Returns this process's part of the allowance, 0 to 1.
+        Returns this process's share of the allowance, 0 to 1.
     began : float
-        When this process began: it does not know what was attempted before.
+        Start time of this process; earlier retries are unknown.
     """
 
     def __init__(
@@ -42,7 +42,7 @@
         member_share: Callable[[], float],
         began: float = -math.inf,
     ):
-        self._began = began
+        self._started_at = began
         self._ratio = ratio
         self._allowance = allowance
         self._window = window
@@ -51,7 +51,7 @@
         self._attempts: deque[float] = deque()
 
     def record_request(self, now: float) -> None:
-        """Note a newly accepted request."""
+        """Record a newly accepted request."""
         self._requests.append(now)
         self._drop_expired(now)
 
@@ -61,11 +61,11 @@
                 times.popleft()
 
     def reserve(self, now: float) -> float:
-        """Return 0 if a further attempt may start now, infinity if the budget is used up."""
+        """Reserve one retry and return 0, or return infinity if the budget is used up."""
         self._drop_expired(now)
-        is_new = now - self._began < self._window
-        part = INITIAL_ALLOWANCE_FRACTION if is_new else USED_ALLOWANCE_FRACTION
-        allowance = self._allowance * part * self._member_share()
+        is_new = now - self._started_at < self._window
+        fraction = INITIAL_ALLOWANCE_FRACTION if is_new else USED_ALLOWANCE_FRACTION
+        allowance = self._allowance * fraction * self._member_share()
         if len(self._attempts) + 1 > self._ratio * len(self._requests) + allowance:
             return math.inf
         self._attempts.append(now)
--- a/flamingofront/decisions/shares.py
+++ b/flamingofront/decisions/shares.py
@@ -1,13 +1,14 @@
-"""Endpoints that a process uses first, where many processes place work at many endpoints.
+"""Preferred endpoints of each process, for many processes that share many endpoints.
 
-Word of what others place comes too late for a prompt that is read in 20 to 200 ms: where it shows
-an endpoint as idle, prompts wait more often than elsewhere. So each process looks first at a few
-endpoints, evenly shared out, and only those that share an endpoint have to tell one another of each
-large prompt, which a few datagrams do at once. In the first 20 s of a calm day of 89 VMs 0.801 of
-the worth was earned, and 0.776 with two endpoints at random (one run each, without processor time).
+Load reports arrive too late for prompts with a prefill time of 20 to 200 ms: many processes pick an
+endpoint that is reported idle, and prompts queue there. Each process therefore prefers a few
+endpoints, assigned evenly. Only processes with a common preferred endpoint notify each other of
+each large prompt, which takes a few datagrams. In the first 20 s of a normal day with 89 VMs this
+achieved 0.801 of the total value, against 0.776 with two random endpoints (one run each, without
+processor time).
 
-Processes and endpoints lie on one ring in the order of their zones, so that a process uses those
-of its own zone while there are enough, and others' where its zone has few.
+Processes and endpoints are placed on one ring in the order of their zones, so that a process uses
+endpoints of its own zone if there are enough, and else those of other zones.
 """
 
 from collections import deque
@@ -22,24 +23,24 @@
     "select_preferred_endpoints",
 ]
 
-# Endpoints that a process looks at first. In a simulation of 90 processes before 24 and 30 engines
-# at about half of what they can read, two that are known exactly left no request late, where two
-# of all endpoints, with word 0.2 to 0.5 s old, left 0.5 to 2 in 100.
+# Preferred endpoints per process. In a simulation of 90 processes and 24 or 30 engines at about
+# half of their prefill capacity, two endpoints with exact load left no request late; two of all
+# endpoints with reports 0.2 to 0.5 s old left 0.5 to 2 in 100 late.
 PREFERRED_ENDPOINTS = 2
-# A prompt that another process has told of counts for so long; after that the digests tell it.
+# Time for which a notified prompt counts; later it is included in the digests.
 REMOTE_PROMPT_SECONDS = 0.3
 
 
 @dataclass(frozen=True)
 class RingPosition:
-    """Where a process stands on the ring.
+    """Position of a process on the ring.
 
     Parameters
     ----------
     zone : str
-        Its zone.
+        Zone of the process.
     index, count : int
-        Its number among the processes of its zone, and how many these are.
+        Index of the process within its zone, and number of processes in the zone.
     """
 
     zone: str
@@ -50,10 +51,12 @@
 def select_preferred_endpoints(
     place: RingPosition, zones: Sequence[str], endpoints: Mapping[str, str]
 ) -> tuple[str, ...]:
-    """Return the endpoints that a process uses first.
+    """Return the ids of the preferred endpoints of a process.
 
     Parameters
     ----------
+    place : RingPosition
+        Position of the process.
     zones : sequence of str
         All zones, in the same order at all processes.
     endpoints : mapping of str to str
@@ -70,7 +73,7 @@
 
 
 class RemotePrompts:
-    """Prompts that other processes have just told of, by endpoint."""
+    """Prompts recently placed by other processes, by endpoint."""
 
     def __init__(self):
         self._reports: deque[tuple[float, str, int, int]] = deque()
@@ -78,19 +81,19 @@
         self._requests: dict[str, int] = {}
 
     def add(self, endpoint_id: str, requests: int, tokens: int, now: float) -> None:
-        """Note what another process has placed at an endpoint."""
+        """Add requests and prompt tokens that another process has placed at an endpoint."""
         self._reports.append((now + REMOTE_PROMPT_SECONDS, endpoint_id, requests, tokens))
         self._add_counts(endpoint_id, requests, tokens)
 
     def get_counts(self, endpoint_id: str, now: float) -> tuple[int, int]:
-        """Return the requests and the prompt tokens that count at an endpoint."""
+        """Return the number of recent requests and of their prompt tokens at an endpoint."""
         while self._reports and self._reports[0][0] <= now:
             _, name, requests, tokens = self._reports.popleft()
             self._add_counts(name, -requests, -tokens)
         return self._requests.get(endpoint_id, 0), self._tokens.get(endpoint_id, 0)
 
     def forget(self, endpoint_id: str) -> None:
-        """Drop what was told of an endpoint that has gone or started again."""
+        """Drop the prompts of an endpoint that was removed or restarted."""
         self._reports = deque(each for each in self._reports if each[1] != endpoint_id)
         self._requests.pop(endpoint_id, None)
         self._tokens.pop(endpoint_id, None)
