--- a/flamingofront/decisions/stopping.py
+++ b/flamingofront/decisions/stopping.py
@@ -1,9 +1,9 @@
-"""What a process that stops still begins: only what certainly ends before the process does.
+"""Admission during a graceful shutdown: only requests that complete before the process exits.
 
-Load pattern: rolling restarts, in which new requests reach a process until its balancer turns away,
-and later ones where few other processes are in rotation. Most are short, some last longer than the
-process has left. A mean says nothing of those, so that a request is judged by the longest time that
-it can take: by its deadline, or by its own number of tokens at the slowest pace seen lately.
+Load pattern: rolling restarts, in which a process gets new requests until its load balancer stops
+sending them, and for longer if few other processes are in rotation. Most requests are short, but
+some take longer than the remaining time. A mean does not bound these, so a request is evaluated by
+an upper bound: its deadline, or its number of tokens at the slowest recently observed rate.
 """
 
 import math
@@ -12,16 +12,15 @@
 
 __all__ = ["CompletionBounds", "StreamBound", "StreamTimes", "can_complete"]
 
-# Answers whose times are kept for a service: a change of its endpoints shows after so many.
+# Streams kept per service; a change of its endpoints is fully visible after this many.
 KEPT_STREAMS = 128
-# Answers without which nothing is said of a service's next one: among so many, one in twenty that
-# is slow has most likely been seen.
+# Streams required for an estimate: enough to have likely observed a slow one if 1 in 20 is slow.
 MIN_STREAMS = 20
-# Streams with at least this part of the tokens of another one tell how long that lasts.
+# Minimum size, as a fraction of a stream's tokens, of the streams used to estimate its duration.
 SIMILAR_SIZE_FRACTION = 0.25
-# One answer in so many is left out: it lost its endpoint, or waited for one, and tells no pace.
+# The slowest stream in this many is ignored: it lost its endpoint or waited for one.
 STREAMS_PER_OUTLIER = 100
-# The next stream may be slower than all that were seen by this factor.
+# The next stream may be slower than all observed ones by this factor.
 SAFETY_FACTOR = 1.25
 
 
@@ -32,68 +31,68 @@
     Parameters
     ----------
     first_event : float
-        Seconds from its acceptance to its first event.
+        Seconds from acceptance to the first event.
     rest : float
-        Seconds from its first event to its end.
+        Seconds from the first event to completion.
     output_tokens : int
-        Most tokens that its caller allowed.
+        Maximum output tokens allowed by the caller.
     """
 
     first_event: float
     rest: float
     output_tokens: int
 
-    def scaled(self, output_tokens: int) -> float:
-        """Return the seconds of a stream at the same pace, that is no shorter than this one."""
+    def scale_duration(self, output_tokens: int) -> float:
+        """Return the duration of a stream at the same rate, at least as long as this one."""
         return self.first_event + self.rest * max(1.0, output_tokens / self.output_tokens)
 
 
 class StreamBound:
-    """Longest time that the next stream of a service takes, by the streams that were seen."""
+    """Upper bound of the duration of the next stream of a service, from observed streams."""
 
     def __init__(self):
-        self._seen: deque[StreamTimes] = deque(maxlen=KEPT_STREAMS)
+        self._observations: deque[StreamTimes] = deque(maxlen=KEPT_STREAMS)
 
     def observe(self, times: StreamTimes) -> None:
-        """Take a complete stream in; one whose caller named no tokens tells nothing."""
+        """Record a complete stream; streams without a token limit are ignored."""
         if times.output_tokens > 0:
-            self._seen.append(times)
+            self._observations.append(times)
 
     def estimate_max_seconds(self, output_tokens: int) -> float:
-        """Return the longest time from acceptance to the end; infinite if it is not known."""
-        if output_tokens <= 0 or len(self._seen) < MIN_STREAMS:
+        """Return the maximum seconds from acceptance to completion, infinity if unknown."""
+        if output_tokens <= 0 or len(self._observations) < MIN_STREAMS:
             return math.inf
-        like = [
+        similar = [
             each
-            for each in self._seen
+            for each in self._observations
             if each.output_tokens >= SIMILAR_SIZE_FRACTION * output_tokens
         ]
-        known = like if len(like) >= MIN_STREAMS else self._seen
-        longest = sorted(each.scaled(output_tokens) for each in known)
-        return SAFETY_FACTOR * longest[-1 - len(longest) // STREAMS_PER_OUTLIER]
+        streams = similar if len(similar) >= MIN_STREAMS else self._observations
+        durations = sorted(each.scale_duration(output_tokens) for each in streams)
+        return SAFETY_FACTOR * durations[-1 - len(durations) // STREAMS_PER_OUTLIER]
 
 
 class CompletionBounds:
-    """Bounds of all services."""
+    """Bounds of stream durations of all services."""
 
     def __init__(self):
         self._services: dict[str, StreamBound] = {}
 
     def for_service(self, service: str) -> StreamBound:
-        """Return the bound of a service."""
+        """Return the bound of a service, created on first use."""
         return self._services.setdefault(service, StreamBound())
 
 
 def can_complete(deadline_left: float, bound: float, stop_left: float) -> bool:
-    """Tell whether a request that begins now ends before the process does.
+    """Return True if a request that starts now completes before the process exits.
 
     Parameters
     ----------
     deadline_left : float
-        Seconds after which the request is ended in any case.
+        Seconds until the deadline of the request.
     bound : float
-        Longest seconds that it takes; infinite if that is not known.
+        Maximum duration of the request in seconds; infinite if unknown.
     stop_left : float
-        Seconds until the process ends; infinite if it does not stop.
+        Seconds until the process exits; infinite if it is not shutting down.
     """
     return min(deadline_left, bound) <= stop_left
--- a/flamingofront/decisions/tests/test_lateness.py
+++ b/flamingofront/decisions/tests/test_lateness.py
@@ -1,4 +1,4 @@
-"""Work that is late in any case, and work that can be in time: who goes first."""
+"""Tests of the priority of requests by whether they can meet their latency objective."""
 
 import heapq
 import itertools
@@ -33,108 +33,108 @@
             (9.0, -1.0, True, Urgency.RESUMED),
         ],
     )
-    def test_it_follows_from_what_is_expected(self, first_event, left, resumed, expected):
+    def test_urgency_follows_from_expected_latency(self, first_event, left, resumed, expected):
         assert classify_urgency(LatencyEstimate(first_event, left, resumed)) is expected
 
     @pytest.mark.parametrize(("each", "sent"), [(Urgency.LATE, ["8"]), (Urgency.IN_TIME, [])])
-    def test_engines_are_told_what_is_not_usual(self, each, sent):
+    def test_urgency_header_is_sent_unless_default(self, each, sent):
         work = ForwardWork("POST", "/x", "h", (), b"", True, True, True, 2)
         fields = PlatformProtocol().attempt_fields(work, AttemptFacts("e", 1.0, urgency=each))
         found = [value for name, value in fields if name == "X-Flamingofront-Request-Urgency"]
         assert found == sent
 
 
-class TestPostponement:
+class TestYieldDelay:
     late = LatencyEstimate(2.0, OBJECTIVE)
 
-    def test_late_work_stands_back_while_others_wait_to_be_read(self):
+    def test_late_request_yields_to_queued_prompts(self):
         assert compute_yield_delay(self.late, 1.0, 0.0, DEADLINE) > 0
 
-    def test_it_goes_at_once_where_nothing_waits(self):
+    def test_late_request_is_sent_to_idle_engine(self):
         assert compute_yield_delay(self.late, IDLE_BACKLOG_SECONDS, 0.0, DEADLINE) == 0
 
-    def test_it_goes_at_once_when_it_can_be_in_time(self):
+    def test_request_in_time_is_sent_at_once(self):
         assert compute_yield_delay(LatencyEstimate(0.3, OBJECTIVE), 0.25, 0.0, DEADLINE) == 0
 
-    def test_stream_that_has_begun_never_stands_back(self):
+    def test_resumed_stream_never_yields(self):
         assert compute_yield_delay(LatencyEstimate(2.0, -1.0, True), 1.0, 0.0, DEADLINE) == 0
 
-    def test_it_goes_before_the_deadline_is_lost(self):
+    def test_late_request_is_sent_before_its_deadline(self):
         assert compute_yield_delay(self.late, 1.0, MAX_YIELD_FRACTION * DEADLINE, DEADLINE) == 0
 
 
 @dataclass
 class Served:
-    """When a request came and when its first event did."""
+    """Arrival time of a request and time of its first event."""
 
-    came: float
+    arrived: float
     first: float
 
 
-class Reading:
-    """Engines that read prompts one after another, on a virtual clock."""
+class PrefillQueue:
+    """Simulated engines that prefill prompts one after another, on a virtual clock."""
 
     BASE = 0.02
     TOKEN_SECONDS = 1e-5
 
-    def __init__(self, engines, stands_back, seed):
+    def __init__(self, engines, yields, seed):
         self._free_at = [0.0] * engines
-        self._stands_back = stands_back
+        self._yields = yields
         self._rng = random.Random(seed)
 
-    def play(self, arrivals):
-        """Return what was served of arrivals (time, tokens)."""
+    def simulate(self, arrivals):
+        """Return the served requests of arrivals, which are pairs of time and tokens."""
         order = itertools.count()
-        looks = [(time, next(order), time, tokens) for time, tokens in arrivals]
-        heapq.heapify(looks)
+        checks = [(time, next(order), time, tokens) for time, tokens in arrivals]
+        heapq.heapify(checks)
         served = []
-        while looks:
-            now, _, came, tokens = heapq.heappop(looks)
+        while checks:
+            now, _, arrived, tokens = heapq.heappop(checks)
             engine = min(range(len(self._free_at)), key=lambda each: self._free_at[each])
             ahead = max(0.0, self._free_at[engine] - now)
             reading = tokens * self.TOKEN_SECONDS
-            expected = LatencyEstimate(self.BASE + ahead + reading, OBJECTIVE - (now - came))
-            wait = compute_yield_delay(expected, ahead, now - came, DEADLINE)
-            if wait > 0 and self._stands_back:
+            expected = LatencyEstimate(self.BASE + ahead + reading, OBJECTIVE - (now - arrived))
+            wait = compute_yield_delay(expected, ahead, now - arrived, DEADLINE)
+            if wait > 0 and self._yields:
                 later = now + wait * (0.5 + self._rng.random())
-                heapq.heappush(looks, (later, next(order), came, tokens))
+                heapq.heappush(checks, (later, next(order), arrived, tokens))
                 continue
             self._free_at[engine] = now + ahead + reading
-            served.append(Served(came, self.BASE + now + ahead + reading))
+            served.append(Served(arrived, self.BASE + now + ahead + reading))
         return served
 
 
-def burst(rng, calm=15.0, factor=6.0, begins=4.0, lasts=4.0, ends=20.0):
-    """Return arrivals: a calm rate, and for some seconds a multiple of it."""
+def burst(rng, base_rate=15.0, factor=6.0, start=4.0, duration=4.0, end=20.0):
+    """Return arrivals at a base rate, and at a multiple of it during a burst."""
     now, found = 0.0, []
-    while now < ends:
-        rate = calm * (factor if begins <= now < begins + lasts else 1.0)
+    while now < end:
+        rate = base_rate * (factor if start <= now < start + duration else 1.0)
         now += rng.expovariate(rate)
         found.append((now, rng.uniform(500, 7500)))
     return found
 
 
 class TestBurst:
-    """Two engines, of which the calm load takes 0.3 and the burst 1.8 of what they can read."""
+    """Two engines with a base load of 0.3 and a burst of 1.8 of their prefill capacity."""
 
-    def play(self, stands_back, seed):
-        served = Reading(2, stands_back, seed).play(burst(random.Random(seed)))
-        in_burst = [each for each in served if 4.0 <= each.came < 9.0]
-        in_time = sum(each.first - each.came <= OBJECTIVE for each in in_burst)
-        longest = max(each.first - each.came for each in served)
+    def simulate(self, yields, seed):
+        served = PrefillQueue(2, yields, seed).simulate(burst(random.Random(seed)))
+        in_burst = [each for each in served if 4.0 <= each.arrived < 9.0]
+        in_time = sum(each.first - each.arrived <= OBJECTIVE for each in in_burst)
+        longest = max(each.first - each.arrived for each in served)
         return in_time / len(in_burst), longest, len(served)
 
     @pytest.mark.parametrize("seed", range(5))
-    def test_more_are_in_time_and_all_are_served(self, seed):
-        naive, _, count = self.play(False, seed)
-        share, longest, served = self.play(True, seed)
+    def test_yielding_serves_more_requests_in_time(self, seed):
+        naive, _, count = self.simulate(False, seed)
+        share, longest, served = self.simulate(True, seed)
         assert share >= naive + 0.2
         assert served == count
         assert longest < DEADLINE
 
 
 class TestForwarding:
-    def test_request_that_stands_back_is_served_when_the_prompt_before_it_was_read(self):
+    def test_yielding_requests_are_served_after_earlier_prompt(self):
         world = ready_world(engines=1)
         world.endpoints["engine-1"].gap = 0.3
         large = {"X_Flamingofront_Token_Counts": "60000,4"}
@@ -148,7 +148,7 @@
         assert {each.status for each in callers} == {200}
         assert len(world.endpoints["engine-1"].runs) == 3
 
-    def test_caller_that_leaves_takes_it_out_of_the_line(self):
+    def test_disconnected_caller_cancels_yielding_request(self):
         world = ready_world(engines=1)
         world.endpoints["engine-1"].gap = 0.3
         large = {"X_Flamingofront_Token_Counts": "60000,4"}
--- a/flamingofront/decisions/tests/test_quarantine.py
+++ b/flamingofront/decisions/tests/test_quarantine.py
@@ -1,4 +1,4 @@
-"""Who is suspected of crashing endpoints, who is held back, and how both are cleared."""
+"""Tests of the detection, quarantine and release of requests that crash endpoints."""
 
 import random
 
@@ -28,20 +28,20 @@
 
 
 class Case:
-    """A quarantine that is told of ends, one a second, each of another zone."""
+    """Quarantine that records crashes, by default one per second, each in another zone."""
 
     def __init__(self):
         self.quarantine = Quarantine()
         self.now = 1000.0
         self.count = 0
 
-    def end(self, *requests, zone=None, endpoint=None, after=1.0):
+    def crash(self, *requests, zone=None, endpoint=None, after=1.0):
         self.now += after
         self.count += 1
         name = endpoint or f"e-{self.count}"
-        end = EndpointCrash(name, zone or f"zone-{self.count}", self.now, requests)
-        self.quarantine.record_crash(end, self.now)
-        return end
+        crash = EndpointCrash(name, zone or f"zone-{self.count}", self.now, requests)
+        self.quarantine.record_crash(crash, self.now)
+        return crash
 
     def evaluate(self, after=0.0):
         self.now += after
@@ -51,157 +51,157 @@
         return self.quarantine.get_status(request, self.now)
 
 
-class TestHolding:
-    def test_one_end_proves_nothing(self):
+class TestEvidence:
+    def test_one_crash_only_makes_a_suspect(self):
         case = Case()
-        case.end("bad")
+        case.crash("bad")
         assert case.evaluate(LATER) == []
         assert case.get_status("bad") is QuarantineStatus.SUSPECTED
 
-    def test_three_ends_are_enough_at_once(self):
+    def test_three_crashes_quarantine_at_once(self):
         case = Case()
         for _ in range(CRASHES_TO_QUARANTINE):
-            case.end("bad", f"beside-{case.count}", "often beside")
+            case.crash("bad", f"beside-{case.count}", "often beside")
             if case.count == 1:
                 assert case.evaluate() == []
         assert set(case.evaluate()) == {"bad", "often beside"}
 
-    def test_two_ends_are_enough_where_nothing_else_was_at_both(self):
+    def test_two_crashes_suffice_without_other_common_request(self):
         case = Case()
-        case.end("bad", "beside")
-        case.end("bad", "another")
+        case.crash("bad", "beside")
+        case.crash("bad", "another")
         assert case.evaluate() == []
         assert case.evaluate(PROPAGATION_SECONDS) == ["bad"]
         assert case.get_status("bad") is QuarantineStatus.QUARANTINED
 
-    def test_two_ends_are_not_where_something_else_was_at_both(self):
+    def test_two_crashes_do_not_suffice_with_other_common_request(self):
         case = Case()
-        case.end("bad", "beside")
-        case.end("bad", "beside")
+        case.crash("bad", "beside")
+        case.crash("bad", "beside")
         assert case.evaluate(LATER) == []
 
-    def test_two_ends_are_not_where_what_was_there_is_known_in_part(self):
+    def test_two_crashes_do_not_suffice_with_omitted_requests(self):
         case = Case()
-        case.end("bad")
-        end = EndpointCrash("e-x", "zone-x", case.now + 1, ("bad",), omitted=1)
-        case.quarantine.record_crash(end, case.now + 1)
+        case.crash("bad")
+        crash = EndpointCrash("e-x", "zone-x", case.now + 1, ("bad",), omitted=1)
+        case.quarantine.record_crash(crash, case.now + 1)
         assert case.evaluate(LATER) == []
 
-    def test_an_end_that_several_processes_tell_counts_once(self):
+    def test_crash_reported_by_several_processes_counts_once(self):
         case = Case()
         for offset in (0.0, 0.4, -0.3):
-            end = EndpointCrash("e-1", "zone-1", case.now + offset, ("bad",))
-            case.quarantine.record_crash(end, case.now + 1)
+            crash = EndpointCrash("e-1", "zone-1", case.now + offset, ("bad",))
+            case.quarantine.record_crash(crash, case.now + 1)
         assert len(case.quarantine.get_crashes("bad")) == 1
 
-    def test_endpoint_that_started_again_under_its_id_counts_again(self):
+    def test_crashes_of_restarted_endpoint_count_separately(self):
         case = Case()
         for _ in range(CRASHES_TO_QUARANTINE):
-            case.end("bad", endpoint="e-same", zone="zone-1", after=5.0)
+            case.crash("bad", endpoint="e-same", zone="zone-1", after=5.0)
         assert case.evaluate() == ["bad"]
 
 
-class TestOthers:
-    def test_what_ran_beside_it_is_cleared_once_it_is_held(self):
+class TestInnocentRequests:
+    def test_quarantine_clears_requests_beside_it(self):
         case = Case()
-        case.end("bad", "beside")
-        case.end("bad", "beside")
-        case.end("bad")
+        case.crash("bad", "beside")
+        case.crash("bad", "beside")
+        case.crash("bad")
         assert case.evaluate() == ["bad"]
         assert case.get_status("beside") is QuarantineStatus.CLEAR
 
-    def test_worst_goes_first_and_clears_one_that_has_enough_ends_too(self):
+    def test_request_with_most_crashes_explains_others(self):
         case = Case()
         for _ in range(CRASHES_TO_QUARANTINE):
-            case.end("bad", "beside")
-        case.end("bad")
+            case.crash("bad", "beside")
+        case.crash("bad")
         assert case.evaluate() == ["bad"]
         assert case.get_status("beside") is QuarantineStatus.CLEAR
 
-    def test_ends_of_a_zone_at_one_moment_count_once_if_others_were_not_under_it(self):
+    def test_simultaneous_crashes_in_zone_count_once_if_some_lack_the_request(self):
         case = Case()
         for number in range(4):
             requests = ("common",) if number else ("other",)
-            case.end(*requests, zone="zone-a", after=0.01)
+            case.crash(*requests, zone="zone-a", after=0.01)
         assert case.evaluate(LATER) == []
         assert case.get_status("common") is QuarantineStatus.SUSPECTED
 
-    def test_ends_of_a_zone_at_one_moment_count_each_if_all_were_under_it(self):
+    def test_simultaneous_crashes_in_zone_count_each_if_all_have_the_request(self):
         case = Case()
         for _ in range(CRASHES_TO_QUARANTINE):
-            case.end("bad", f"beside-{case.count}", zone="zone-a", after=0.01)
+            case.crash("bad", f"beside-{case.count}", zone="zone-a", after=0.01)
         assert case.evaluate() == ["bad"]
 
-    def test_zones_lost_one_after_another_count_each_loss_once(self):
+    def test_each_zone_failure_counts_once(self):
         case = Case()
         for zone in ("zone-a", "zone-b"):
             for number in range(5):
-                case.end(*(("common",) if number < 3 else ("other",)), zone=zone, after=0.01)
+                case.crash(*(("common",) if number < 3 else ("other",)), zone=zone, after=0.01)
             case.now += 10.0
-        case.end("third")
+        case.crash("third")
         assert case.get_status("common") is QuarantineStatus.SUSPECTED
         assert "common" not in case.evaluate()
 
-    def test_request_that_is_held_first_does_not_hide_another_one(self):
+    def test_quarantined_request_does_not_hide_another_one(self):
         case = Case()
         for _ in range(3):
-            case.end("bad", "worse")
-        case.end("worse")
+            case.crash("bad", "worse")
+        case.crash("worse")
         assert case.evaluate() == ["worse"]
-        case.end("bad")
+        case.crash("bad")
         assert case.evaluate() == ["bad"]
 
 
-class TestClearing:
-    def test_answer_clears_a_suspect(self):
+class TestRelease:
+    def test_response_clears_suspect(self):
         case = Case()
-        case.end("fine")
-        case.end("fine", "beside")
+        case.crash("fine")
+        case.crash("fine", "beside")
         assert case.quarantine.clear_request("fine", case.now)
         assert case.get_status("fine") is QuarantineStatus.CLEAR
-        case.end("fine")
+        case.crash("fine")
         assert case.evaluate(LATER) == []
 
-    def test_answer_lifts_a_hold_and_late_word_of_old_ends_does_not_bring_it_back(self):
+    def test_late_report_of_old_crashes_does_not_undo_release(self):
         case = Case()
-        ends = [case.end("fine") for _ in range(CRASHES_TO_QUARANTINE)]
+        crashes = [case.crash("fine") for _ in range(CRASHES_TO_QUARANTINE)]
         case.evaluate()
         case.quarantine.clear_request("fine", case.now + 1)
-        for each in ends:
+        for each in crashes:
             case.quarantine.record_crash(each, case.now + 2)
         assert case.evaluate(LATER) == []
         assert case.get_status("fine") is QuarantineStatus.CLEAR
 
-    def test_answer_told_by_another_process_clears_but_not_of_later_ends(self):
-        here, there = Case(), Case()
-        end = here.end("fine")
-        there.quarantine.record_crash(end, here.now)
-        there.quarantine.clear_request("fine", here.now + 0.1)
-        word = there.quarantine.build_update(here.now + 0.2)
-        assert here.quarantine.merge_update(word, here.now + 0.2)
-        assert here.get_status("fine") is QuarantineStatus.CLEAR
-        here.end("fine")
-        assert not here.quarantine.merge_update(word, here.now)
-        assert here.get_status("fine") is QuarantineStatus.SUSPECTED
-
-    def test_old_word_of_an_answer_does_not_lift_a_later_hold(self):
+    def test_release_from_peer_does_not_clear_later_crashes(self):
+        local, remote = Case(), Case()
+        crash = local.crash("fine")
+        remote.quarantine.record_crash(crash, local.now)
+        remote.quarantine.clear_request("fine", local.now + 0.1)
+        update = remote.quarantine.build_update(local.now + 0.2)
+        assert local.quarantine.merge_update(update, local.now + 0.2)
+        assert local.get_status("fine") is QuarantineStatus.CLEAR
+        local.crash("fine")
+        assert not local.quarantine.merge_update(update, local.now)
+        assert local.get_status("fine") is QuarantineStatus.SUSPECTED
+
+    def test_old_release_does_not_remove_later_entry(self):
         quarantine = Quarantine()
         quarantine.merge_entry(QuarantineEntry("bad", ("e-1", "e-2", "e-3"), 100.0), 101.0)
         assert not quarantine.merge_release(Release("bad", 99.0))
         assert quarantine.get_entry("bad")
         assert quarantine.merge_release(Release("bad", 101.0))
 
-    def test_suspicion_is_dropped_after_a_while(self):
+    def test_evidence_expires(self):
         case = Case()
-        case.end("fine")
+        case.crash("fine")
         case.quarantine.drop_expired(case.now + EVIDENCE_LIFETIME_SECONDS + 1)
         assert case.get_status("fine") is QuarantineStatus.CLEAR and not case.quarantine
 
-    def test_three_trials_and_then_none_until_it_is_forgotten(self):
-        hold = QuarantineEntry("bad", ("e-1",), 0.0, next_trial=TRIAL_SECONDS[0])
+    def test_three_trials_then_none_until_entry_expires(self):
+        entry = QuarantineEntry("bad", ("e-1",), 0.0, next_trial=TRIAL_SECONDS[0])
         now, trials = 0.0, 0
         quarantine = Quarantine()
-        quarantine.merge_entry(hold, now)
+        quarantine.merge_entry(entry, now)
         while now < ENTRY_LIFETIME_SECONDS - 60:
             now += 10.0
             if quarantine.get_status("bad", now) is QuarantineStatus.TRIAL_DUE:
@@ -212,55 +212,55 @@
         assert quarantine.get_status("bad", now) is QuarantineStatus.CLEAR
 
 
-class TestUnseenEnds:
-    """A process that is killed takes with it what it ran: ends about then may belong to any."""
+class TestUnobservedCrashes:
+    """Any request of a killed process may have caused the unobserved crashes around that time."""
 
-    def held(self, case, restarts):
-        (hold,) = case.quarantine.evaluate(case.now, restarts)
-        return hold
+    def quarantine_request(self, case, restarts):
+        (entry,) = case.quarantine.evaluate(case.now, restarts)
+        return entry
 
     @pytest.mark.parametrize(("unseen", "trials"), [(0, 0), (1, 1), (2, 2), (3, 3), (9, 3)])
-    def test_each_unseen_end_near_a_restart_takes_a_trial(self, unseen, trials):
+    def test_each_unobserved_crash_near_restart_uses_a_trial(self, unseen, trials):
         case = Case()
         restart = case.now
         for number in range(unseen):
             case.quarantine.add_unobserved_crash(f"unseen-{number}", case.now + 3.0)
         for _ in range(3):
-            case.end("bad")
-        hold = self.held(case, [restart])
-        assert hold.trials == trials
+            case.crash("bad")
+        entry = self.quarantine_request(case, [restart])
+        assert entry.trials == trials
         if trials == len(TRIAL_SECONDS):
             assert (
                 case.quarantine.get_status("bad", case.now + 80_000) is QuarantineStatus.QUARANTINED
             )
 
-    def test_ends_far_from_any_restart_take_none(self):
+    def test_crashes_far_from_restarts_use_no_trial(self):
         case = Case()
         case.quarantine.add_unobserved_crash("unseen", case.now)
         for _ in range(3):
-            case.end("bad", after=5.0)
-        assert self.held(case, [case.now + 60.0, case.now - 600.0]).trials == 0
+            case.crash("bad", after=5.0)
+        assert self.quarantine_request(case, [case.now + 60.0, case.now - 600.0]).trials == 0
 
-    def test_ends_under_others_count_if_a_process_began_about_then(self):
-        """What the killed process had at that endpoint is in nobody's list."""
+    def test_crashes_of_other_requests_near_restart_use_a_trial(self):
+        """The requests of the killed process at that endpoint are missing from the crash."""
         case = Case()
-        case.end("other")
+        case.crash("other")
         for _ in range(3):
-            case.end("bad")
-        assert self.held(case, [case.now]).trials == 1
+            case.crash("bad")
+        assert self.quarantine_request(case, [case.now]).trials == 1
 
-    def test_own_ends_are_not_counted_twice(self):
+    def test_own_crashes_are_not_counted_twice(self):
         case = Case()
-        ends = [case.end("bad") for _ in range(3)]
-        case.quarantine.add_unobserved_crash(ends[0].endpoint_id, case.now)
-        assert self.held(case, [case.now]).trials == 0
+        crashes = [case.crash("bad") for _ in range(3)]
+        case.quarantine.add_unobserved_crash(crashes[0].endpoint_id, case.now)
+        assert self.quarantine_request(case, [case.now]).trials == 0
 
 
 class TestMemory:
-    def test_it_is_bounded_under_many_different_requests(self):
+    def test_memory_is_bounded_with_many_requests(self):
         case = Case()
         for number in range(2 * MAX_CRASHES):
-            case.end(*(f"r-{number}-{each}" for each in range(12)), after=0.01)
+            case.crash(*(f"r-{number}-{each}" for each in range(12)), after=0.01)
             case.evaluate()
         for number in range(2 * MAX_ENTRIES):
             case.quarantine.merge_entry(QuarantineEntry(f"h-{number}", ("e",), case.now), case.now)
@@ -269,35 +269,40 @@
         assert len(inner._entries) <= MAX_ENTRIES
         assert all(each.requests for each in list(inner._crashes.values())[-300:])
 
-    def test_what_is_told_is_bounded_and_names_the_most_suspected(self):
+    def test_update_is_bounded_and_contains_most_suspected(self):
         case = Case()
         for _ in range(2):
-            case.end("bad", *(f"r-{case.count}-{each}" for each in range(200)), after=0.5)
-        word = case.quarantine.build_update(case.now)
-        assert len({name for end in word.crashes for name in end.requests}) <= MAX_GOSSIPED_REQUESTS
-        assert all("bad" in end.requests and end.omitted for end in word.crashes)
+            case.crash("bad", *(f"r-{case.count}-{each}" for each in range(200)), after=0.5)
+        update = case.quarantine.build_update(case.now)
+        assert (
+            len({name for crash in update.crashes for name in crash.requests})
+            <= MAX_GOSSIPED_REQUESTS
+        )
+        assert all("bad" in crash.requests and crash.omitted for crash in update.crashes)
 
 
-class TestWordInAnyOrder:
+class TestUpdateOrder:
     @pytest.mark.parametrize("seed", range(40))
-    def test_processes_that_heard_all_agree(self, seed):
-        """Ends, some of them under one request, told in any order, more than once."""
+    def test_update_order_does_not_change_result(self, seed):
+        """Processes agree if they get the same crashes in any order and some more than once."""
         rng = random.Random(seed)
-        ends = []
+        crashes = []
         for number in range(rng.randrange(2, 9)):
             others = rng.sample([f"r-{each}" for each in range(30)], rng.randrange(0, 8))
             bad = ("bad",) if rng.random() < 0.7 else ()
             requests = tuple(sorted({*others, *bad}))
-            ends.append(EndpointCrash(f"e-{number}", f"z-{number % 3}", 1000.0 + number, requests))
+            crashes.append(
+                EndpointCrash(f"e-{number}", f"z-{number % 3}", 1000.0 + number, requests)
+            )
         verdicts = set()
         for _ in range(5):
-            told = [*ends, *rng.choices(ends, k=3)]
-            rng.shuffle(told)
+            shuffled = [*crashes, *rng.choices(crashes, k=3)]
+            rng.shuffle(shuffled)
             quarantine = Quarantine()
-            for each in told:
+            for each in shuffled:
                 quarantine.record_crash(each, 1010.0)
             quarantine.evaluate(1015.0)
             verdicts.add(tuple(sorted(each.fingerprint for each in quarantine.list_entries())))
         assert len(verdicts) == 1
-        if sum("bad" in each.requests for each in ends) >= MIXED_CRASHES_TO_QUARANTINE:
+        if sum("bad" in each.requests for each in crashes) >= MIXED_CRASHES_TO_QUARANTINE:
             assert "bad" in verdicts.pop()
--- a/flamingofront/decisions/tests/test_zone_reach.py
+++ b/flamingofront/decisions/tests/test_zone_reach.py
@@ -1,4 +1,4 @@
-"""Zones that are cut off, and such as only seem to be."""
+"""Tests of the detection of partitioned zones."""
 
 import pytest
 
@@ -11,43 +11,43 @@
 from flamingofront.tests.forwarding_world import ForwardingWorld
 
 
-class TestSigns:
-    def silent(self):
-        """Return the signs of a zone with silent peers, and an answer that does not come."""
+class TestEvidence:
+    def make_unresponsive_zone(self):
+        """Return the evidence of a zone with unresponsive peers and a pending response."""
         reach = ZoneReachability()
         reach.set_unresponsive_zones({"b"})
         reach.record_pending("b", 10.0 - RESPONSE_RECENT_SECONDS, 10.0)
         return reach
 
-    def test_silent_peers_tell_a_cut(self):
-        reach = self.silent()
+    def test_unresponsive_peers_and_pending_response_show_partition(self):
+        reach = self.make_unresponsive_zone()
         assert reach.is_partitioned("b", 10.0) and not reach.is_partitioned("a", 10.0)
         assert not reach.is_partitioned("b", 10.1 + PARTITION_SECONDS)
         reach.set_unresponsive_zones(())
         assert not reach.is_partitioned("b", 10.0)
 
     @pytest.mark.parametrize("sign", ["none", "an answer that is not late yet"])
-    def test_silent_peers_alone_tell_nothing(self, sign):
+    def test_unresponsive_peers_alone_are_not_sufficient(self, sign):
         reach = ZoneReachability()
         reach.set_unresponsive_zones({"b"})
         if sign != "none":
             reach.record_pending("b", 9.9, 10.0)
         assert not reach.is_partitioned("b", 10.0)
 
-    def test_one_failed_connection_is_enough_where_peers_are_silent(self):
+    def test_one_connect_failure_suffices_with_unresponsive_peers(self):
         reach = ZoneReachability()
         reach.record_connect_failure("b", "e1", 10.0)
         reach.set_unresponsive_zones({"b"})
         assert reach.is_partitioned("b", 10.0)
 
-    def test_endpoint_that_speaks_outweighs_its_zone_s_silent_peers(self):
-        reach = self.silent()
+    def test_received_data_overrides_unresponsive_peers(self):
+        reach = self.make_unresponsive_zone()
         reach.record_response("b", 10.0)
         assert not reach.is_partitioned("b", 10.0 + 0.9 * RESPONSE_RECENT_SECONDS)
         reach.record_pending("b", 10.0, 10.0 + RESPONSE_RECENT_SECONDS)
         assert reach.is_partitioned("b", 10.0 + 1.1 * RESPONSE_RECENT_SECONDS)
 
-    def test_two_endpoints_that_cannot_be_connected_to_tell_a_cut_for_a_while(self):
+    def test_two_connect_failures_show_partition_temporarily(self):
         reach = ZoneReachability()
         reach.record_connect_failure("b", "e1", 10.0)
         assert not reach.is_partitioned("b", 10.0)
@@ -55,7 +55,7 @@
         assert reach.is_partitioned("b", 10.5)
         assert not reach.is_partitioned("b", 10.6 + PARTITION_SECONDS)
 
-    def test_answer_forgets_failures(self):
+    def test_received_data_resets_connect_failures(self):
         reach = ZoneReachability()
         for endpoint in ("e1", "e2"):
             reach.record_connect_failure("b", endpoint, 10.0)
@@ -63,35 +63,35 @@
         assert not reach.is_partitioned("b", 10.2 + RESPONSE_RECENT_SECONDS)
 
 
-class TestSilentPeers:
-    def table(self, **heard):
-        """Return a table that heard members ``zone_number`` at some times, each 0.25 s."""
+class TestUnresponsivePeers:
+    def make_table(self, **received_at):
+        """Return a table with the last reports of members ``zone_number``, expected each 0.25 s."""
         table = PeerTable("own")
         table.expect_every(0.25)
-        for name, at in heard.items():
+        for name, at in received_at.items():
             zone = name.partition("_")[0]
             table.take(PeerReport(name, 1, 1, zone, "ip", "ip:1", leaving=name.endswith("x")), at)
         return table
 
-    def test_zone_is_silent_when_all_of_its_members_are(self):
-        table = self.table(b_1=9.0, b_2=9.1, c_1=9.9, c_2=9.0)
+    def test_zone_is_unresponsive_if_all_members_are(self):
+        table = self.make_table(b_1=9.0, b_2=9.1, c_1=9.9, c_2=9.0)
         assert table.silent_zones(10.0) == {"b"}
 
-    def test_one_member_alone_may_have_been_killed(self):
-        assert self.table(b_1=9.0).silent_zones(10.0) == frozenset()
+    def test_zone_with_one_unresponsive_member_is_not_reported(self):
+        assert self.make_table(b_1=9.0).silent_zones(10.0) == frozenset()
 
-    def test_members_that_were_leaving_or_are_long_gone_count_for_nothing(self):
-        assert self.table(b_1=9.0, b_2x=9.0).silent_zones(10.0) == frozenset()
-        assert self.table(b_1=1.0, b_2=1.0).silent_zones(10.0) == frozenset()
+    def test_leaving_and_expired_members_are_ignored(self):
+        assert self.make_table(b_1=9.0, b_2x=9.0).silent_zones(10.0) == frozenset()
+        assert self.make_table(b_1=1.0, b_2=1.0).silent_zones(10.0) == frozenset()
 
-    def test_many_members_are_heard_less_often(self):
-        table = self.table(b_1=9.0, b_2=9.0)
+    def test_timeout_grows_with_report_interval(self):
+        table = self.make_table(b_1=9.0, b_2=9.0)
         table.expect_every(1.0)
         assert table.silent_zones(10.0) == frozenset()
 
 
-class TestCut:
-    def world(self):
+class TestPartition:
+    def make_world(self):
         world = ForwardingWorld()
         world.configure_routes()
         for zone in ("zone-a", "zone-b"):
@@ -104,32 +104,32 @@
         return world
 
     @pytest.mark.parametrize("path", ["/stream/again/x", "/read/x"])
-    def test_what_waits_across_the_cut_goes_on_elsewhere_within_a_second(self, path):
-        """Connections there fail after two seconds, and callers of streams leave then."""
-        world = self.world()
-        near = [name for name in world.endpoints if "zone-a" in name]
-        for name in near:
+    def test_requests_to_partitioned_zone_move_within_a_second(self, path):
+        """Connections would fail only after two seconds, when callers of streams disconnect."""
+        world = self.make_world()
+        local = [name for name in world.endpoints if "zone-a" in name]
+        for name in local:
             world.endpoints[name].gap = 5.0
         for _ in range(12):
             world.ask("front-zone-a-2", path, "GET")
         world.run(0.1)
         callers = [world.ask("front-zone-a-1", path, "GET") for _ in range(12)]
         world.run(0.01)
-        across = [
+        remote = [
             each
             for each in world.fronts["front-zone-a-1"].hub.active.values()
             if "zone-b" in each.endpoint_id
         ]
-        assert across
+        assert remote
         world.cut("zone-a", "zone-b")
-        for name in near:
+        for name in local:
             world.endpoints[name].gap = 0.02
         world.run(1.4)
-        assert not [each for each in across if "zone-b" in each.endpoint_id and not each.done]
+        assert not [each for each in remote if "zone-b" in each.endpoint_id and not each.done]
         assert callers
 
-    def test_cut_is_over_when_peers_are_heard_again(self):
-        world = self.world()
+    def test_partition_ends_when_peers_report_again(self):
+        world = self.make_world()
         front = world.fronts["front-zone-a-1"]
         world.cut("zone-a", "zone-b")
         front.directory.connect_failed("engine-zone-b-1", front.timers.now())
@@ -139,14 +139,14 @@
         world.run(0.6)
         assert not front.directory.zones.is_partitioned("zone-b", front.timers.now())
 
-    def test_zone_whose_processes_were_all_killed_is_used_while_its_endpoints_answer(self):
-        world = self.world()
+    def test_zone_with_killed_processes_is_used_while_endpoints_respond(self):
+        world = self.make_world()
         for number in (1, 2):
             world.kill(f"front-zone-b-{number}")
         world.run(1.0)
         callers = []
         for number in (1, 2):
-            # Long enough for both zones to be needed, short enough to be heard in between.
+            # Long enough for both zones to be needed, short enough for responses in between.
             world.endpoints[f"plain-zone-a-{number}"].gap = 1.0
         for _ in range(40):
             callers.append(world.ask("front-zone-a-1", "/read/x", "GET"))
--- a/flamingofront/process/intents.py
+++ b/flamingofront/process/intents.py
@@ -216,7 +216,7 @@
             self._timers.once(KEPT_SECONDS, lambda: self._settle(claim), relaxed=True)
 
     def _settle(self, claim: _Claim) -> None:
-        if claim.intent.endpoint_id not in self._guard.quarantine.crashed_endpoints():
+        if claim.intent.endpoint_id not in self._guard.quarantine.get_crashed_endpoints():
             self.remove(claim)
 
     def remove(self, claim: _Claim) -> None:
--- a/flamingofront/request/guard.py
+++ b/flamingofront/request/guard.py
@@ -198,7 +198,7 @@
         self.intents.endpoint_ended(end.endpoint_id)
 
     def _is_noted(self, endpoint_id: str) -> bool:
-        return endpoint_id in self.quarantine.crashed_endpoints() or endpoint_id in self._unseen
+        return endpoint_id in self.quarantine.get_crashed_endpoints() or endpoint_id in self._unseen
 
     def _unwitnessed(self, endpoint_id: str) -> None:
         """Take note of a row that went, with no request of this process there, nor word of one."""
@@ -280,10 +280,10 @@
         if word is None:
             return
         before = {each.fingerprint: each for each in self.quarantine.list_entries()}
-        known = self.quarantine.crashed_endpoints()
+        known = self.quarantine.get_crashed_endpoints()
         if not self.quarantine.merge_update(word, self.wall()):
             return
-        for endpoint_id in self.quarantine.crashed_endpoints() - known:
+        for endpoint_id in self.quarantine.get_crashed_endpoints() - known:
             self.on_end(endpoint_id)
             if self.quarantine.is_unattributed(endpoint_id):
                 self._note_unseen(endpoint_id, "peer")
