--- a/flamingofront/decisions/fleet_plan.py
+++ b/flamingofront/decisions/fleet_plan.py
@@ -1,4 +1,4 @@
-"""Desired number of endpoints of a service in each zone.
+"""Target number of endpoints of a service in each zone.
 
 Load pattern: the reclaimable endpoints of a whole zone are reclaimed with a notice shorter than the
 start time of a replacement, the next zone follows while there is no spare reclaimable capacity in
@@ -21,7 +21,7 @@
 
 @dataclass(frozen=True)
 class FleetCounts:
-    """Desired endpoints of one service by zone, on reclaimable and on on-demand VMs."""
+    """Target number of endpoints of one service by zone, on reclaimable and on on-demand VMs."""
 
     reclaimable: Counts
     on_demand: Counts
@@ -48,11 +48,11 @@
 
 
 class ScalingPolicy(ABC):
-    """Policy that computes the desired number of endpoints."""
+    """Policy that computes the target number of endpoints."""
 
     @abstractmethod
     def plan(self, limits: ScalingLimits, demand: Demand, state: FleetState) -> FleetCounts:
-        """Return the desired endpoints by zone."""
+        """Return the target number of endpoints by zone."""
 
 
 @dataclass(frozen=True)
@@ -117,7 +117,7 @@
     initial_fraction: float = 2 / 3
 
     def plan(self, limits: ScalingLimits, demand: Demand, state: FleetState) -> FleetCounts:
-        """Return the desired endpoints; cheaper zones are filled first."""
+        """Return the target number of endpoints; cheaper zones are filled first."""
         zones = sorted(limits.zone_prices, key=lambda zone: (limits.zone_prices[zone], zone))
         need = self._compute_requirement(demand)
         least = {
