--- a/bench/entries.py
+++ b/bench/entries.py
@@ -32,7 +32,7 @@
     StartAttempt,
 )
 from flamingofront.request.attempts import Phase, RequestFacts, RequestMachine
-from flamingofront.request.host import QUEUE_PATIENCE
+from flamingofront.request.host import QUEUE_WAIT_FRACTION
 from flamingofront.request.hub import FILLED_SHARE
 from flamingofront.request.prefixes import BLOCK_TOKENS, PrefixIndex
 from flamingofront.request.recovery import (
@@ -56,7 +56,7 @@
     budget: type[RetryBudget] = PacedRetryBudget
     recovery: type[RecoveryPolicy] = CostRecovery
     ejection: bool = True
-    patience: float = QUEUE_PATIENCE
+    patience: float = QUEUE_WAIT_FRACTION
     full_factor: float = FILLED_SHARE
     extrapolate: bool = True
     choice_options: dict = field(default_factory=dict)
@@ -320,7 +320,7 @@
         engine.remember(self.call.group, shared)
         if self.entry.rng.random() < 0.9:  # one cache event in ten is lost
             for entry in self.sim.entries:
-                entry.prefixes.stored(engine.engine_id, self.blocks)
+                entry.prefixes.add_blocks(engine.engine_id, self.blocks)
         self._observe((self.sim.now - self.started) / max(1, self.call.output) * 20)
         orders = self._collect()
         self.leave()
--- a/bench/platform_mutations.py
+++ b/bench/platform_mutations.py
@@ -245,7 +245,7 @@
     Mutation(
         "P placements are told to peers at once",
         "process/forwarding/observations.py",
-        "        self._hub.directory.on_load = self._load_changed\n",
+        "        self._hub.directory.on_load_change = self._load_changed\n",
         "",
         REPORTS,
     ),
--- a/flamingofront/decisions/quota.py
+++ b/flamingofront/decisions/quota.py
@@ -248,7 +248,7 @@
         if shortfall := self._get_bucket_wait(workspace, units, now):
             return shortfall
         total = self._sum_window(workspace.name, now)
-        excess = total + units - self._limits.limit(workspace) * self._live_share()
+        excess = total + units - self._limits.limit_of(workspace) * self._live_share()
         if excess > 0:
             consumed = self._consumed.get(workspace.name)
             self._reject_reasons[workspace.name] = QuotaRejectReason.WINDOW
@@ -279,7 +279,7 @@
             return self._get_window_wait(workspace, units, CONCURRENT_ARBITERS, now)
         total = self._sum_window(workspace.name, now)
         remaining = min(
-            self._limits.limit(workspace) * self._live_share() - total,
+            self._limits.limit_of(workspace) * self._live_share() - total,
             self._get_startup_allowance(workspace, total, now),
             self._update_bucket(workspace, now).level
             + SURGE_RESERVE_FRACTION * self._limits.reserve(workspace),
@@ -324,7 +324,7 @@
         return QuotaState(
             bucket=round(self._update_bucket(workspace, now).level),
             taken=round(total),
-            limit=round(self._limits.limit(workspace) * share),
+            limit=round(self._limits.limit_of(workspace) * share),
             heard_share=round(share, 3),
             lag=round(self._lag(), 3),
             decided_by=self._reject_reasons.get(workspace.name, QuotaRejectReason.NONE),
@@ -336,7 +336,7 @@
     ) -> float:
         """Return the seconds until the request fits the limit of the window, 0 if it does now."""
         consumed, total = self._consumed.get(workspace.name), self._sum_window(workspace.name, now)
-        remaining = self._limits.limit(workspace) * self._live_share() - total
+        remaining = self._limits.limit_of(workspace) * self._live_share() - total
         if total > 0:
             # Current consumption of peers is reported only after the lag.
             unreported = self._lag() * consumed.sum_since(now - RATE_SECONDS) / RATE_SECONDS
--- a/flamingofront/decisions/tests/test_admission.py
+++ b/flamingofront/decisions/tests/test_admission.py
@@ -238,10 +238,10 @@
         index = PrefixIndex(max_blocks=4)
         for endpoint, count, store in steps:
             if store:
-                index.stored(endpoint, hashes[:count])
+                index.add_blocks(endpoint, hashes[:count])
             else:
-                index.evicted(endpoint, hashes[count:])
+                index.remove_blocks(endpoint, hashes[count:])
         lengths = {name: index.cached_tokens(name, hashes) for name in "abc"}
         best = max(lengths.values())
         expected = {name for name, length in lengths.items() if length == best and best}
-        assert index.warmest(hashes) == expected
+        assert index.longest_prefix_holders(hashes) == expected
--- a/flamingofront/decisions/tests/test_zone_reach.py
+++ b/flamingofront/decisions/tests/test_zone_reach.py
@@ -132,7 +132,7 @@
         world = self.make_world()
         front = world.fronts["front-zone-a-1"]
         world.cut("zone-a", "zone-b")
-        front.directory.connect_failed("engine-zone-b-1", front.timers.now())
+        front.directory.record_connect_failure("engine-zone-b-1", front.timers.now())
         world.run(1.5)
         assert front.directory.zones.is_partitioned("zone-b", front.timers.now())
         world.heal()
--- a/flamingofront/process/former_sends.py
+++ b/flamingofront/process/former_sends.py
@@ -135,7 +135,7 @@
         if reach is Reach.CONNECTED:
             self.last_alive[endpoint_id] = self._guard.wall()
         elif reach is Reach.REFUSED:
-            self._guard.ends.found_ended(endpoint_id)
+            self._guard.crash_detector.record_closed_port(endpoint_id)
 
     def _read_vanished(self) -> Task:
         """Take note of endpoints that vanished while no entry process ran."""
@@ -145,7 +145,7 @@
             self._log.info("vanished endpoints not known", detail=str(exc))
             return
         for endpoint_id in found:
-            self._guard.ends.found_ended(endpoint_id)
+            self._guard.crash_detector.record_closed_port(endpoint_id)
 
     def _read_former(self) -> Task:
         """Read all records once."""
@@ -202,7 +202,7 @@
             # The rows of endpoints are not read yet.
             self._timers.once(TOGETHER_SECONDS, lambda: self._former_probed(endpoint_id, reach))
         elif reach is Reach.REFUSED or not self._directory.zone_of(endpoint_id):
-            self._guard.ends.found_ended(endpoint_id)
+            self._guard.crash_detector.record_closed_port(endpoint_id)
         elif reach is Reach.CONNECTED:
             self.last_alive[endpoint_id] = self._guard.wall()
 
@@ -237,7 +237,7 @@
                 ago=round(self._guard.wall() - end.at, 3),
             )
             self._guard.intents.record_unobserved_crash(end.endpoint_id)
-        self._guard.take_evidence(ends)
+        self._guard.load_evidence(ends)
 
 
 def _end(sends: list[tuple[str, SendIntent]]) -> EndpointCrash:
--- a/flamingofront/process/forwarding/node.py
+++ b/flamingofront/process/forwarding/node.py
@@ -179,8 +179,8 @@
             HubSettings(
                 settings.vm_id,
                 settings.zone,
-                queue_patience=REFUSE_WITHIN,
-                choice_patience=REFUSE_WITHIN,
+                queue_wait_fraction=REFUSE_WITHIN,
+                choice_wait_fraction=REFUSE_WITHIN,
             ),
             needs.transport,
             self.timers,
@@ -193,7 +193,7 @@
             self._retry_budget,
         )
         self.knowledge.on_rollout = self.rollouts.take_order
-        self.hub.on_leaving = self._endpoint_leaves
+        self.hub.on_endpoint_leaving = self._endpoint_leaves
         self.hub.on_outcome = self._outcome
         self.hub.cache_tokens = self._cache_tokens
         self.directory.sample_size = self._sample_size
@@ -218,10 +218,10 @@
         return FEW_CANDIDATES if self.peers.lag() > LATE_WORD_SECONDS else MAX_CANDIDATES
 
     def _endpoint_gone(self, row: EndpointRow) -> None:
-        self.hub.guard.ends.gone(row.endpoint_id, announced=not row.ready)
+        self.hub.guard.crash_detector.record_row_removal(row.endpoint_id, announced=not row.ready)
         self.directory.forget(row.endpoint_id)
         self.hub.limits.forget(row.endpoint_id)
-        self.hub.pauses.forget(row.endpoint_id)
+        self.hub.backoffs.forget(row.endpoint_id)
         self._needs.transport.drop_idle(row.address)
         self.knowledge.endpoint_gone(row.endpoint_id)
 
@@ -233,7 +233,7 @@
         """Forget the earlier start of an endpoint, and what ran there."""
         self.directory.forget(row.endpoint_id)
         self.hub.limits.forget(row.endpoint_id)
-        self.hub.pauses.forget(row.endpoint_id)
+        self.hub.backoffs.forget(row.endpoint_id)
         self.observations.endpoint_restarted(row.endpoint_id)
         for address in {row.address, before.address}:
             self._needs.transport.drop_idle(address)
@@ -241,7 +241,7 @@
         at = self.timers.now() - ago
         # What has arrived of its last answers is read first.
         self.timers.once(
-            LAST_ANSWERS_SECONDS, lambda: self.hub.endpoint_restarted(row.endpoint_id, at)
+            LAST_ANSWERS_SECONDS, lambda: self.hub.handle_endpoint_restart(row.endpoint_id, at)
         )
 
     def _retry_budget(self, service: Service) -> RetryBudget:
@@ -348,7 +348,7 @@
         """Let one process decide on each endpoint that names the rate that it takes from all."""
         limits, permits = self.hub.limits, self.hub.permits
         limits.wall = self.peers.true_time
-        limits.born_of = self.knowledge.endpoints.born
+        limits.start_ms_of = self.knowledge.endpoints.born
         own_ip = self.settings.ip
         members = LimitMembers(own_ip, self.quota_members, self.peers, lambda: self.stopping)
         inquirer = Inquirer(own_ip, self._needs.incarnation, members.ranked)
@@ -361,7 +361,7 @@
             self.log,
         )
         permits.gate = self.limit_arbiters
-        permits.own_name = own_ip
+        permits.process_name = own_ip
         self.peers.on_permit_question = self.limit_arbiters.take_question
         self.peers.on_permit_reply = self.limit_arbiters.take_reply
 
--- a/flamingofront/process/forwarding/observations.py
+++ b/flamingofront/process/forwarding/observations.py
@@ -70,10 +70,10 @@
 
     def start(self) -> None:
         """Begin to observe."""
-        self._hub.directory.on_load = self._load_changed
-        self._hub.directory.first = self.select_preferred_endpoints
+        self._hub.directory.on_load_change = self._load_changed
+        self._hub.directory.preferred_endpoints = self.select_preferred_endpoints
         self._peers.sharers = self.sharers
-        self._hub.directory.before_choice = self._spread_if_stale
+        self._hub.directory.refresh_loads = self._spread_if_stale
         self._timers.every(LOAD_SECONDS, self._loads_due, relaxed=True)
         self._timers.every(LOAD_SECONDS, self._watch_zones, relaxed=True)
         self._timers.every(RATES_LOG_SECONDS, self._log_rates, relaxed=True)
@@ -97,9 +97,9 @@
         directory, now = self._hub.directory, self._timers.now()
         for endpoint_id, (requests, tokens) in note.changes.items():
             if self._peers.many:
-                directory.noted.add(endpoint_id, requests, tokens, now)
+                directory.noted_prompts.add(endpoint_id, requests, tokens, now)
             else:
-                directory.peer_changed(endpoint_id, requests, tokens)
+                directory.apply_peer_change(endpoint_id, requests, tokens)
 
     def select_preferred_endpoints(self, endpoints: Mapping[str, str]) -> tuple[str, ...]:
         """Return the endpoints that this process uses first; none where processes are few."""
@@ -174,7 +174,7 @@
         self._stale = False
         now = self._timers.now()
         directory = self._hub.directory
-        loads = Counter(directory.all_in_flight())
+        loads = Counter(directory.in_flight_by_endpoint())
         backlog: Counter[str] = Counter()
         seconds = {
             name: each.estimate().token_seconds for name, each in self._hub.rates.list_services()
@@ -192,8 +192,8 @@
                 fact = self._facts.get(name)
                 known = seconds.get(fact.service) if fact is not None else None
                 backlog[name] += max(0, tokens - round(spent / (known or USUAL.token_seconds)))
-        directory.reported(loads, now)
-        directory.peers_queued(backlog)
+        directory.apply_load_reports(loads, now)
+        directory.set_peer_backlog(backlog)
 
     def _watch_zones(self) -> None:
         """Look which zones are cut off; what waits there goes on elsewhere."""
@@ -202,7 +202,7 @@
         silent = self._peers.silent_zones() - {self._zone}
         zones.set_unresponsive_zones(silent)
         for zone in silent:
-            zones.record_pending(zone, self._hub.silent_since(zone), now)
+            zones.record_pending(zone, self._hub.unanswered_since(zone), now)
         known = {each.zone for each in self._facts.select(Role.ENDPOINT)}
         cut_off = {zone for zone in known if zones.is_partitioned(zone, now)}
         for zone in cut_off ^ self._cut_off:
@@ -210,11 +210,11 @@
             self._log.warning(event, of_zone=zone, silent=sorted(silent))
         self._cut_off = cut_off
         for zone in cut_off:
-            self._hub.zone_cut_off(zone)
+            self._hub.fail_over_zone(zone)
 
     def _log_rates(self) -> None:
         """Tell what was learned of the endpoints: placement and the fleet follow from it."""
-        work = self._hub.work.get_loads(self._timers.now())
+        work = self._hub.load_meter.get_loads(self._timers.now())
         for name, rates in self._hub.rates.list_services():
             now, asked = rates.estimate(), work.get(name, OfferedLoad())
             self._log.info(
--- a/flamingofront/process/forwarding/own_report.py
+++ b/flamingofront/process/forwarding/own_report.py
@@ -76,14 +76,14 @@
             released=parts.lease.released,
             lease_version=parts.lease.version if lease is not None else 0,
             spent={**told, **parts.rollouts.sums()},
-            in_flight=directory.all_in_flight(),
-            backlog=directory.all_backlog(),
+            in_flight=directory.in_flight_by_endpoint(),
+            backlog=directory.backlog_by_endpoint(),
             peers=self._some_peers(heard),
             usage=parts.usage.to_tell({each.process for each in heard}, peers.true_time()),
             demand=parts.hub.in_flight_by_service(),
             work=self._work(parts.hub),
             rollouts=parts.rollouts.word(),
-            quarantine=parts.hub.guard.word(),
+            quarantine=parts.hub.guard.build_update(),
             limits=parts.hub.limits.recent_changes(),
             leaving_endpoints=knowledge.endpoints.recently_leaving(),
             position=knowledge.configuration_position(),
@@ -92,7 +92,7 @@
 
     def _work(self, hub: RequestHub) -> dict[str, tuple[float, float]]:
         """Return the work that this process places, rounded to a thousandth of an endpoint."""
-        found = hub.work.get_loads(self._timers.now())
+        found = hub.load_meter.get_loads(self._timers.now())
         return {name: (round(each.fast, 3), round(each.slow, 3)) for name, each in found.items()}
 
     def _some_peers(self, heard: list[PeerReport]) -> tuple[str, ...]:
--- a/flamingofront/process/forwarding/peer_word.py
+++ b/flamingofront/process/forwarding/peer_word.py
@@ -56,7 +56,7 @@
         continuous = gap is not None and peers.table.in_hearing(gap)
         self.take_sums(report.process, report.spent, continuous and peers.counts_directly())
         self._take_rollouts(report)
-        self._reported.hub.guard.hear(report.quarantine)
+        self._reported.hub.guard.merge_update(report.quarantine)
         self._reported.hub.limits.merge(report.limits)
         self._reported.knowledge.endpoints.merge_leaving(report.leaving_endpoints)
         if report.usage is not None:
@@ -81,7 +81,7 @@
         """Take what a relay knows, and its word on the duties' holder."""
         self._metrics.count("peer_digests_total")
         self._take_rollouts(relay)
-        self._reported.hub.guard.hear(relay.quarantine)
+        self._reported.hub.guard.merge_update(relay.quarantine)
         self._reported.hub.limits.merge(relay.limits)
         self._reported.knowledge.endpoints.merge_leaving(relay.leaving_endpoints)
         self._reported.lease.heard(
--- a/flamingofront/process/forwarding/tests/test_quota_arbiter.py
+++ b/flamingofront/process/forwarding/tests/test_quota_arbiter.py
@@ -243,7 +243,7 @@
         world = QuotaWorld()
         arbiter = world.fronts["front-0"].quota_members.ranked("desk")[0]
         asked = next(each for each in world.fronts if world.host(each).address != arbiter)
-        world.fronts[asked].hub.stop_left = lambda: 0.05
+        world.fronts[asked].hub.shutdown_seconds_left = lambda: 0.05
         caller = world.ask(asked, "/read/x", "GET")
         assert caller.done and caller.status == 503
 
--- a/flamingofront/process/forwarding/tests/test_reports.py
+++ b/flamingofront/process/forwarding/tests/test_reports.py
@@ -148,7 +148,7 @@
             world.run(0.63)
             start = world.clock.now()
             endpoint = f"engine-{trial}"
-            world.fronts["front-0"].directory.queued(endpoint, 9000)
+            world.fronts["front-0"].directory.add_backlog(endpoint, 9000)
             while len([key for key in seen if key[0] == trial]) < len(names):
                 world.run(0.01)
                 for name in names:
@@ -173,14 +173,14 @@
         sent = []
         front.peers._send = lambda data, target: sent.append((data, target))
         for _ in range(20):
-            front.directory.queued("engine", 200)
+            front.directory.add_backlog("engine", 200)
             world.run(0.01)
         assert len(sent) <= 2
 
     def test_own_prompts_are_not_taken_for_those_of_others(self):
         world = many_world()
         for _ in range(30):
-            world.fronts["front-0"].directory.queued("engine", 2000)
+            world.fronts["front-0"].directory.add_backlog("engine", 2000)
             world.run(0.1)
             assert backlog_of(world, "front-0", "engine") == 0
         world.run(1.5)
@@ -196,7 +196,7 @@
         alive = {name: each for name, each in world.fronts.items() if name not in lost}
         assert len(relays(world) & alive.keys()) == 2 * len(ZONES)
         assert min(each.peers.heard_share() for each in alive.values()) >= 1 - 2.5 / MANY
-        world.fronts["front-0"].directory.queued("engine", 9000)
+        world.fronts["front-0"].directory.add_backlog("engine", 9000)
         world.run(1.2)
         for name in set(in_zone(world, "zone-b")) & alive.keys():
             assert backlog_of(world, name, "engine") == 9000
@@ -231,9 +231,9 @@
             world.ask(f"front-{number}", "/read/x")
         world.run(0.9)
         node = world.fronts[holder(world)]
-        running = sum(each.hub.in_flight_of("records") for each in world.fronts.values())
+        running = sum(each.hub.count_in_flight("records") for each in world.fronts.values())
         told = add_demand(node.peers.loads()).get("records", 0)
-        assert told + node.hub.in_flight_of("records") >= running - 1
+        assert told + node.hub.count_in_flight("records") >= running - 1
 
 
 class TestReport:
--- a/flamingofront/process/forwarding/whole_load.py
+++ b/flamingofront/process/forwarding/whole_load.py
@@ -31,10 +31,10 @@
     def demand(self, service: str) -> Demand:
         """Return the requests that run at the endpoints of a service."""
         loads = self._peers.loads()
-        running = self._hub.in_flight_of(service) + add_demand(loads).get(service, 0)
-        work = self._hub.work.get_loads(self._timers.now()).get(service, OfferedLoad())
+        running = self._hub.count_in_flight(service) + add_demand(loads).get(service, 0)
+        work = self._hub.load_meter.get_loads(self._timers.now()).get(service, OfferedLoad())
         work += OfferedLoad(*add_work(loads).get(service, (0.0, 0.0)))
-        return Demand(running, self._hub.directory.slots(service) or DEFAULT_SLOTS, work)
+        return Demand(running, self._hub.directory.advertised_slots(service) or DEFAULT_SLOTS, work)
 
     def at_other_versions(self, service: str, version: str) -> int | None:
         """Return what runs at the endpoints of a service that have not a version.
@@ -46,7 +46,7 @@
         """
         if self._peers.heard_share() < 1.0:
             return None
-        total = Counter(self._hub.directory.all_in_flight())
+        total = Counter(self._hub.directory.in_flight_by_endpoint())
         for each in self._peers.loads():
             total.update(each.in_flight)
         others = {
--- a/flamingofront/process/holds.py
+++ b/flamingofront/process/holds.py
@@ -199,8 +199,8 @@
         self._log = services.log
         self._versions: dict[str, int] = {}
         self._kept: dict[str, QuarantineEntry] = {}
-        guard.on_hold = self._changed
-        guard.claim = self._claim
+        guard.on_quarantine_change = self._changed
+        guard.acquire_trial = self._claim
         guard.on_evidence = lambda evidence: self._tasks.start(self._keep_evidence(evidence))
 
     def take(self, kept: KeptHold) -> None:
@@ -211,7 +211,7 @@
             return
         if self._versions.get(name, 0) < kept.version:
             self._remember(kept)
-        self._guard.take_kept(kept.hold)
+        self._guard.load_entry(kept.hold)
 
     def _remember(self, kept: KeptHold) -> None:
         """Remember what the store has, of as many holds as the guard knows at most."""
@@ -249,7 +249,7 @@
         if all(is_expired(each.at, self._guard.wall()) for each in ends):
             self._tasks.start(self._keep_evidence({fingerprint: ()}))
         else:
-            self._guard.take_evidence(ends)
+            self._guard.load_evidence(ends)
 
     def write_again(self) -> None:
         """Keep all holds again that the store may have lost with its return from a copy."""
@@ -311,7 +311,7 @@
             self._kept.pop(fingerprint, None)
         else:
             self._remember(kept)
-            self._guard.take_kept(kept.hold)
+            self._guard.load_entry(kept.hold)
 
     def _claim(self, hold: QuarantineEntry, on_done: Callable[[bool], None]) -> None:
         self._tasks.start(self._claim_trial(hold), on_done)
--- a/flamingofront/process/limits.py
+++ b/flamingofront/process/limits.py
@@ -47,7 +47,7 @@
             each.vm_id: float(each.demand.get(workspace.name, 0)) for each in self._heard_peers()
         }
         members = self._member_count()
-        own = float(self._hub.demand().get(workspace.name, 0))
+        own = float(self._hub.in_flight_by_workspace().get(workspace.name, 0))
         unheard = max(0, members - 1 - len(heard))
         return compute_limit_share(workspace.max_in_flight, own, heard, members, unheard)
 
--- a/flamingofront/process/tests/test_holds.py
+++ b/flamingofront/process/tests/test_holds.py
@@ -84,20 +84,20 @@
         world = ready_world(fronts=3)
         world.store.fault = StoreFault.BUSY
         node = world.fronts["front-1"]
-        node.hub.guard.on_hold(self.hold(world), True)
+        node.hub.guard.on_quarantine_change(self.hold(world), True)
         world.run(5.0)
         assert not self.kept(world)
         world.store.fault = StoreFault.NONE
         world.run(3.0)
         assert set(self.kept(world)) == {"f-1"}
-        assert all(each.hub.guard.hold("f-1") for each in world.fronts.values())
+        assert all(each.hub.guard.quarantine_entry("f-1") for each in world.fronts.values())
 
     def test_one_of_many_writes_a_hold_that_all_have_found(self):
         world = ready_world(fronts=8)
         hold = self.hold(world)
         before = world.store.version
         for number, node in enumerate(world.fronts.values()):
-            node.hub.guard.on_hold(hold, number == 0)
+            node.hub.guard.on_quarantine_change(hold, number == 0)
         world.run(4.0)
         assert set(self.kept(world)) == {"f-1"}
         duty_writes = sum(each.lease.holding() is not None for each in world.fronts.values()) * 5
@@ -107,7 +107,7 @@
     def test_of_trials_claimed_at_once_one_is_granted(self, seed):
         world = ready_world(fronts=5, seed=seed)
         hold = self.hold(world, next_trial=world.clock.now())
-        world.fronts["front-1"].hub.guard.on_hold(hold, True)
+        world.fronts["front-1"].hub.guard.on_quarantine_change(hold, True)
         world.run(1.0)
         rng, outcomes = random.Random(seed), []
         for node in world.fronts.values():
@@ -142,9 +142,9 @@
         ends = [EndpointCrash(f"e-{each}", f"zone-{each}", now, ("f-2",), 1) for each in range(2)]
         world.store.put(HOLD_TABLE, EVIDENCE_PREFIX + "f-2", encode_evidence(tuple(ends)))
         world.run(5.0)
-        assert guard.standing("f-2") is QuarantineStatus.SUSPECTED
-        guard.take_evidence((EndpointCrash("e-9", "zone-9", now + 5.0, ("f-2",)),))
-        assert guard.standing("f-2") is QuarantineStatus.QUARANTINED
+        assert guard.quarantine_status("f-2") is QuarantineStatus.SUSPECTED
+        guard.load_evidence((EndpointCrash("e-9", "zone-9", now + 5.0, ("f-2",)),))
+        assert guard.quarantine_status("f-2") is QuarantineStatus.QUARANTINED
 
     @given(JSON)
     def test_malformed_ends_are_refused(self, value):
--- a/flamingofront/request/directory.py
+++ b/flamingofront/request/directory.py
@@ -121,7 +121,7 @@
         self._zone = zone
         self.sample_size: Callable[[], int] = lambda: MAX_CANDIDATES
         self.first: Callable[[Mapping[str, str]], tuple[str, ...]] = lambda endpoints: ()
-        self.before_choice: Callable[[], None] = lambda: None
+        self.refresh_loads: Callable[[], None] = lambda: None
         self.noted = RemotePrompts()
         self.health = EndpointHealth(rng)
         self.prefixes = PrefixIndex()
@@ -204,7 +204,7 @@
         the time of a choice then does not grow with the fleet, and processes that all have the same
         late word of the loads do not all pick the same endpoint.
         """
-        self.before_choice()
+        self.refresh_loads()
         endpoints = self._endpoints(service.name)
         if rule is not None:
             endpoints = _ServiceEndpoints(rule.select(endpoints.facts), endpoints.drained)
@@ -238,7 +238,7 @@
         return rank(shared.key, staying)[0] if staying else ""
 
     def _warmest(self, hashes: tuple[str, ...]) -> list[str]:
-        return sorted(self.prefixes.warmest(hashes))[:MAX_WARM]
+        return sorted(self.prefixes.longest_prefix_holders(hashes))[:MAX_WARM]
 
     def _sample(
         self,
@@ -326,7 +326,7 @@
         facts = self._endpoints(service).facts
         return max((fact.slots for fact in facts.values()), default=0)
 
-    def address_reused(self, endpoint_id: str) -> None:
+    def mark_address_reused(self, endpoint_id: str) -> None:
         """Leave an endpoint out whose address belongs to another one now."""
         self._facts.mark(endpoint_id, VmState.GONE)
 
@@ -351,22 +351,22 @@
         self._backlog[endpoint_id] += tokens
         self.on_load(endpoint_id, 0, tokens)
 
-    def dequeued(self, endpoint_id: str, tokens: int) -> None:
+    def remove_backlog(self, endpoint_id: str, tokens: int) -> None:
         """Note that an endpoint has read them, or need not any more."""
         self._backlog[endpoint_id] -= tokens
         self.on_load(endpoint_id, 0, -tokens)
         if self._backlog[endpoint_id] <= 0:
             del self._backlog[endpoint_id]
 
-    def all_backlog(self) -> dict[str, int]:
+    def backlog_by_endpoint(self) -> dict[str, int]:
         """Return the prompt tokens that wait on behalf of this process, by endpoint."""
         return dict(self._backlog)
 
-    def peers_queued(self, tokens: Mapping[str, int]) -> None:
+    def set_peer_backlog(self, tokens: Mapping[str, int]) -> None:
         """Take the prompt tokens that wait on behalf of the other processes."""
         self._peer_backlog = dict(tokens)
 
-    def peer_changed(self, endpoint_id: str, requests: int, tokens: int) -> None:
+    def apply_peer_change(self, endpoint_id: str, requests: int, tokens: int) -> None:
         """Take what another process has just begun or ended at an endpoint."""
         self._peer_backlog[endpoint_id] = max(0, self._peer_backlog.get(endpoint_id, 0) + tokens)
         report = self._reports.get(endpoint_id)
@@ -374,7 +374,7 @@
             load = max(0.0, report.load + requests)
             self._reports[endpoint_id] = replace(report, load=load)
 
-    def all_in_flight(self) -> dict[str, int]:
+    def in_flight_by_endpoint(self) -> dict[str, int]:
         """Return the attempts of this process, by endpoint."""
         return dict(self._in_flight)
 
@@ -386,7 +386,7 @@
             return own
         return max(own, report.load + own - report.local_in_flight)
 
-    def loads_age(self, now: float) -> float | None:
+    def load_report_age(self, now: float) -> float | None:
         """Return the seconds since the last load reports; None if there were none."""
         return None if self._reported_at is None else round(now - self._reported_at, 3)
 
@@ -401,7 +401,7 @@
         known = self._token_seconds.get(endpoint_id, token_seconds)
         self._token_seconds[endpoint_id] = known + SLOWNESS_GAIN * (token_seconds - known)
 
-    def connect_failed(self, endpoint_id: str, now: float, refused: bool = False) -> None:
+    def record_connect_failure(self, endpoint_id: str, now: float, refused: bool = False) -> None:
         """Leave an endpoint out for a moment because it could not be connected to.
 
         Parameters
@@ -428,7 +428,7 @@
         if fact is not None:
             self.zones.record_response(fact.zone, now)
 
-    def reached_at(self, endpoint_id: str) -> float:
+    def last_contact_at(self, endpoint_id: str) -> float:
         """Return when an endpoint last sent something; minus infinity if it never did."""
         return self._reached_at.get(endpoint_id, -math.inf)
 
--- a/flamingofront/request/guard.py
+++ b/flamingofront/request/guard.py
@@ -27,15 +27,15 @@
 from flamingofront.process.logs import Log
 from flamingofront.process.metrics import Metrics
 from flamingofront.process.timers import TimerService
-from flamingofront.request.endpoint_ends import EndpointEnds
-from flamingofront.request.fingerprint import fingerprint_of
-from flamingofront.request.intent_gate import IntentGate, NoIntents
+from flamingofront.request.endpoint_ends import CrashDetector
+from flamingofront.request.fingerprint import compute_fingerprint
+from flamingofront.request.intent_gate import IntentLog, NullIntentLog
 from flamingofront.request.records import RequestRecord
 
 if TYPE_CHECKING:
     from flamingofront.request.active import ActiveRequest
 
-__all__ = ["Evidence", "RequestGuard", "refusal_of"]
+__all__ = ["Evidence", "RequestGuard", "quarantine_error"]
 
 Evidence = Mapping[str, tuple[EndpointCrash, ...]]
 
@@ -45,7 +45,7 @@
 BUNDLE_SECONDS = 0.03
 
 
-def refusal_of(hold: QuarantineEntry, wall: float) -> RequestError:
+def quarantine_error(hold: QuarantineEntry, wall: float) -> RequestError:
     """Return the error of a request that is not run, with what it has done."""
     ago = max(0.0, wall - hold.since)
     return RequestError(
@@ -87,13 +87,13 @@
         Returns when the entry processes that are known began, on the wall clock.
     claim : callable
         Claims a trial for this process alone: gets the hold, and what to call with the outcome.
-    intents : IntentGate
+    intents : IntentLog
         Records requests before they are sent; nothing unless it is set.
     """
 
     def __init__(
         self,
-        ends: EndpointEnds,
+        ends: CrashDetector,
         timers: TimerService,
         metrics: Metrics,
         log: Log,
@@ -101,8 +101,8 @@
     ):
         self.ends = ends
         ends.on_ended = self._ended
-        ends.on_unwitnessed = self._unwitnessed
-        ends.on_found = self._found_ended
+        ends.on_unobserved_crash = self._unwitnessed
+        ends.on_crash_found = self._found_ended
         self.quarantine = Quarantine()
         self.wall: Callable[[], float] = timers.wall
         self.on_news: Callable[[], None] = lambda: None
@@ -113,7 +113,7 @@
         self.claim: Callable[[QuarantineEntry, Callable[[bool], None]], None] = (
             lambda hold, done: done(False)
         )
-        self.intents: IntentGate = NoIntents()
+        self.intents: IntentLog = NullIntentLog()
         self._timers = timers
         self._metrics = metrics
         self._log = log
@@ -154,9 +154,9 @@
         """
         if not self.quarantine:
             return
-        fingerprint = fingerprint_of(record)
+        fingerprint = compute_fingerprint(record)
         if self.standing(fingerprint) is QuarantineStatus.QUARANTINED:
-            raise refusal_of(self.hold(fingerprint), self.wall())
+            raise quarantine_error(self.hold(fingerprint), self.wall())
 
     def keep_away(self, request: "ActiveRequest") -> frozenset[str]:
         """Return the endpoints that a suspect is kept away from while there are others.
@@ -195,7 +195,7 @@
             self._judge(is_own=True)
             self._keep_evidence(end.requests, CRASHES_TO_PERSIST)
             self.on_news()
-        self.intents.endpoint_ended(end.endpoint_id)
+        self.intents.record_crash(end.endpoint_id)
 
     def _is_noted(self, endpoint_id: str) -> bool:
         return endpoint_id in self.quarantine.get_crashed_endpoints() or endpoint_id in self._unseen
@@ -205,7 +205,7 @@
         if self._is_noted(endpoint_id):
             return
         if is_near_restart(self.wall(), self.restarts()):
-            self.ends.confirm(endpoint_id, lambda: self._note_unseen(endpoint_id, "row"))
+            self.ends.confirm_crash(endpoint_id, lambda: self._note_unseen(endpoint_id, "row"))
         else:
             self._note_unseen(endpoint_id, "row")
 
@@ -219,7 +219,7 @@
         self._log.info("endpoint ended unseen", endpoint=endpoint_id, source=source)
         if is_near_restart(now, restarts):
             self.intents.record_unobserved_crash(endpoint_id)
-        self.intents.endpoint_ended(endpoint_id)
+        self.intents.record_crash(endpoint_id)
 
     def _found_ended(self, endpoint_id: str) -> None:
         """Tell others of an end with no witness that this process was the first to find."""
@@ -253,7 +253,7 @@
 
     def answered(self, fingerprint: str) -> None:
         """Take note that an endpoint has answered a request."""
-        self.intents.answered(fingerprint)
+        self.intents.record_response(fingerprint)
         if not self.quarantine:
             return
         hold, now = self.quarantine.get_entry(fingerprint), self.wall()
@@ -288,12 +288,12 @@
             if self.quarantine.is_unattributed(endpoint_id):
                 self._note_unseen(endpoint_id, "peer")
             else:
-                self.intents.endpoint_ended(endpoint_id)
+                self.intents.record_crash(endpoint_id)
         self._compare(before, "peer")
         self._judge(is_own=False)
         self._tell_on()
 
-    def take_kept(self, hold: QuarantineEntry) -> None:
+    def load_entry(self, hold: QuarantineEntry) -> None:
         """Take a hold as the store has it."""
         before = {each.fingerprint: each for each in self.quarantine.list_entries()}
         if self.quarantine.merge_entry(hold, self.wall()):
--- a/flamingofront/request/plain_request.py
+++ b/flamingofront/request/plain_request.py
@@ -58,7 +58,7 @@
         if not self.machine.answered(attempt_id):
             return
         self.hub.directory.health.record_success(self.endpoint_id)
-        self.hub.guard.answered(self.fingerprint)
+        self.hub.guard.record_response(self.fingerprint)
         self.hub.metrics.observe("first_token_seconds", self.hub.now() - self.accepted_at)
         content_type = reply.headers.get("content-type", "application/octet-stream")
         self._settle(StoredAnswer(reply.status, content_type, reply.body), None)
--- a/flamingofront/request/stop_refusal.py
+++ b/flamingofront/request/stop_refusal.py
@@ -24,7 +24,7 @@
     deadline_left : float
         Seconds from now after which the request is ended in any case.
     """
-    left = hub.stop_left()
+    left = hub.shutdown_seconds_left()
     if math.isinf(left):
         return None
     bound = _bound(hub, record.service.name, record.work)
