--- a/bench/platform_mutations.py
+++ b/bench/platform_mutations.py
@@ -147,7 +147,7 @@
     Mutation(
         "P the sum over the window keeps the limit",
         "decisions/quota.py",
-        "if unheard > left - units:",
+        "if unreported > remaining - units:",
         "if False:",
         QUOTA,
     ),
@@ -210,8 +210,8 @@
     Mutation(
         "P the retry budget is shared by number",
         "decisions/shared_retry.py",
-        "allowance = self._allowance * part * self._member_share()",
-        "allowance = self._allowance * part",
+        "allowance = self._allowance * fraction * self._member_share()",
+        "allowance = self._allowance * fraction",
         QUOTA,
     ),
     Mutation(
@@ -224,21 +224,21 @@
     Mutation(
         "P a zone that seems cut off is left out",
         "decisions/zone_reach.py",
-        "        times = self._failed.get(zone, {})\n",
+        "        times = self._connect_failures.get(zone, {})\n",
         "        times = {}\n",
         FORWARDING,
     ),
     Mutation(
         "P silent processes of a zone with an endpoint that does not answer tell a cut",
         "decisions/zone_reach.py",
-        "        if zone in self._silent:\n",
+        "        if zone in self._unresponsive_zones:\n",
         "        if False:\n",
         "decisions/tests/test_zone_reach.py",
     ),
     Mutation(
         "P silent processes alone tell nothing",
         "decisions/zone_reach.py",
-        "        if now - since >= SPOKE_SECONDS:\n",
+        "        if now - since >= RESPONSE_RECENT_SECONDS:\n",
         "        if True:\n",
         "decisions/tests/test_zone_reach.py",
     ),
@@ -336,15 +336,15 @@
     Mutation(
         "P rates are learned",
         "decisions/engine_rates.py",
-        "        self._fit(self._seen.plus(self._prior))\n",
+        "        self._fit(self._observations.combine(self._prior))\n",
         "",
         "decisions/tests/test_engine_rates.py",
     ),
     Mutation(
         "P wild answers count as near ones",
         "decisions/engine_rates.py",
-        "        bounded = max(-limit, min(limit, residual))\n",
-        "        bounded = residual\n",
+        "        clipped = max(-limit, min(limit, residual))\n",
+        "        clipped = residual\n",
         "decisions/tests/test_engine_rates.py",
     ),
     Mutation(
--- a/bench/quarantine_mutations.py
+++ b/bench/quarantine_mutations.py
@@ -45,7 +45,7 @@
     Mutation(
         "Q ends with a common cause count once",
         "decisions/quarantine.py",
-        "return 1 if without else len(cluster)",
+        "return 1 if has_crash_without else len(cluster)",
         "return len(cluster)",
         DECISIONS,
     ),
@@ -66,8 +66,8 @@
     Mutation(
         "Q trials are few",
         "decisions/quarantine.py",
-        "return hold.trials < len(TRIAL_SECONDS) and now >= hold.next_trial",
-        "return now >= hold.since + TRIAL_SECONDS[0]",
+        "return entry.trials < len(TRIAL_SECONDS) and now >= entry.next_trial",
+        "return now >= entry.since + TRIAL_SECONDS[0]",
         DECISIONS,
     ),
     Mutation(
@@ -94,7 +94,8 @@
     Mutation(
         "Q what is held is refused at once",
         "request/guard.py",
-        "        if self.quarantine_status(fingerprint) is QuarantineStatus.QUARANTINED:\n            raise",
+        "        if self.quarantine_status(fingerprint) is QuarantineStatus.QUARANTINED:\n"
+        "            raise",
         "        if False:\n            raise",
         WORLD,
     ),
@@ -115,14 +116,14 @@
     Mutation(
         "Q an end with no witness lets requests be recorded",
         "decisions/send_intents.py",
-        "self._wary_until[service] = now + WARY_SECONDS",
-        "self._wary_until[service] = now",
+        "self._record_until[service] = now + RECORDING_SECONDS",
+        "self._record_until[service] = now",
         SERIES,
     ),
     Mutation(
         "Q a start that may have followed a kill lets requests be recorded",
         "decisions/send_intents.py",
-        "self._start_until = began + START_SECONDS",
+        "self._start_until = began + STARTUP_SECONDS",
         "self._start_until = began",
         INTENTS,
     ),
@@ -143,8 +144,8 @@
     Mutation(
         "Q ends before a record use up trials",
         "decisions/quarantine.py",
-        "return len(near.union(recorded).difference(names))",
-        "return len(near.difference(names))",
+        "return len(crashed_near_restart.union(unobserved).difference(names))",
+        "return len(crashed_near_restart.difference(names))",
         SERIES,
     ),
     Mutation(
--- a/flamingofront/request/hub.py
+++ b/flamingofront/request/hub.py
@@ -447,8 +447,8 @@
 
     Notes
     -----
-    The exclusions are relaxed first, then the checks of `filter_usable`. The side is relaxed last: the
-    other side is used only if the wanted one has no endpoint at all.
+    The exclusions are relaxed first, then the checks of `filter_usable`. The side is relaxed last:
+    the other side is used only if the wanted one has no endpoint at all.
     """
     for wanted_side in (side, None):
         on_side = list(filter_usable(candidates, wanted_side, frozenset()))
