--- a/flamingofront/decisions/tests/test_zone_reach.py
+++ b/flamingofront/decisions/tests/test_zone_reach.py
@@ -67,27 +67,29 @@
     def make_table(self, **received_at):
         """Return a table with the last reports of members ``zone_number``, expected each 0.25 s."""
         table = PeerTable("own")
-        table.expect_every(0.25)
+        table.set_report_period(0.25)
         for name, at in received_at.items():
             zone = name.partition("_")[0]
-            table.take(PeerReport(name, 1, 1, zone, "ip", "ip:1", leaving=name.endswith("x")), at)
+            table.store_report(
+                PeerReport(name, 1, 1, zone, "ip", "ip:1", leaving=name.endswith("x")), at
+            )
         return table
 
     def test_zone_is_unresponsive_if_all_members_are(self):
         table = self.make_table(b_1=9.0, b_2=9.1, c_1=9.9, c_2=9.0)
-        assert table.silent_zones(10.0) == {"b"}
+        assert table.unreachable_zones(10.0) == {"b"}
 
     def test_zone_with_one_unresponsive_member_is_not_reported(self):
-        assert self.make_table(b_1=9.0).silent_zones(10.0) == frozenset()
+        assert self.make_table(b_1=9.0).unreachable_zones(10.0) == frozenset()
 
     def test_leaving_and_expired_members_are_ignored(self):
-        assert self.make_table(b_1=9.0, b_2x=9.0).silent_zones(10.0) == frozenset()
-        assert self.make_table(b_1=1.0, b_2=1.0).silent_zones(10.0) == frozenset()
+        assert self.make_table(b_1=9.0, b_2x=9.0).unreachable_zones(10.0) == frozenset()
+        assert self.make_table(b_1=1.0, b_2=1.0).unreachable_zones(10.0) == frozenset()
 
     def test_timeout_grows_with_report_interval(self):
         table = self.make_table(b_1=9.0, b_2=9.0)
-        table.expect_every(1.0)
-        assert table.silent_zones(10.0) == frozenset()
+        table.set_report_period(1.0)
+        assert table.unreachable_zones(10.0) == frozenset()
 
 
 class TestPartition:
--- a/flamingofront/process/forwarding/observations.py
+++ b/flamingofront/process/forwarding/observations.py
@@ -10,7 +10,7 @@
 from flamingofront.decisions.engine_rates import EngineRates
 from flamingofront.decisions.shares import RingPosition, select_preferred_endpoints
 from flamingofront.process.forwarding.peers import REPORT_SECONDS, Peers
-from flamingofront.process.forwarding.reports import LoadNote
+from flamingofront.process.forwarding.reports import LoadDelta
 from flamingofront.process.logs import Log
 from flamingofront.process.membership import FactTable, Role
 from flamingofront.process.metrics import Metrics
@@ -91,34 +91,34 @@
         if told:
             self._peers.tell_load(self._sequence(), told)
 
-    def noted(self, note: LoadNote) -> None:
+    def noted(self, note: LoadDelta) -> None:
         """Take what a peer has placed at endpoints, or what they have read of it."""
         self._metrics.count("peer_notes_total")
         directory, now = self._hub.directory, self._timers.now()
         for endpoint_id, (requests, tokens) in note.changes.items():
-            if self._peers.many:
+            if self._peers.is_relayed:
                 directory.noted_prompts.add(endpoint_id, requests, tokens, now)
             else:
                 directory.apply_peer_change(endpoint_id, requests, tokens)
 
     def select_preferred_endpoints(self, endpoints: Mapping[str, str]) -> tuple[str, ...]:
         """Return the endpoints that this process uses first; none where processes are few."""
-        if not self._peers.many:
+        if not self._peers.is_relayed:
             return ()
         return select_preferred_endpoints(
-            self._places()[self._own_id], self._peers.relaying.zones(), endpoints
+            self._places()[self._own_id], self._peers.relaying.known_zones(), endpoints
         )
 
     def _places(self) -> dict[str, RingPosition]:
         """Return where the processes of the zone stand among all."""
-        names = sorted(self._peers.relaying.near())
+        names = sorted(self._peers.relaying.zone_members())
         return {
             name: RingPosition(self._zone, number, len(names)) for number, name in enumerate(names)
         }
 
     def sharers(self, endpoints: Iterable[str]) -> dict[str, list[str]]:
         """Return the endpoints that other processes of the zone use first too, by IP number."""
-        near, zones = self._peers.relaying.near(), self._peers.relaying.zones()
+        near, zones = self._peers.relaying.zone_members(), self._peers.relaying.known_zones()
         found: dict[str, list[str]] = {}
         for service in {fact.service for fact in map(self._facts.get, endpoints) if fact}:
             known = self._hub.directory.zones_of(service)
@@ -160,7 +160,7 @@
 
     def _loads_due(self) -> None:
         """Take the loads together now, or among many processes with the next choice."""
-        if self._peers.many:
+        if self._peers.is_relayed:
             self._stale = True
         else:
             self.spread_loads()
@@ -180,7 +180,7 @@
             name: each.estimate().token_seconds for name, each in self._hub.rates.list_services()
         }
         unknown = self._just_restarted(now)
-        for others in self._peers.loads():
+        for others in self._peers.peer_loads():
             for name, requests in others.in_flight.items():
                 if name not in unknown:
                     loads[name] += requests
@@ -199,7 +199,7 @@
         """Look which zones are cut off; what waits there goes on elsewhere."""
         now = self._timers.now()
         zones = self._hub.directory.zones
-        silent = self._peers.silent_zones() - {self._zone}
+        silent = self._peers.unreachable_zones() - {self._zone}
         zones.set_unresponsive_zones(silent)
         for zone in silent:
             zones.record_pending(zone, self._hub.unanswered_since(zone), now)
--- a/flamingofront/process/forwarding/peer_word.py
+++ b/flamingofront/process/forwarding/peer_word.py
@@ -6,33 +6,35 @@
 from flamingofront.decisions.quota import SharedQuota
 from flamingofront.process.forwarding.digests import Claim
 from flamingofront.process.forwarding.exchange import KnowledgeExchange
-from flamingofront.process.forwarding.own_report import OwnReport, ReportedParts
+from flamingofront.process.forwarding.own_report import LocalReport, ReportSources
 from flamingofront.process.forwarding.reports import PeerReport
 from flamingofront.process.metrics import Metrics
 from flamingofront.process.timers import TimerService
 
-__all__ = ["PeerWord", "WordParts"]
+__all__ = ["PeerDispatcher", "UpdateReceivers"]
 
 
 @dataclass(frozen=True)
-class WordParts:
+class UpdateReceivers:
     """Parts of a process that take what others tell.
 
     Parameters
     ----------
-    reported : ReportedParts
+    reported : ReportSources
         Those whose state is told, too.
     """
 
-    reported: ReportedParts
+    reported: ReportSources
     quota: SharedQuota
     exchange: KnowledgeExchange
 
 
-class PeerWord:
+class PeerDispatcher:
     """Hands what other processes tell to the parts that need it, and makes this one's reports."""
 
-    def __init__(self, own: OwnReport, parts: WordParts, timers: TimerService, metrics: Metrics):
+    def __init__(
+        self, own: LocalReport, parts: UpdateReceivers, timers: TimerService, metrics: Metrics
+    ):
         self._own = own
         self._parts = parts
         self._reported = parts.reported
@@ -60,10 +62,10 @@
         self._reported.hub.limits.merge(report.limits)
         self._reported.knowledge.endpoints.merge_leaving(report.leaving_endpoints)
         if report.usage is not None:
-            usage.reported(report.usage, report.process, peers.true_time())
+            usage.reported(report.usage, report.process, peers.cluster_time())
         self._reported.lease.heard(report)
         self._parts.exchange.compare(report)
-        if peers.many:
+        if peers.is_relayed:
             peers.relaying.reported(report, continuous, gap is None)
 
     def take_sums(self, process: str, sums: Mapping[str, float], counts: bool) -> None:
--- a/flamingofront/process/forwarding/tests/test_digests.py
+++ b/flamingofront/process/forwarding/tests/test_digests.py
@@ -119,7 +119,7 @@
         front = world.fronts["front-0"]
         with logbook.TestHandler(level="WARNING", bubble=True).applicationbound() as log:
             for _ in range(3):
-                front.peers.received(data, "9.9.9.9")
+                front.peers.receive_datagram(data, "9.9.9.9")
         assert [each.message for each in log.records] == ["datagram refused"]
         assert front.metrics.value("peer_datagrams_refused_total") == 3
 
