--- a/flamingofront/decisions/tests/test_zone_reach.py
+++ b/flamingofront/decisions/tests/test_zone_reach.py
@@ -63,27 +63,29 @@
     def table(self, **heard):
         """Return a table that heard members ``zone_number`` at some times, each 0.25 s."""
         table = PeerTable("own")
-        table.expect_every(0.25)
+        table.set_report_period(0.25)
         for name, at in heard.items():
             zone = name.partition("_")[0]
-            table.take(PeerReport(name, 1, 1, zone, "ip", "ip:1", leaving=name.endswith("x")), at)
+            table.store_report(
+                PeerReport(name, 1, 1, zone, "ip", "ip:1", leaving=name.endswith("x")), at
+            )
         return table
 
     def test_zone_is_silent_when_all_of_its_members_are(self):
         table = self.table(b_1=9.0, b_2=9.1, c_1=9.9, c_2=9.0)
-        assert table.silent_zones(10.0) == {"b"}
+        assert table.unreachable_zones(10.0) == {"b"}
 
     def test_one_member_alone_may_have_been_killed(self):
-        assert self.table(b_1=9.0).silent_zones(10.0) == frozenset()
+        assert self.table(b_1=9.0).unreachable_zones(10.0) == frozenset()
 
     def test_members_that_were_leaving_or_are_long_gone_count_for_nothing(self):
-        assert self.table(b_1=9.0, b_2x=9.0).silent_zones(10.0) == frozenset()
-        assert self.table(b_1=1.0, b_2=1.0).silent_zones(10.0) == frozenset()
+        assert self.table(b_1=9.0, b_2x=9.0).unreachable_zones(10.0) == frozenset()
+        assert self.table(b_1=1.0, b_2=1.0).unreachable_zones(10.0) == frozenset()
 
     def test_many_members_are_heard_less_often(self):
         table = self.table(b_1=9.0, b_2=9.0)
-        table.expect_every(1.0)
-        assert table.silent_zones(10.0) == frozenset()
+        table.set_report_period(1.0)
+        assert table.unreachable_zones(10.0) == frozenset()
 
 
 class TestCut:
--- a/flamingofront/process/forwarding/control.py
+++ b/flamingofront/process/forwarding/control.py
@@ -66,7 +66,7 @@
         gauge("configuration_revision", node.configuration.version)
         gauge("store_era", node.store.era)
         gauge("ready", int(node.ready))
-        gauge("peers_heard", node.peers.heard_count())
+        gauge("peers_heard", node.peers.live_count())
         lease = node.lease.holding()
         gauge("duty_fencing", lease.fencing if lease is not None else 0)
         for follower in node.knowledge.followers:
--- a/flamingofront/process/forwarding/digests.py
+++ b/flamingofront/process/forwarding/digests.py
@@ -15,15 +15,15 @@
     PeerReport,
     ProcessCounts,
     decode_ages,
-    decode_starts,
-    rollout_word,
+    decode_endpoint_starts,
+    decode_rollouts,
 )
 from flamingofront.process.quarantine_codec import decode_word, encode_word
 
 __all__ = [
     "ALL_ZONES",
     "MAX_DIGEST_BYTES",
-    "Claim",
+    "LeaseClaim",
     "Digest",
     "DigestWriter",
     "decode_digest",
@@ -33,14 +33,14 @@
 # Scope of a digest that sums over all zones.
 ALL_ZONES = "*"
 # Format of the datagram; a process of another version refuses it and says so.
-_START = b"D3 "
-_ACKNOWLEDGED_END = b"\n"
+_PREFIX = b"D3 "
+_HEADER_END = b"\n"
 # Longest digest that is read: 600 endpoints, 64 workspaces and 41 members take under 20 KB.
 MAX_DIGEST_BYTES = 48 * 1024
 
 
 @dataclass(frozen=True)
-class Claim:
+class LeaseClaim:
     """Who holds the duties, or has given them up, as far as a relay has heard lately.
 
     Parameters
@@ -91,7 +91,7 @@
         IP numbers of the relays of each zone. None if not told.
     usage : mapping, optional
         Requests that began, by process, window and workspace. None if not told.
-    told_until : mapping of str to float
+    usage_until : mapping of str to float
         Up to which time of the wall clock these counts of a process are known.
     acknowledged : int
         Number of the addressee's last report that is in the sums; 0 if none is.
@@ -101,23 +101,23 @@
     scope: str
     wall: float
     members: int
-    heard: int
+    live: int
     loads: Mapping[str, tuple[int, int]] = field(default_factory=dict)
-    claim: Claim = Claim()
-    silent: tuple[str, ...] = ()
-    spent: Mapping[str, float] | None = None
+    claim: LeaseClaim = LeaseClaim()
+    unreachable_zones: tuple[str, ...] = ()
+    consumed: Mapping[str, float] | None = None
     demand: Mapping[str, float] | None = None
     work: Mapping[str, tuple[float, float]] | None = None
     roster: Mapping[str, str] | None = None
     relays: Mapping[str, tuple[str, ...]] | None = None
     usage: ProcessCounts | None = None
-    told_until: Mapping[str, float] = field(default_factory=dict)
+    usage_until: Mapping[str, float] = field(default_factory=dict)
     acknowledged: int = 0
 
 
 def is_digest(data: bytes) -> bool:
     """Tell whether a datagram is a digest, of any version; reports and notes begin otherwise."""
-    return data.startswith(_START[:1])
+    return data.startswith(_PREFIX[:1])
 
 
 class DigestWriter:
@@ -127,7 +127,7 @@
         relay = digest.relay
         identity = [relay.vm_id, relay.incarnation, relay.sequence, relay.zone, relay.ip]
         state = [relay.address, relay.configuration, relay.endpoints, relay.rollouts]
-        flags = [relay.cut_off, relay.follows, relay.leaving]
+        flags = [relay.store_unreachable, relay.watches_store, relay.leaving]
         claim = digest.claim
         values = [
             identity,
@@ -135,17 +135,17 @@
             flags,
             digest.scope,
             digest.wall,
-            [digest.members, digest.heard],
+            [digest.members, digest.live],
             digest.loads,
             [claim.fencing, claim.lease_version, claim.released, claim.ip],
-            digest.silent,
-            digest.spent,
+            digest.unreachable_zones,
+            digest.consumed,
             digest.demand,
             digest.work,
             digest.roster,
             digest.relays,
             digest.usage,
-            digest.told_until,
+            digest.usage_until,
             encode_word(relay.quarantine),
             encode_limits(relay.limits),
             relay.leaving_endpoints,
@@ -155,7 +155,7 @@
 
     def datagram(self, acknowledged: int = 0) -> bytes:
         """Return the datagram for an addressee whose last report has this number."""
-        return b"%b%d%b%b" % (_START, acknowledged, _ACKNOWLEDGED_END, self._body)
+        return b"%b%d%b%b" % (_PREFIX, acknowledged, _HEADER_END, self._body)
 
 
 def decode_digest(data: bytes) -> Digest:
@@ -168,24 +168,24 @@
     """
     if len(data) > MAX_DIGEST_BYTES:
         raise ValueError(f"digest of {len(data)} bytes: at most {MAX_DIGEST_BYTES} are read")
-    if not data.startswith(_START):
+    if not data.startswith(_PREFIX):
         raise ValueError(f"digest of another version: begins with {data[:3]!r}")
-    head, _, body = data.partition(_ACKNOWLEDGED_END)
+    head, _, body = data.partition(_HEADER_END)
     try:
-        acknowledged = int(head[len(_START) :])
-        return _digest(orjson.loads(body), acknowledged)
+        acknowledged = int(head[len(_PREFIX) :])
+        return _build_digest(orjson.loads(body), acknowledged)
     except (TypeError, ValueError, IndexError, AttributeError) as exc:
         raise ValueError(f"malformed digest: {exc!r}") from exc
 
 
-def _digest(values: list, acknowledged: int) -> Digest:
-    identity, state, flags, scope, wall, counts, loads, claim, silent = values[:9]
-    spent, demand, work, roster, relays, usage, told_until, quarantine = values[9:17]
+def _build_digest(values: list, acknowledged: int) -> Digest:
+    identity, state, flags, scope, wall, counts, loads, claim, unreachable_zones = values[:9]
+    consumed, demand, work, roster, relays, usage, usage_until, quarantine = values[9:17]
     # A relay of an earlier version does not tell how old its knowledge is.
     position, ages = values[19] if len(values) > 19 else (0, (None, None))
     vm_id, incarnation, sequence, zone, ip = identity
     address, configuration, endpoints, rollouts = state
-    cut_off, follows, leaving = flags
+    store_unreachable, watches_store, leaving = flags
     relay = PeerReport(
         str(vm_id),
         int(incarnation),
@@ -196,14 +196,14 @@
         wall=float(wall),
         configuration=int(configuration),
         endpoints=int(endpoints),
-        cut_off=bool(cut_off),
-        follows=bool(follows),
+        store_unreachable=bool(store_unreachable),
+        watches_store=bool(watches_store),
         leaving=bool(leaving),
-        rollouts=rollout_word(rollouts),
+        rollouts=decode_rollouts(rollouts),
         quarantine=decode_word(quarantine),
         # A relay of an earlier version tells none.
         limits=decode_limits(*values[17:18] or ((),)),
-        leaving_endpoints=decode_starts(*values[18:19] or ((),)),
+        leaving_endpoints=decode_endpoint_starts(*values[18:19] or ((),)),
         position=int(position),
         ages=decode_ages(ages),
     )
@@ -213,22 +213,22 @@
         scope=str(scope),
         wall=float(wall),
         members=int(counts[0]),
-        heard=int(counts[1]),
+        live=int(counts[1]),
         loads={name: (int(each[0]), int(each[1])) for name, each in loads.items()},
-        claim=Claim(int(fencing), int(lease_version), int(released), str(holder_ip)),
-        silent=tuple(map(str, silent)),
-        spent=_mapping(spent),
-        demand=_mapping(demand),
-        work=_mapping(work),
-        roster=_mapping(roster),
+        claim=LeaseClaim(int(fencing), int(lease_version), int(released), str(holder_ip)),
+        unreachable_zones=tuple(map(str, unreachable_zones)),
+        consumed=_check_mapping(consumed),
+        demand=_check_mapping(demand),
+        work=_check_mapping(work),
+        roster=_check_mapping(roster),
         relays=None if relays is None else {name: tuple(ips) for name, ips in relays.items()},
-        usage=_mapping(usage),
-        told_until={name: float(each) for name, each in told_until.items()},
+        usage=_check_mapping(usage),
+        usage_until={name: float(each) for name, each in usage_until.items()},
         acknowledged=acknowledged,
     )
 
 
-def _mapping(value: object) -> dict | None:
+def _check_mapping(value: object) -> dict | None:
     if value is not None and not isinstance(value, dict):
         raise TypeError(f"expected a mapping, got {type(value).__name__}")
     return value
--- a/flamingofront/process/forwarding/exchange.py
+++ b/flamingofront/process/forwarding/exchange.py
@@ -89,7 +89,7 @@
         self._knowledge.hear_of_configuration(report.configuration, report.vm_id)
         self._knowledge.confirm_by_peer(report)
         waited = self._knowledge.configuration_missing_for() or 0.0
-        reached = report.follows and not report.cut_off
+        reached = report.watches_store and not report.store_unreachable
         if reached:
             self._reader_heard_at = now
         mark = self._knowledge.endpoints_mark()
--- a/flamingofront/process/forwarding/observations.py
+++ b/flamingofront/process/forwarding/observations.py
@@ -9,8 +9,8 @@
 from flamingofront.decisions.demand import Work
 from flamingofront.decisions.engine_rates import EngineRates
 from flamingofront.decisions.shares import Placement, first_endpoints
-from flamingofront.process.forwarding.peers import REPORT_SECONDS, Peers
-from flamingofront.process.forwarding.reports import LoadNote
+from flamingofront.process.forwarding.peers import REPORT_PERIOD_SECONDS, Peers
+from flamingofront.process.forwarding.reports import LoadDelta
 from flamingofront.process.logs import Log
 from flamingofront.process.membership import FactTable, Role
 from flamingofront.process.metrics import Metrics
@@ -20,13 +20,13 @@
 __all__ = ["Observations"]
 
 # How often the loads that peers tell are taken together; as often as they report.
-LOAD_SECONDS = 0.25
+LOAD_PERIOD_SECONDS = 0.25
 # Pause between two lines in the log on what was learned of the endpoints.
-RATES_LOG_SECONDS = 5.0
+RATES_LOG_PERIOD_SECONDS = 5.0
 # Word of what others place is so old at most: a report's pause, a digest's, and their ways.
-OLD_WORD_SECONDS = 1.0
+STALE_LOAD_SECONDS = 1.0
 # What an endpoint is taken to need as long as nothing was learned of its service.
-USUAL = EngineRates()
+DEFAULT_RATES = EngineRates()
 
 
 class Observations:
@@ -70,65 +70,65 @@
 
     def start(self) -> None:
         """Begin to observe."""
-        self._hub.directory.on_load = self._load_changed
-        self._hub.directory.first = self.first_endpoints
-        self._peers.sharers = self.sharers
-        self._hub.directory.before_choice = self._spread_if_stale
-        self._timers.every(LOAD_SECONDS, self._loads_due, relaxed=True)
-        self._timers.every(LOAD_SECONDS, self._watch_zones, relaxed=True)
-        self._timers.every(RATES_LOG_SECONDS, self._log_rates, relaxed=True)
-
-    def _load_changed(self, endpoint_id: str, requests: int, tokens: int) -> None:
+        self._hub.directory.on_load = self._record_load_change
+        self._hub.directory.first = self.preferred_endpoints
+        self._peers.shared_endpoints = self.find_shared_endpoints
+        self._hub.directory.before_choice = self._refresh_if_stale
+        self._timers.every(LOAD_PERIOD_SECONDS, self._refresh_loads, relaxed=True)
+        self._timers.every(LOAD_PERIOD_SECONDS, self._check_zones, relaxed=True)
+        self._timers.every(RATES_LOG_PERIOD_SECONDS, self._log_engine_rates, relaxed=True)
+
+    def _record_load_change(self, endpoint_id: str, requests: int, tokens: int) -> None:
         """Gather what changes at endpoints, and tell it when this turn of work is done."""
         if not self._changes:
-            self._timers.once(0.0, self._tell_load)
+            self._timers.once(0.0, self._send_load_delta)
         before = self._changes.get(endpoint_id, (0, 0))
         self._changes[endpoint_id] = (before[0] + requests, before[1] + tokens)
 
-    def _tell_load(self) -> None:
+    def _send_load_delta(self) -> None:
         changes, self._changes = self._changes, {}
         told = {name: each for name, each in changes.items() if each != (0, 0)}
         if told:
-            self._peers.tell_load(self._sequence(), told)
+            self._peers.send_load_delta(self._sequence(), told)
 
-    def noted(self, note: LoadNote) -> None:
+    def apply_load_delta(self, note: LoadDelta) -> None:
         """Take what a peer has placed at endpoints, or what they have read of it."""
         self._metrics.count("peer_notes_total")
         directory, now = self._hub.directory, self._timers.now()
         for endpoint_id, (requests, tokens) in note.changes.items():
-            if self._peers.many:
+            if self._peers.is_relayed:
                 directory.noted.add(endpoint_id, requests, tokens, now)
             else:
                 directory.peer_changed(endpoint_id, requests, tokens)
 
-    def first_endpoints(self, endpoints: Mapping[str, str]) -> tuple[str, ...]:
+    def preferred_endpoints(self, endpoints: Mapping[str, str]) -> tuple[str, ...]:
         """Return the endpoints that this process uses first; none where processes are few."""
-        if not self._peers.many:
+        if not self._peers.is_relayed:
             return ()
         return first_endpoints(
-            self._places()[self._own_id], self._peers.relaying.zones(), endpoints
+            self._zone_placements()[self._own_id], self._peers.relaying.known_zones(), endpoints
         )
 
-    def _places(self) -> dict[str, Placement]:
+    def _zone_placements(self) -> dict[str, Placement]:
         """Return where the processes of the zone stand among all."""
-        names = sorted(self._peers.relaying.near())
+        names = sorted(self._peers.relaying.zone_members())
         return {
             name: Placement(self._zone, number, len(names)) for number, name in enumerate(names)
         }
 
-    def sharers(self, endpoints: Iterable[str]) -> dict[str, list[str]]:
+    def find_shared_endpoints(self, endpoints: Iterable[str]) -> dict[str, list[str]]:
         """Return the endpoints that other processes of the zone use first too, by IP number."""
-        near, zones = self._peers.relaying.near(), self._peers.relaying.zones()
+        near, zones = self._peers.relaying.zone_members(), self._peers.relaying.known_zones()
         found: dict[str, list[str]] = {}
         for service in {fact.service for fact in map(self._facts.get, endpoints) if fact}:
             known = self._hub.directory.zones_of(service)
-            for name, place in self._places().items():
+            for name, place in self._zone_placements().items():
                 shared = set(first_endpoints(place, zones, known)).intersection(endpoints)
                 if shared and name != self._own_id:
                     found.setdefault(near[name], []).extend(sorted(shared))
         return found
 
-    def endpoint_restarted(self, endpoint_id: str) -> None:
+    def discard_earlier_loads(self, endpoint_id: str) -> None:
         """Reckon without what others had placed at the earlier start of an endpoint.
 
         Notes
@@ -138,14 +138,14 @@
         self._restarted_at[endpoint_id] = self._timers.now()
         self._stale = True
 
-    def _just_restarted(self, now: float) -> set[str]:
+    def _recently_restarted(self, now: float) -> set[str]:
         """Return the endpoints of which others' word is still that of an earlier start."""
         for name, at in list(self._restarted_at.items()):
-            if now - at >= OLD_WORD_SECONDS:
+            if now - at >= STALE_LOAD_SECONDS:
                 del self._restarted_at[name]
         return set(self._restarted_at)
 
-    def loads_told(self) -> None:
+    def mark_loads_stale(self) -> None:
         """Take note that a relay has told what all processes run.
 
         Notes
@@ -156,18 +156,18 @@
         """
         self._stale = True
 
-    def _loads_due(self) -> None:
+    def _refresh_loads(self) -> None:
         """Take the loads together now, or among many processes with the next choice."""
-        if self._peers.many:
+        if self._peers.is_relayed:
             self._stale = True
         else:
-            self.spread_loads()
+            self.update_directory_loads()
 
-    def _spread_if_stale(self) -> None:
+    def _refresh_if_stale(self) -> None:
         if self._stale:
-            self.spread_loads()
+            self.update_directory_loads()
 
-    def spread_loads(self) -> None:
+    def update_directory_loads(self) -> None:
         """Tell the directory what all processes together run at each endpoint."""
         self._stale = False
         now = self._timers.now()
@@ -175,27 +175,29 @@
         loads = Counter(directory.all_in_flight())
         backlog: Counter[str] = Counter()
         seconds = {name: each.now().token_seconds for name, each in self._hub.rates.known()}
-        unknown = self._just_restarted(now)
-        for others in self._peers.loads():
+        unknown = self._recently_restarted(now)
+        for others in self._peers.peer_loads():
             for name, requests in others.in_flight.items():
                 if name not in unknown:
                     loads[name] += requests
             # Of what waited when an old report was made the engine has read a part since.
-            spent = max(0.0, others.age - REPORT_SECONDS)
+            spent = max(0.0, others.age - REPORT_PERIOD_SECONDS)
             for name, tokens in others.backlog.items():
                 if name in unknown:
                     continue
                 fact = self._facts.get(name)
                 known = seconds.get(fact.service) if fact is not None else None
-                backlog[name] += max(0, tokens - round(spent / (known or USUAL.token_seconds)))
+                backlog[name] += max(
+                    0, tokens - round(spent / (known or DEFAULT_RATES.token_seconds))
+                )
         directory.reported(loads, now)
         directory.peers_queued(backlog)
 
-    def _watch_zones(self) -> None:
+    def _check_zones(self) -> None:
         """Look which zones are cut off; what waits there goes on elsewhere."""
         now = self._timers.now()
         zones = self._hub.directory.zones
-        silent = self._peers.silent_zones() - {self._zone}
+        silent = self._peers.unreachable_zones() - {self._zone}
         zones.peers_silent(silent)
         for zone in silent:
             zones.awaited(zone, self._hub.silent_since(zone), now)
@@ -208,7 +210,7 @@
         for zone in cut_off:
             self._hub.zone_cut_off(zone)
 
-    def _log_rates(self) -> None:
+    def _log_engine_rates(self) -> None:
         """Tell what was learned of the endpoints: placement and the fleet follow from it."""
         work = self._hub.work.work(self._timers.now())
         for name, rates in self._hub.rates.known():
--- a/flamingofront/process/forwarding/operators.py
+++ b/flamingofront/process/forwarding/operators.py
@@ -112,7 +112,7 @@
                 "zone": each.zone,
                 "ip": each.ip,
                 "incarnation": each.incarnation,
-                "heard": round(node.peers.table.gap(each.vm_id, now) or 0.0, 2),
+                "heard": round(node.peers.table.seconds_since_report(each.vm_id, now) or 0.0, 2),
                 "configuration": each.configuration,
                 "configuration_age": self._age_now(each, each.ages[0]),
                 "endpoints_age": self._age_now(each, each.ages[1]),
@@ -124,7 +124,10 @@
 
     def _age_now(self, report: PeerReport, age: float | None) -> float | None:
         """Return how old a process's knowledge is now, by what it told."""
-        gap = self._node.peers.table.gap(report.vm_id, self._node.timers.now()) or 0.0
+        gap = (
+            self._node.peers.table.seconds_since_report(report.vm_id, self._node.timers.now())
+            or 0.0
+        )
         return None if age is None else round(age + gap, 2)
 
     def _held(self) -> Rows:
@@ -262,6 +265,6 @@
 
 def _store_word(report: PeerReport) -> str:
     """Return how a process learns of the store's changes."""
-    if report.cut_off:
+    if report.store_unreachable:
         return "cut off"
-    return "reached" if report.follows else "by others"
+    return "reached" if report.watches_store else "by others"
--- a/flamingofront/process/forwarding/own_report.py
+++ b/flamingofront/process/forwarding/own_report.py
@@ -5,18 +5,18 @@
 
 from flamingofront.process.forwarding.duty import DutyLease
 from flamingofront.process.forwarding.knowledge import Knowledge
-from flamingofront.process.forwarding.peers import MAX_PEERS_TOLD, Peers
+from flamingofront.process.forwarding.peers import MAX_PEERS_LISTED, Peers
 from flamingofront.process.forwarding.reports import PeerReport
 from flamingofront.process.forwarding.rollouts import Rollouts
 from flamingofront.process.forwarding.usage import UsageBook
 from flamingofront.process.timers import TimerService
 from flamingofront.request.hub import RequestHub
 
-__all__ = ["OwnReport", "ReportedParts"]
+__all__ = ["LocalReport", "ReportSources"]
 
 
 @dataclass(frozen=True)
-class ReportedParts:
+class ReportSources:
     """Parts of a process whose state is reported."""
 
     hub: RequestHub
@@ -27,7 +27,7 @@
     usage: UsageBook
 
 
-class OwnReport:
+class LocalReport:
     """Makes this process's reports.
 
     Parameters
@@ -50,7 +50,7 @@
         self._timers = timers
         self._rng = rng
 
-    def make(self, parts: ReportedParts, spent: dict[str, float]) -> PeerReport:
+    def build(self, parts: ReportSources, consumed: dict[str, float]) -> PeerReport:
         """Return the report as it is now.
 
         Parameters
@@ -60,45 +60,45 @@
         """
         self.sequence += 1
         lease, knowledge, peers = parts.lease.holding(), parts.knowledge, parts.peers
-        heard = peers.table.heard(self._timers.now())
+        heard = peers.table.live_reports(self._timers.now())
         directory = parts.hub.directory
-        told = {name: round(units) for name, units in spent.items()}
+        told = {name: round(units) for name, units in consumed.items()}
         return replace(
             self.identity,
             sequence=self.sequence,
             wall=self._timers.wall(),
             configuration=knowledge.configuration.version,
             endpoints=knowledge.endpoints_mark(),
-            cut_off=knowledge.cut_off,
-            follows=not knowledge.rests,
+            store_unreachable=knowledge.cut_off,
+            watches_store=not knowledge.rests,
             leaving=self.leaving,
             fencing=lease.fencing if lease is not None else 0,
             released=parts.lease.released,
             lease_version=parts.lease.version if lease is not None else 0,
-            spent={**told, **parts.rollouts.sums()},
+            consumed={**told, **parts.rollouts.sums()},
             in_flight=directory.all_in_flight(),
             backlog=directory.all_backlog(),
-            peers=self._some_peers(heard),
-            usage=parts.usage.to_tell({each.process for each in heard}, peers.true_time()),
+            peers=self._sample_peers(heard),
+            usage=parts.usage.to_tell({each.process for each in heard}, peers.cluster_time()),
             demand=parts.hub.in_flight_by_service(),
-            work=self._work(parts.hub),
+            work=self._work_by_service(parts.hub),
             rollouts=parts.rollouts.word(),
             quarantine=parts.hub.guard.word(),
             limits=parts.hub.limits.recent_changes(),
             leaving_endpoints=knowledge.endpoints.recently_leaving(),
             position=knowledge.configuration_position(),
-            ages=(_rounded(knowledge.configuration_age()), _rounded(knowledge.endpoints_age())),
+            ages=(_round_age(knowledge.configuration_age()), _round_age(knowledge.endpoints_age())),
         )
 
-    def _work(self, hub: RequestHub) -> dict[str, tuple[float, float]]:
+    def _work_by_service(self, hub: RequestHub) -> dict[str, tuple[float, float]]:
         """Return the work that this process places, rounded to a thousandth of an endpoint."""
         found = hub.work.work(self._timers.now())
         return {name: (round(each.fast, 3), round(each.slow, 3)) for name, each in found.items()}
 
-    def _some_peers(self, heard: list[PeerReport]) -> tuple[str, ...]:
-        count = min(MAX_PEERS_TOLD, len(heard))
+    def _sample_peers(self, heard: list[PeerReport]) -> tuple[str, ...]:
+        count = min(MAX_PEERS_LISTED, len(heard))
         return tuple(each.ip for each in self._rng.sample(heard, count))
 
 
-def _rounded(age: float | None) -> float | None:
+def _round_age(age: float | None) -> float | None:
     return None if age is None else round(age, 2)
--- a/flamingofront/process/forwarding/pacing.py
+++ b/flamingofront/process/forwarding/pacing.py
@@ -55,8 +55,8 @@
             self._send(data, ip)
         if self._waiting and not self._pausing:
             self._pausing = True
-            self._timers.once(PAUSE_SECONDS, self._go_on)
+            self._timers.once(PAUSE_SECONDS, self._resume)
 
-    def _go_on(self) -> None:
+    def _resume(self) -> None:
         self._pausing = False
         self._send_some()
--- a/flamingofront/process/forwarding/peer_word.py
+++ b/flamingofront/process/forwarding/peer_word.py
@@ -4,46 +4,48 @@
 from dataclasses import dataclass, replace
 
 from flamingofront.decisions.quota import SharedQuota
-from flamingofront.process.forwarding.digests import Claim
+from flamingofront.process.forwarding.digests import LeaseClaim
 from flamingofront.process.forwarding.exchange import KnowledgeExchange
-from flamingofront.process.forwarding.own_report import OwnReport, ReportedParts
+from flamingofront.process.forwarding.own_report import LocalReport, ReportSources
 from flamingofront.process.forwarding.reports import PeerReport
 from flamingofront.process.metrics import Metrics
 from flamingofront.process.timers import TimerService
 
-__all__ = ["PeerWord", "WordParts"]
+__all__ = ["PeerDispatcher", "UpdateReceivers"]
 
 
 @dataclass(frozen=True)
-class WordParts:
+class UpdateReceivers:
     """Parts of a process that take what others tell.
 
     Parameters
     ----------
-    reported : ReportedParts
+    reported : ReportSources
         Those whose state is told, too.
     """
 
-    reported: ReportedParts
+    reported: ReportSources
     quota: SharedQuota
     exchange: KnowledgeExchange
 
 
-class PeerWord:
+class PeerDispatcher:
     """Hands what other processes tell to the parts that need it, and makes this one's reports."""
 
-    def __init__(self, own: OwnReport, parts: WordParts, timers: TimerService, metrics: Metrics):
-        self._own = own
+    def __init__(
+        self, own: LocalReport, parts: UpdateReceivers, timers: TimerService, metrics: Metrics
+    ):
+        self._local_report = own
         self._parts = parts
         self._reported = parts.reported
         self._timers = timers
         self._metrics = metrics
 
-    def own_report(self) -> PeerReport:
+    def build_report(self) -> PeerReport:
         """Return this process's report as it is now."""
-        return self._own.make(self._reported, self._parts.quota.spent())
+        return self._local_report.build(self._reported, self._parts.quota.spent())
 
-    def take_report(self, report: PeerReport, gap: float | None) -> None:
+    def apply_report(self, report: PeerReport, gap: float | None) -> None:
         """Take a peer's report: its quota use, its counts, its word on the lease, its load.
 
         Parameters
@@ -53,20 +55,22 @@
         """
         peers, usage = self._reported.peers, self._reported.usage
         self._metrics.count("peer_reports_total", result="heard" if gap is not None else "first")
-        continuous = gap is not None and peers.table.in_hearing(gap)
-        self.take_sums(report.process, report.spent, continuous and peers.counts_directly())
-        self._take_rollouts(report)
+        continuous = gap is not None and peers.table.is_within_timeout(gap)
+        self.apply_sums(
+            report.process, report.consumed, continuous and peers.is_counting_directly()
+        )
+        self._apply_rollouts(report)
         self._reported.hub.guard.hear(report.quarantine)
         self._reported.hub.limits.merge(report.limits)
         self._reported.knowledge.endpoints.merge_leaving(report.leaving_endpoints)
         if report.usage is not None:
-            usage.reported(report.usage, report.process, peers.true_time())
+            usage.reported(report.usage, report.process, peers.cluster_time())
         self._reported.lease.heard(report)
         self._parts.exchange.compare(report)
-        if peers.many:
-            peers.relaying.reported(report, continuous, gap is None)
+        if peers.is_relayed:
+            peers.relaying.receive_report(report, continuous, gap is None)
 
-    def take_sums(self, process: str, sums: Mapping[str, float], counts: bool) -> None:
+    def apply_sums(self, process: str, sums: Mapping[str, float], counts: bool) -> None:
         """Take sums of a peer or a relay: of the quotas, and of the answers during roll-outs.
 
         Parameters
@@ -77,10 +81,10 @@
         self._parts.quota.heard(process, sums, counts, self._timers.now())
         self._reported.rollouts.hear_sums(process, sums, counts)
 
-    def take_belief(self, relay: PeerReport, claim: Claim) -> None:
+    def apply_relay_state(self, relay: PeerReport, claim: LeaseClaim) -> None:
         """Take what a relay knows, and its word on the duties' holder."""
         self._metrics.count("peer_digests_total")
-        self._take_rollouts(relay)
+        self._apply_rollouts(relay)
         self._reported.hub.guard.hear(relay.quarantine)
         self._reported.hub.limits.merge(relay.limits)
         self._reported.knowledge.endpoints.merge_leaving(relay.leaving_endpoints)
@@ -94,7 +98,7 @@
         )
         self._parts.exchange.compare(relay)
 
-    def _take_rollouts(self, report: PeerReport) -> None:
+    def _apply_rollouts(self, report: PeerReport) -> None:
         """Take a peer's word of roll-outs; an order that it knows first is read from the store."""
         if self._reported.rollouts.hear(report.rollouts):
             self._reported.knowledge.read_rollouts()
--- a/flamingofront/process/forwarding/readers.py
+++ b/flamingofront/process/forwarding/readers.py
@@ -41,11 +41,11 @@
         able = [
             each
             for each in self._heard()
-            if each.zone == self._zone and not each.cut_off and not each.leaving
+            if each.zone == self._zone and not each.store_unreachable and not each.leaving
         ]
         if len(able) < READERS_PER_ZONE:
             return False
         members = {self._vm_id, *(each.vm_id for each in able)}
         if self._vm_id in rank(_KEY, members)[:READERS_PER_ZONE]:
             return False
-        return sum(each.follows for each in able) >= HEARD_READERS
+        return sum(each.watches_store for each in able) >= HEARD_READERS
--- a/flamingofront/process/forwarding/reports.py
+++ b/flamingofront/process/forwarding/reports.py
@@ -2,7 +2,7 @@
 
 A report goes out in two forms: with the counts that only some of the processes need (usage,
 demand), and without them. A process that hears the short form keeps the demand that it was told
-before. Between two reports a `LoadNote` tells at once what was placed at an endpoint and what an
+before. Between two reports a `LoadDelta` tells at once what was placed at an endpoint and what an
 endpoint has read.
 """
 
@@ -20,17 +20,17 @@
 from flamingofront.request.endpoint_limits import EndpointLimit
 
 __all__ = [
-    "LoadNote",
+    "LoadDelta",
     "PeerReport",
     "PeerTable",
     "ProcessCounts",
-    "decode_note",
+    "decode_load_delta",
     "decode_report",
-    "encode_note",
+    "encode_load_delta",
     "encode_report",
-    "is_note",
+    "is_load_delta",
     "decode_ages",
-    "decode_starts",
+    "decode_endpoint_starts",
     "without_counts",
 ]
 
@@ -38,16 +38,16 @@
 
 # A process that has not been heard for so long is out of hearing, or for as long as four of its
 # reports take, whichever is more.
-HEARD_SECONDS = 1.6
-HEARD_REPORTS = 4
+LIVENESS_TIMEOUT_SECONDS = 1.6
+LIVENESS_TIMEOUT_REPORTS = 4
 # A zone is silent when none of its members was heard for as long as three of their reports take,
 # and two of them or more were heard within the last seconds: one alone may have been killed.
-SILENCE_REPORTS = 3
-SILENT_MEMBERS = 2
-RECALLED_SECONDS = 8.0
+ZONE_TIMEOUT_REPORTS = 3
+MIN_UNREACHABLE_MEMBERS = 2
+ZONE_MEMORY_SECONDS = 8.0
 # A process that has not been heard for so long is no member any more: longer than any restart or
 # partition after which it would come back with its old counts.
-MEMBER_SECONDS = 30.0
+MEMBER_EXPIRY_SECONDS = 30.0
 
 
 @dataclass(frozen=True)
@@ -68,9 +68,9 @@
         Version of the configuration in force there.
     endpoints : int
         Mark of the last change of the endpoints that it knows.
-    cut_off : bool
+    store_unreachable : bool
         True if the store does not answer it.
-    follows : bool
+    watches_store : bool
         True if it follows the store itself, and tells its zone of changes.
     leaving : bool
         True if it is stopping.
@@ -121,13 +121,13 @@
     wall: float = 0.0
     configuration: int = 0
     endpoints: int = 0
-    cut_off: bool = False
-    follows: bool = True
+    store_unreachable: bool = False
+    watches_store: bool = True
     leaving: bool = False
     fencing: int = 0
     released: int = 0
     lease_version: int = 0
-    spent: Mapping[str, float] = field(default_factory=dict)
+    consumed: Mapping[str, float] = field(default_factory=dict)
     in_flight: Mapping[str, int] = field(default_factory=dict)
     backlog: Mapping[str, int] = field(default_factory=dict)
     peers: tuple[str, ...] = ()
@@ -187,22 +187,22 @@
     if not isinstance(values, list) or len(values) < _REQUIRED:
         raise ValueError("malformed report: not a list of its fields")
     named = dict(zip(_FIELDS, values, strict=False))
-    named["peers"] = _texts(named.get("peers", ()))
-    named["rollouts"] = rollout_word(named.get("rollouts", {}))
+    named["peers"] = _decode_ips(named.get("peers", ()))
+    named["rollouts"] = decode_rollouts(named.get("rollouts", {}))
     named["quarantine"] = decode_word(named.get("quarantine"))
     named["limits"] = decode_limits(named.get("limits", ()))
-    named["leaving_endpoints"] = decode_starts(named.get("leaving_endpoints", ()))
+    named["leaving_endpoints"] = decode_endpoint_starts(named.get("leaving_endpoints", ()))
     named["ages"] = decode_ages(named.get("ages", (None, None)))
     return PeerReport(**named)
 
 
-def _texts(value: Any) -> tuple[str, ...]:
+def _decode_ips(value: Any) -> tuple[str, ...]:
     if not isinstance(value, list | tuple) or not all(isinstance(each, str) for each in value):
         raise ValueError(f"malformed report: {value!r:.60} is no list of IP numbers")
     return tuple(value)
 
 
-def rollout_word(value: Any) -> dict[str, tuple[int, int]]:
+def decode_rollouts(value: Any) -> dict[str, tuple[int, int]]:
     """Return the number of the order and the phase of each roll-out, as they were told.
 
     Raises
@@ -216,7 +216,7 @@
         raise ValueError(f"malformed word of roll-outs: {exc!r:.100}") from exc
 
 
-def decode_starts(value: Any) -> tuple[tuple[str, int], ...]:
+def decode_endpoint_starts(value: Any) -> tuple[tuple[str, int], ...]:
     """Return endpoints and their starts, as they were told.
 
     Raises
@@ -246,7 +246,7 @@
 
 
 @dataclass(frozen=True)
-class LoadNote:
+class LoadDelta:
     """What changed at the endpoints since a report.
 
     Parameters
@@ -264,20 +264,20 @@
     changes: Mapping[str, tuple[int, int]]
 
 
-_NOTE_START = b"{"
+_DELTA_PREFIX = b"{"
 
 
-def is_note(data: bytes) -> bool:
+def is_load_delta(data: bytes) -> bool:
     """Tell whether a datagram is a note; a report is a list."""
-    return data.startswith(_NOTE_START)
+    return data.startswith(_DELTA_PREFIX)
 
 
-def encode_note(note: LoadNote) -> bytes:
+def encode_load_delta(note: LoadDelta) -> bytes:
     """Return the datagram of a note."""
     return orjson.dumps({"load": [note.vm_id, note.incarnation, note.sequence, note.changes]})
 
 
-def decode_note(data: bytes) -> LoadNote:
+def decode_load_delta(data: bytes) -> LoadDelta:
     """Return the note in a datagram.
 
     Raises
@@ -290,17 +290,17 @@
         found = {name: (int(each[0]), int(each[1])) for name, each in changes.items()}
     except (KeyError, TypeError, IndexError, AttributeError, ValueError) as exc:
         raise ValueError(f"malformed note: {exc!r}") from exc
-    return LoadNote(str(vm_id), int(incarnation), int(sequence), found)
+    return LoadDelta(str(vm_id), int(incarnation), int(sequence), found)
 
 
 @dataclass(frozen=True)
-class _Heard:
+class _ReceivedReport:
     report: PeerReport
-    at: float
+    received_at: float
     clock_offset: float
 
 
-def _changed(counts: Mapping[str, int], name: str, change: int) -> dict[str, int]:
+def _adjust_count(counts: Mapping[str, int], name: str, change: int) -> dict[str, int]:
     """Return counts with one of them changed; none falls below nothing."""
     return {**counts, name: max(0, counts.get(name, 0) + change)}
 
@@ -310,34 +310,34 @@
 
     def __init__(self, own_id: str):
         self._own_id = own_id
-        self._heard: dict[str, _Heard] = {}
-        self._heard_seconds = self._silence_seconds = HEARD_SECONDS
+        self._reports: dict[str, _ReceivedReport] = {}
+        self._liveness_timeout = self._zone_timeout = LIVENESS_TIMEOUT_SECONDS
 
-    def expect_every(self, seconds: float) -> None:
+    def set_report_period(self, seconds: float) -> None:
         """Set the time between two reports of a process to the same peer."""
-        self._heard_seconds = max(HEARD_SECONDS, HEARD_REPORTS * seconds)
-        self._silence_seconds = SILENCE_REPORTS * seconds
+        self._liveness_timeout = max(LIVENESS_TIMEOUT_SECONDS, LIVENESS_TIMEOUT_REPORTS * seconds)
+        self._zone_timeout = ZONE_TIMEOUT_REPORTS * seconds
 
-    def in_hearing(self, gap: float) -> bool:
+    def is_within_timeout(self, gap: float) -> bool:
         """Tell whether a process that was heard some seconds ago counts as heard."""
-        return gap <= self._heard_seconds
+        return gap <= self._liveness_timeout
 
-    def take(self, report: PeerReport, now: float) -> bool:
+    def store_report(self, report: PeerReport, now: float) -> bool:
         """Take a report in; False if it is old or this process's own."""
         if report.vm_id == self._own_id:
             return False
-        known = self._heard.get(report.vm_id)
+        known = self._reports.get(report.vm_id)
         rank = (report.incarnation, report.sequence)
         if known and rank <= (known.report.incarnation, known.report.sequence):
             return False
         if known and report.demand is None:
             report = replace(report, demand=known.report.demand, work=known.report.work)
-        self._heard[report.vm_id] = _Heard(report, now, report.wall - now)
+        self._reports[report.vm_id] = _ReceivedReport(report, now, report.wall - now)
         return True
 
-    def note(self, note: LoadNote) -> bool:
+    def apply_delta(self, note: LoadDelta) -> bool:
         """Add a note to the last report of its sender; False if that report tells it already."""
-        known = self._heard.get(note.vm_id)
+        known = self._reports.get(note.vm_id)
         if known is None:
             return False
         report = known.report
@@ -346,45 +346,53 @@
         for name, (requests, tokens) in note.changes.items():
             report = replace(
                 report,
-                in_flight=_changed(report.in_flight, name, requests),
-                backlog=_changed(report.backlog, name, tokens),
+                in_flight=_adjust_count(report.in_flight, name, requests),
+                backlog=_adjust_count(report.backlog, name, tokens),
             )
-        self._heard[note.vm_id] = replace(known, report=report)
+        self._reports[note.vm_id] = replace(known, report=report)
         return True
 
-    def gap(self, vm_id: str, now: float) -> float | None:
+    def seconds_since_report(self, vm_id: str, now: float) -> float | None:
         """Return the seconds since a process was heard last; None if it never was."""
-        known = self._heard.get(vm_id)
-        return None if known is None else now - known.at
+        known = self._reports.get(vm_id)
+        return None if known is None else now - known.received_at
 
-    def heard(self, now: float) -> list[PeerReport]:
+    def live_reports(self, now: float) -> list[PeerReport]:
         """Return the last reports of the processes within hearing."""
-        return [each.report for each in self._heard.values() if self.in_hearing(now - each.at)]
+        return [
+            each.report
+            for each in self._reports.values()
+            if self.is_within_timeout(now - each.received_at)
+        ]
 
-    def silent_zones(self, now: float) -> frozenset[str]:
+    def unreachable_zones(self, now: float) -> frozenset[str]:
         """Return the zones of which two members or more were heard, and none is any more."""
         heard: dict[str, int] = {}
         silent: dict[str, int] = {}
-        for each in self._heard.values():
-            if each.report.leaving or now - each.at > RECALLED_SECONDS:
+        for each in self._reports.values():
+            if each.report.leaving or now - each.received_at > ZONE_MEMORY_SECONDS:
                 continue
-            counts = heard if now - each.at <= self._silence_seconds else silent
+            counts = heard if now - each.received_at <= self._zone_timeout else silent
             counts[each.report.zone] = counts.get(each.report.zone, 0) + 1
         return frozenset(
-            zone for zone, count in silent.items() if zone not in heard and count >= SILENT_MEMBERS
+            zone
+            for zone, count in silent.items()
+            if zone not in heard and count >= MIN_UNREACHABLE_MEMBERS
         )
 
     def members(self, now: float) -> list[PeerReport]:
         """Return the last reports of all other members, heard now or not."""
-        for vm_id, each in list(self._heard.items()):
-            silent = now - each.at
-            left = each.report.leaving and not self.in_hearing(silent)
-            if silent > MEMBER_SECONDS or left:
-                del self._heard[vm_id]
-        return [each.report for each in self._heard.values()]
+        for vm_id, each in list(self._reports.items()):
+            silent = now - each.received_at
+            left = each.report.leaving and not self.is_within_timeout(silent)
+            if silent > MEMBER_EXPIRY_SECONDS or left:
+                del self._reports[vm_id]
+        return [each.report for each in self._reports.values()]
 
     def clock_offsets(self, now: float) -> list[float]:
         """Return wall clock minus own monotonic clock, for each process heard."""
         return [
-            each.clock_offset for each in self._heard.values() if now - each.at <= MEMBER_SECONDS
+            each.clock_offset
+            for each in self._reports.values()
+            if now - each.received_at <= MEMBER_EXPIRY_SECONDS
         ]
--- a/flamingofront/process/forwarding/streams.py
+++ b/flamingofront/process/forwarding/streams.py
@@ -5,43 +5,43 @@
 from collections.abc import Mapping
 from dataclasses import dataclass
 
-__all__ = ["SpentLedger", "Step", "SumStreams"]
+__all__ = ["ConsumptionLedger", "SumAction", "SourceSelector"]
 
 # In periods of the teller: when its next digest is late, and when another teller takes its place.
 LATE_PERIODS = 1.3
 SWITCH_PERIODS = 2.4
 # Sums that were seen longer ago than this, in seconds, say nothing about what was added since.
-KNOWN_SECONDS = 3.0
+SOURCE_EXPIRY_SECONDS = 3.0
 
 
-class Step(enum.Enum):
+class SumAction(enum.Enum):
     """What is done with the sums of a digest."""
 
     COUNT = "count"
     """What they have grown since the teller's last sums counts."""
-    MARK = "mark"
+    RECORD = "mark"
     """They are noted: what they have grown was told by another teller."""
-    HOLD = "hold"
+    IGNORE = "hold"
     """They are left out, and what they grow counts if the other teller is gone."""
 
 
 @dataclass
-class _Source:
+class _ActiveSource:
     process: str
-    at: float
+    last_at: float
 
 
-class SumStreams:
+class SourceSelector:
     """Picks the teller that counts in each group.
 
     All tellers of a group sum over the same processes, each from its own start.
     """
 
     def __init__(self):
-        self._sources: dict[str, _Source] = {}
-        self._known: dict[str, float] = {}
+        self._sources: dict[str, _ActiveSource] = {}
+        self._last_seen: dict[str, float] = {}
 
-    def step(self, group: str, process: str, period: float, now: float) -> Step:
+    def select_action(self, group: str, process: str, period: float, now: float) -> SumAction:
         """Return what is done with the sums of a digest that has just come.
 
         Parameters
@@ -53,26 +53,28 @@
         period : float
             Seconds between two digests of a teller.
         """
-        known_at = self._known.get(process)
-        self._known[process] = now
-        is_known = known_at is not None and now - known_at <= KNOWN_SECONDS
+        known_at = self._last_seen.get(process)
+        self._last_seen[process] = now
+        is_known = known_at is not None and now - known_at <= SOURCE_EXPIRY_SECONDS
         source = self._sources.get(group)
         if source is not None and source.process != process:
-            age = now - source.at
+            age = now - source.last_at
             if age <= LATE_PERIODS * period:
-                return Step.MARK
+                return SumAction.RECORD
             if age <= SWITCH_PERIODS * period:
-                return Step.HOLD if is_known else Step.MARK
-        self._sources[group] = _Source(process, now)
-        return Step.COUNT if is_known and source is not None else Step.MARK
+                return SumAction.IGNORE if is_known else SumAction.RECORD
+        self._sources[group] = _ActiveSource(process, now)
+        return SumAction.COUNT if is_known and source is not None else SumAction.RECORD
 
-    def forget(self, now: float) -> None:
+    def drop_expired(self, now: float) -> None:
         """Drop tellers that are gone."""
-        for process in [each for each, at in self._known.items() if now - at > KNOWN_SECONDS]:
-            del self._known[process]
+        for process in [
+            each for each, at in self._last_seen.items() if now - at > SOURCE_EXPIRY_SECONDS
+        ]:
+            del self._last_seen[process]
 
 
-class SpentLedger:
+class ConsumptionLedger:
     """Quota units that some tellers were heard to add, by workspace.
 
     Attributes
@@ -83,16 +85,18 @@
 
     def __init__(self):
         self.total: Counter[str] = Counter()
-        self._known: dict[str, Mapping[str, float]] = {}
+        self._last_seen: dict[str, Mapping[str, float]] = {}
 
-    def take(self, process: str, spent: Mapping[str, float], counts: bool) -> None:
+    def add_sums(self, process: str, spent: Mapping[str, float], counts: bool) -> None:
         """Take the sums of a teller; what they have grown is added if it counts."""
-        known = self._known.get(process, {})
-        self._known[process] = spent
+        known = self._last_seen.get(process, {})
+        self._last_seen[process] = spent
         if counts:
             for name, units in spent.items():
                 self.total[name] += units - known.get(name, 0.0)
 
-    def forget_except(self, processes: set[str]) -> None:
+    def retain_only(self, processes: set[str]) -> None:
         """Drop what is known of all other tellers; what they added stays."""
-        self._known = {name: each for name, each in self._known.items() if name in processes}
+        self._last_seen = {
+            name: each for name, each in self._last_seen.items() if name in processes
+        }
--- a/flamingofront/process/forwarding/sums.py
+++ b/flamingofront/process/forwarding/sums.py
@@ -8,11 +8,18 @@
 from flamingofront.process.forwarding.digests import Digest
 from flamingofront.process.forwarding.reports import PeerReport
 
-__all__ = ["OthersLoad", "add_demand", "add_work", "load_of", "load_without", "total_loads"]
+__all__ = [
+    "PeerLoad",
+    "sum_demand",
+    "sum_work",
+    "load_from_report",
+    "load_from_digest",
+    "sum_loads",
+]
 
 
 @dataclass(frozen=True)
-class OthersLoad:
+class PeerLoad:
     """What one or more other entry processes run.
 
     Parameters
@@ -36,12 +43,12 @@
     work: Mapping[str, tuple[float, float]] = field(default_factory=dict)
 
 
-def load_of(report: PeerReport, age: float) -> OthersLoad:
+def load_from_report(report: PeerReport, age: float) -> PeerLoad:
     """Return what one process runs."""
-    return OthersLoad(age, report.in_flight, report.backlog, report.demand or {}, report.work or {})
+    return PeerLoad(age, report.in_flight, report.backlog, report.demand or {}, report.work or {})
 
 
-def load_without(digest: Digest, own: PeerReport | None, age: float) -> OthersLoad:
+def load_from_digest(digest: Digest, own: PeerReport | None, age: float) -> PeerLoad:
     """Return what the processes of a digest run, apart from what this one had told of itself."""
     in_flight = Counter({name: each[0] for name, each in digest.loads.items()})
     backlog = Counter({name: each[1] for name, each in digest.loads.items()})
@@ -53,16 +60,16 @@
         demand -= Counter(own.demand or {})
         for name, each in (own.work or {}).items():
             if name in work:
-                work[name] = _less(work[name], Work(*each))
+                work[name] = _subtract_work(work[name], Work(*each))
     told = {name: (each.fast, each.slow) for name, each in work.items()}
-    return OthersLoad(age, in_flight, backlog, demand, told)
+    return PeerLoad(age, in_flight, backlog, demand, told)
 
 
-def _less(work: Work, part: Work) -> Work:
+def _subtract_work(work: Work, part: Work) -> Work:
     return Work(max(0.0, work.fast - part.fast), max(0.0, work.slow - part.slow))
 
 
-def total_loads(loads: Iterable[OthersLoad]) -> dict[str, tuple[int, int]]:
+def sum_loads(loads: Iterable[PeerLoad]) -> dict[str, tuple[int, int]]:
     """Return by endpoint the attempts that run and the prompt tokens that wait, where any do."""
     in_flight: Counter[str] = Counter()
     backlog: Counter[str] = Counter()
@@ -74,7 +81,7 @@
     return {name: each for name, each in found.items() if any(each)}
 
 
-def add_demand(loads: Iterable[OthersLoad]) -> dict[str, float]:
+def sum_demand(loads: Iterable[PeerLoad]) -> dict[str, float]:
     """Return the requests that run, by service."""
     total: Counter[str] = Counter()
     for each in loads:
@@ -82,7 +89,7 @@
     return dict(total)
 
 
-def add_work(loads: Iterable[OthersLoad]) -> dict[str, tuple[float, float]]:
+def sum_work(loads: Iterable[PeerLoad]) -> dict[str, tuple[float, float]]:
     """Return the work that is placed, by service, rounded to a thousandth of an endpoint."""
     total: dict[str, Work] = {}
     for each in loads:
--- a/flamingofront/process/forwarding/tests/test_digests.py
+++ b/flamingofront/process/forwarding/tests/test_digests.py
@@ -10,18 +10,18 @@
 from flamingofront.process.forwarding.digests import (
     ALL_ZONES,
     MAX_DIGEST_BYTES,
-    Claim,
     Digest,
     DigestWriter,
+    LeaseClaim,
     decode_digest,
     is_digest,
 )
 from flamingofront.process.forwarding.reports import PeerReport, encode_report
-from flamingofront.process.forwarding.streams import SpentLedger, Step, SumStreams
+from flamingofront.process.forwarding.streams import ConsumptionLedger, SourceSelector, SumAction
 from flamingofront.process.forwarding.tests.test_reports import in_zone, many_world, relays
 from flamingofront.process.forwarding.zone_relays import (
-    PASSED_OVER_SECONDS,
-    PATIENCE_SECONDS,
+    RELAY_RETRY_SECONDS,
+    RELAY_TIMEOUT_SECONDS,
     RELAYS_PER_ZONE,
     ZoneRelays,
 )
@@ -32,16 +32,16 @@
     scope=ALL_ZONES,
     wall=9.5,
     members=30,
-    heard=29,
+    live=29,
     loads={"e": (3, 900)},
-    claim=Claim(5, 77, 4, "1.2.3.9"),
-    silent=("zone-b",),
-    spent={"desk": 40},
+    claim=LeaseClaim(5, 77, 4, "1.2.3.9"),
+    unreachable_zones=("zone-b",),
+    consumed={"desk": 40},
     demand={"engines": 3},
     work={"engines": (0.5, 0.25)},
     roster={"vm": "1.2.3.4"},
     relays={"zone-b": ("4.3.2.1",)},
-    told_until={"vm/1": 8.25},
+    usage_until={"vm/1": 8.25},
 )
 
 
@@ -53,13 +53,13 @@
     def test_it_is_decoded_as_it_was_encoded(self):
         found = decode_digest(datagram())
         assert found.relay == RELAY and found.acknowledged == 12
-        assert (found.loads, found.claim, found.silent) == (
+        assert (found.loads, found.claim, found.unreachable_zones) == (
             DIGEST.loads,
             DIGEST.claim,
-            DIGEST.silent,
+            DIGEST.unreachable_zones,
         )
         assert found.work == {"engines": [0.5, 0.25]} and found.relays == DIGEST.relays
-        assert found.told_until == {"vm/1": 8.25}
+        assert found.usage_until == {"vm/1": 8.25}
 
     def test_it_is_told_apart_from_reports(self):
         assert is_digest(datagram()) and not is_digest(encode_report(RELAY))
@@ -98,8 +98,8 @@
     def test_size_at_six_hundred_endpoints_is_within_the_cap(self):
         loads = {f"i-{number:010x}": (12, 100000) for number in range(600)}
         roster = {f"front-some-zone-{number}": "10.200.30.40" for number in range(41)}
-        spent = {f"workspace-{number}": 10**9 for number in range(64)}
-        digest = Digest(RELAY, ALL_ZONES, 9.5, 410, 410, loads, spent=spent, roster=roster)
+        consumed = {f"workspace-{number}": 10**9 for number in range(64)}
+        digest = Digest(RELAY, ALL_ZONES, 9.5, 410, 410, loads, consumed=consumed, roster=roster)
         assert len(datagram(digest)) < MAX_DIGEST_BYTES
 
 
@@ -119,7 +119,7 @@
         front = world.fronts["front-0"]
         with logbook.TestHandler(level="WARNING", bubble=True).applicationbound() as log:
             for _ in range(3):
-                front.peers.received(data, "9.9.9.9")
+                front.peers.receive_datagram(data, "9.9.9.9")
         assert [each.message for each in log.records] == ["datagram refused"]
         assert front.metrics.value("peer_datagrams_refused_total") == 3
 
@@ -163,10 +163,10 @@
         relays = ZoneRelays("own")
         first = next(each for each in relays.choose(self.members, {}, 0.0) if each != "own")
         heard = dict.fromkeys(self.members, 0.0)
-        soon = PATIENCE_SECONDS + 0.1
+        soon = RELAY_TIMEOUT_SECONDS + 0.1
         heard.update({name: soon for name in self.members if name != first})
         assert first not in relays.choose(self.members, heard, soon)
-        later = soon + PASSED_OVER_SECONDS + 0.1
+        later = soon + RELAY_RETRY_SECONDS + 0.1
         assert first in relays.choose(self.members, dict.fromkeys(self.members, later), later)
 
     def test_one_that_is_heard_stays(self):
@@ -182,11 +182,11 @@
 
     def count(self, events, period=0.25):
         """Return what a listener counts of (time, teller, sum)."""
-        streams, ledger = SumStreams(), SpentLedger()
+        streams, ledger = SourceSelector(), ConsumptionLedger()
         for now, teller, total in events:
-            step = streams.step("zone", teller, period, now)
-            if step is not Step.HOLD:
-                ledger.take(teller, {"desk": total}, step is Step.COUNT)
+            step = streams.select_action("zone", teller, period, now)
+            if step is not SumAction.IGNORE:
+                ledger.add_sums(teller, {"desk": total}, step is SumAction.COUNT)
         return ledger.total["desk"]
 
     def test_both_together_count_once(self):
--- a/flamingofront/process/forwarding/tests/test_duties.py
+++ b/flamingofront/process/forwarding/tests/test_duties.py
@@ -133,7 +133,7 @@
         own = front.timers.wall
         front.timers.wall = lambda: own() + 40.0
         world.run(1.0)
-        assert abs(front.peers.true_time() - world.clock.now()) < 0.1
+        assert abs(front.peers.cluster_time() - world.clock.now()) < 0.1
 
 
 class TestLease:
@@ -153,7 +153,7 @@
         node.stopping = True
         node.tasks.start(node.lease.release())
         world.run(0.1)
-        node.peers.tell_now()
+        node.peers.broadcast_report()
         world.run(LEASE + 1.5)
         second = holder(world)
         assert second != first
--- a/flamingofront/process/forwarding/tests/test_quota_arbiter.py
+++ b/flamingofront/process/forwarding/tests/test_quota_arbiter.py
@@ -179,7 +179,7 @@
         relays = set(front.quota_members.ranked("desk"))
         asked = next(each for each in world.fronts if world.host(each).address not in relays)
         replies = []
-        front.peers.on_reply = lambda data, ip: replies.append(decode_reply(data))
+        front.peers.on_quota_reply = lambda data, ip: replies.append(decode_reply(data))
         front.peers.send(encode_question(QuotaQuestion(1, "desk", 1.0)), world.host(asked).address)
         world.run(0.1)
         assert [each.verdict for each in replies] == [Verdict.NOT_HERE]
--- a/flamingofront/process/forwarding/tests/test_readers.py
+++ b/flamingofront/process/forwarding/tests/test_readers.py
@@ -113,10 +113,10 @@
     def test_nobody_rests_while_all_others_do(self):
         """After a loss of those that followed, peers that rest are no reason to rest."""
         peers = [
-            PeerReport(f"vm-{number}", 1, 1, "zone-a", "1.2.3.4", "1.2.3.4:5", follows=False)
+            PeerReport(f"vm-{number}", 1, 1, "zone-a", "1.2.3.4", "1.2.3.4:5", watches_store=False)
             for number in range(8)
         ]
-        follow = [replace(each, follows=True) for each in peers[:HEARD_READERS]]
+        follow = [replace(each, watches_store=True) for each in peers[:HEARD_READERS]]
 
         def may_rest(heard):
             names = [f"vm-{number}" for number in range(20, 40)]
--- a/flamingofront/process/forwarding/tests/test_rollouts.py
+++ b/flamingofront/process/forwarding/tests/test_rollouts.py
@@ -20,8 +20,8 @@
 from flamingofront.process.forwarding.reports import (
     PeerReport,
     decode_report,
+    decode_rollouts,
     encode_report,
-    rollout_word,
 )
 from flamingofront.process.forwarding.rollouts import Rollouts
 from flamingofront.process.logs import Log
@@ -140,7 +140,7 @@
     @pytest.mark.parametrize("word", [[1], {"s": 3}, {"s": [1]}, {"s": [1, 77]}])
     def test_malformed_word_is_refused(self, word):
         with pytest.raises(ValueError):
-            rollout_word(word)
+            decode_rollouts(word)
         report = orjson.loads(encode_report(PeerReport("vm", 1, 1, "zone-a", "1.2.3.4", "a:1")))
         with pytest.raises(ValueError):
             decode_report(orjson.dumps([*report[:-1], word]))
--- a/flamingofront/process/forwarding/zone_relays.py
+++ b/flamingofront/process/forwarding/zone_relays.py
@@ -15,9 +15,9 @@
 RELAYS_PER_ZONE = 2
 # A relay that sends no digest for so long after it was first told is passed over: four digests.
 # The other relay goes on meanwhile.
-PATIENCE_SECONDS = 1.2
+RELAY_TIMEOUT_SECONDS = 1.2
 # It is tried again after so long: longer than a restart, shorter than a partition that matters.
-PASSED_OVER_SECONDS = 5.0
+RELAY_RETRY_SECONDS = 5.0
 _KEY = "relay"
 
 
@@ -33,8 +33,8 @@
     def __init__(self, own_id: str):
         self._own_id = own_id
         self._chosen: tuple[str, ...] = ()
-        self._told_since: dict[str, float] = {}
-        self._passed_over: dict[str, float] = {}
+        self._reporting_since: dict[str, float] = {}
+        self._excluded_until: dict[str, float] = {}
 
     @property
     def chosen(self) -> tuple[str, ...]:
@@ -58,20 +58,20 @@
         heard_at : mapping of str to float
             When a digest of each was heard last.
         """
-        self._pass_over(heard_at, now)
-        able = {self._own_id, *members}.difference(self._passed_over)
+        self._exclude_unresponsive(heard_at, now)
+        able = {self._own_id, *members}.difference(self._excluded_until)
         chosen = tuple(rank(_KEY, able)[:RELAYS_PER_ZONE])
         for vm_id in chosen:
-            self._told_since.setdefault(vm_id, now)
-        self._told_since = {name: self._told_since[name] for name in chosen}
+            self._reporting_since.setdefault(vm_id, now)
+        self._reporting_since = {name: self._reporting_since[name] for name in chosen}
         self._chosen = chosen
         return chosen
 
-    def _pass_over(self, heard_at: Mapping[str, float], now: float) -> None:
-        for vm_id, since in self._told_since.items():
+    def _exclude_unresponsive(self, heard_at: Mapping[str, float], now: float) -> None:
+        for vm_id, since in self._reporting_since.items():
             quiet_since = max(since, heard_at.get(vm_id, since))
-            if vm_id != self._own_id and now - quiet_since > PATIENCE_SECONDS:
-                self._passed_over[vm_id] = now + PASSED_OVER_SECONDS
-        self._passed_over = {
-            vm_id: until for vm_id, until in self._passed_over.items() if until > now
+            if vm_id != self._own_id and now - quiet_since > RELAY_TIMEOUT_SECONDS:
+                self._excluded_until[vm_id] = now + RELAY_RETRY_SECONDS
+        self._excluded_until = {
+            vm_id: until for vm_id, until in self._excluded_until.items() if until > now
         }
