--- a/bench/answer_mutations.py
+++ b/bench/answer_mutations.py
@@ -57,7 +57,7 @@
     Mutation(
         "Limit: other processes are told",
         "process/forwarding/own_report.py",
-        "limits=parts.hub.limits.recent_changes(),",
+        "limits=sources.hub.limits.recent_changes(),",
         "limits=(),",
         LIMITS,
     ),
--- a/bench/restart_mutations.py
+++ b/bench/restart_mutations.py
@@ -62,16 +62,16 @@
     Mutation(
         "R digests that cannot be counted are left out",
         "process/forwarding/relaying.py",
-        "if of_all and digest.acknowledged not in self._sent_reports:",
-        "if of_all and digest.acknowledged not in self._sent_reports and not digest.spent:",
-        REPORTS + "::TestRestartOfAll",
+        "if is_global and digest.acknowledged not in self._sent_reports:",
+        "if is_global and digest.acknowledged not in self._sent_reports and not digest.consumed:",
+        REPORTS + "::TestFullRestart",
     ),
     Mutation(
         "R a usage window waits for missing counts",
         "process/forwarding/usage.py",
         "            last -= 1\n",
         "            pass\n",
-        REPORTS + "::TestManyMembers::test_window_waits_for_counts_that_are_known_to_be_missing",
+        REPORTS + "::TestLargeDeployment::test_usage_window_waits_for_missing_counts",
     ),
     Mutation(
         "R relaxed timers wait for company",
--- a/flamingofront/process/forwarding/digests.py
+++ b/flamingofront/process/forwarding/digests.py
@@ -1,8 +1,8 @@
-"""What the relays of a zone tell: sums over many entry processes, in one datagram.
+"""Digests that the relays of a zone send: sums over many entry processes, in one datagram.
 
-A relay hears the reports of its zone's processes. It sends their sum to the relays of the other
-zones, and the sum over all zones back to the processes of its own. So what a process sends and
-hears does not grow with the number of VMs.
+A relay receives the reports of the processes of its zone. It sends their sum to the relays of the
+other zones, and the sum over all zones back to the processes of its own zone. So the traffic of a
+process does not grow with the number of VMs.
 """
 
 from collections.abc import Mapping
@@ -32,25 +32,26 @@
 
 # Scope of a digest that sums over all zones.
 ALL_ZONES = "*"
-# Format of the datagram; a process of another version refuses it and says so.
+# Magic and format version of the datagram; a process of another version rejects it with an error.
 _PREFIX = b"D3 "
 _HEADER_END = b"\n"
-# Longest digest that is read: 600 endpoints, 64 workspaces and 41 members take under 20 KB.
+# Longer digests are rejected. 600 endpoints, 64 workspaces and 41 members take under 20 KB.
 MAX_DIGEST_BYTES = 48 * 1024
 
 
 @dataclass(frozen=True)
 class LeaseClaim:
-    """Who holds the duties, or has given them up, as far as a relay has heard lately.
+    """Lease advertisement: the holder of the leader lease and the newest released lease.
 
     Parameters
     ----------
     fencing, lease_version : int
-        Fencing number of the holder's lease and version of its row; 0 if no holder is heard.
+        Fencing token of the holder's lease and version of its row; 0 if no holder was seen
+        recently.
     released : int
-        Largest fencing number of a lease that was given up.
+        Largest fencing token of a released lease.
     ip : str
-        IP number of the holder, empty if none is heard.
+        IP address of the holder, empty if no holder was seen recently.
     """
 
     fencing: int = 0
@@ -61,40 +62,41 @@
 
 @dataclass(frozen=True)
 class Digest:
-    """Sums over the entry processes of one zone, or of all.
+    """Sums over the entry processes of one zone, or of all zones.
 
     Parameters
     ----------
     relay : PeerReport
-        State of the process that tells it, without loads and counts.
+        State of the sending relay, without loads and counts.
     scope : str
         The zone, or `ALL_ZONES`.
     wall : float
-        Wall clock on which the processes that the relay hears agree, seconds since the epoch.
-    members, heard : int
-        Processes that belong to the scope, and those of them that are heard; the relay included.
+        Median wall clock of the processes that the relay receives, seconds since the epoch.
+    members, live : int
+        Processes of the scope, and the live ones among them; both include the relay.
     loads : mapping of str to (int, int)
-        By endpoint, attempts that run and prompt tokens that wait to be read.
-    claim : Claim
-        Who holds the duties.
-    silent : tuple of str
-        Zones of which nobody is heard any more.
-    spent : mapping of str to float, optional
-        Quota units taken out, by workspace, since the relay began to count. None if not told.
+        By endpoint, attempts in flight and prompt tokens not yet read.
+    claim : LeaseClaim
+        Newest lease advertisement that the relay has received.
+    unreachable : tuple of str
+        Zones without a live member.
+    consumed : mapping of str to float, optional
+        Quota units consumed, by workspace, since the relay began to count. None if left out.
     demand : mapping of str to float, optional
-        Requests that run, by service. None if not told.
+        Requests in flight, by service. None if left out.
     work : mapping of str to (float, float), optional
-        Fast and slow mean of the work placed, in busy endpoints, by service. None if not told.
+        Fast and slow moving average of the load placed, in endpoint-seconds per second, by service.
+        None if left out.
     roster : mapping of str to str, optional
-        IP number of each process of the relay's zone that it hears. None if not told.
+        IP address of each live process of the relay's zone, by VM. None if left out.
     relays : mapping of str to tuple of str, optional
-        IP numbers of the relays of each zone. None if not told.
+        IP addresses of the relays of each zone. None if left out.
     usage : mapping, optional
-        Requests that began, by process, window and workspace. None if not told.
+        Requests started, by process, window and workspace. None if left out.
     usage_until : mapping of str to float
-        Up to which time of the wall clock these counts of a process are known.
+        Wall-clock time up to which the usage of a process is complete.
     acknowledged : int
-        Number of the addressee's last report that is in the sums; 0 if none is.
+        Number of the addressee's last report that the sums include; 0 if they include none.
     """
 
     relay: PeerReport
@@ -104,7 +106,7 @@
     live: int
     loads: Mapping[str, tuple[int, int]] = field(default_factory=dict)
     claim: LeaseClaim = LeaseClaim()
-    unreachable_zones: tuple[str, ...] = ()
+    unreachable: tuple[str, ...] = ()
     consumed: Mapping[str, float] | None = None
     demand: Mapping[str, float] | None = None
     work: Mapping[str, tuple[float, float]] | None = None
@@ -116,12 +118,18 @@
 
 
 def is_digest(data: bytes) -> bool:
-    """Tell whether a datagram is a digest, of any version; reports and notes begin otherwise."""
+    """Return True if a datagram is a digest, of any version."""
     return data.startswith(_PREFIX[:1])
 
 
 class DigestWriter:
-    """Writes one digest for many addressees, each with the number of its own last report."""
+    """Encodes one digest for many addressees, each with the number of its own last report.
+
+    Parameters
+    ----------
+    digest : Digest
+        Its `acknowledged` is ignored; `datagram` gets the number for each addressee.
+    """
 
     def __init__(self, digest: Digest):
         relay = digest.relay
@@ -138,7 +146,7 @@
             [digest.members, digest.live],
             digest.loads,
             [claim.fencing, claim.lease_version, claim.released, claim.ip],
-            digest.unreachable_zones,
+            digest.unreachable,
             digest.consumed,
             digest.demand,
             digest.work,
@@ -164,12 +172,12 @@
     Raises
     ------
     ValueError
-        If it is too long, of another version, or malformed.
+        If the datagram is too long, of another version, or malformed.
     """
     if len(data) > MAX_DIGEST_BYTES:
-        raise ValueError(f"digest of {len(data)} bytes: at most {MAX_DIGEST_BYTES} are read")
+        raise ValueError(f"digest of {len(data)} bytes: at most {MAX_DIGEST_BYTES} are accepted")
     if not data.startswith(_PREFIX):
-        raise ValueError(f"digest of another version: begins with {data[:3]!r}")
+        raise ValueError(f"digest of another version: starts with {data[:3]!r}")
     head, _, body = data.partition(_HEADER_END)
     try:
         acknowledged = int(head[len(_PREFIX) :])
@@ -179,9 +187,9 @@
 
 
 def _build_digest(values: list, acknowledged: int) -> Digest:
-    identity, state, flags, scope, wall, counts, loads, claim, unreachable_zones = values[:9]
+    identity, state, flags, scope, wall, counts, loads, claim, unreachable = values[:9]
     consumed, demand, work, roster, relays, usage, usage_until, quarantine = values[9:17]
-    # A relay of an earlier version does not tell how old its knowledge is.
+    # Earlier versions send neither feed position nor ages.
     position, ages = values[19] if len(values) > 19 else (0, (None, None))
     vm_id, incarnation, sequence, zone, ip = identity
     address, configuration, endpoints, rollouts = state
@@ -201,7 +209,7 @@
         leaving=bool(leaving),
         rollouts=decode_rollouts(rollouts),
         quarantine=decode_word(quarantine),
-        # A relay of an earlier version tells none.
+        # Earlier versions send neither limits nor leaving endpoints.
         limits=decode_limits(*values[17:18] or ((),)),
         leaving_endpoints=decode_endpoint_starts(*values[18:19] or ((),)),
         position=int(position),
@@ -216,7 +224,7 @@
         live=int(counts[1]),
         loads={name: (int(each[0]), int(each[1])) for name, each in loads.items()},
         claim=LeaseClaim(int(fencing), int(lease_version), int(released), str(holder_ip)),
-        unreachable_zones=tuple(map(str, unreachable_zones)),
+        unreachable=tuple(map(str, unreachable)),
         consumed=_check_mapping(consumed),
         demand=_check_mapping(demand),
         work=_check_mapping(work),
--- a/flamingofront/process/forwarding/observations.py
+++ b/flamingofront/process/forwarding/observations.py
@@ -1,6 +1,6 @@
-"""What a process observes of endpoints and zones, from its own answers and from its peers.
+"""Observations of endpoints and zones, from local responses and from peers.
 
-Fed to the decisions: loads, prompts that wait, zones that are cut off, rates that were learned.
+They feed the decisions: loads, unread prompts, partitioned zones, estimated engine rates.
 """
 
 from collections import Counter
@@ -19,27 +19,28 @@
 
 __all__ = ["Observations"]
 
-# How often the loads that peers tell are taken together; as often as they report.
+# Period of merging the loads of peers; equal to their report period.
 LOAD_PERIOD_SECONDS = 0.25
-# Pause between two lines in the log on what was learned of the endpoints.
+# Period of the log lines with the estimated engine rates.
 RATES_LOG_PERIOD_SECONDS = 5.0
-# Word of what others place is so old at most: a report's pause, a digest's, and their ways.
+# Largest age of the load data of peers: one report period, one digest period and the delays of the
+# datagrams.
 STALE_LOAD_SECONDS = 1.0
-# What an endpoint is taken to need as long as nothing was learned of its service.
+# Assumed rates of a service without estimates.
 DEFAULT_RATES = EngineRates()
 
 
 class Observations:
-    """Gathers what is seen of endpoints and zones, and tells peers of own placements.
+    """Collects observations of endpoints and zones, and sends local placements to peers.
 
     Parameters
     ----------
     facts : FactTable
         Endpoints, shared with the directory.
-    own_id, zone : str
+    local_id, zone : str
         VM and availability zone of this process.
     sequence : callable
-        Returns the number of the last report: a note to peers says which one it follows.
+        Returns the number of the last report, to which a load delta refers.
     """
 
     def __init__(
@@ -47,7 +48,7 @@
         hub: RequestHub,
         peers: Peers,
         facts: FactTable,
-        own_id: str,
+        local_id: str,
         zone: str,
         sequence: Callable[[], int],
         timers: TimerService,
@@ -57,19 +58,19 @@
         self._hub = hub
         self._peers = peers
         self._facts = facts
-        self._own_id = own_id
+        self._local_id = local_id
         self._zone = zone
         self._sequence = sequence
         self._timers = timers
         self._metrics = metrics
         self._log = log
         self._changes: dict[str, tuple[int, int]] = {}
-        self._cut_off: set[str] = set()
+        self._partitioned: set[str] = set()
         self._stale = True
         self._restarted_at: dict[str, float] = {}
 
     def start(self) -> None:
-        """Begin to observe."""
+        """Install the callbacks and start the timers."""
         self._hub.directory.on_load = self._record_load_change
         self._hub.directory.first = self.preferred_endpoints
         self._peers.shared_endpoints = self.find_shared_endpoints
@@ -79,7 +80,7 @@
         self._timers.every(RATES_LOG_PERIOD_SECONDS, self._log_engine_rates, relaxed=True)
 
     def _record_load_change(self, endpoint_id: str, requests: int, tokens: int) -> None:
-        """Gather what changes at endpoints, and tell it when this turn of work is done."""
+        """Collect load changes, and send them at the end of this event loop iteration."""
         if not self._changes:
             self._timers.once(0.0, self._send_load_delta)
         before = self._changes.get(endpoint_id, (0, 0))
@@ -87,77 +88,85 @@
 
     def _send_load_delta(self) -> None:
         changes, self._changes = self._changes, {}
-        told = {name: each for name, each in changes.items() if each != (0, 0)}
-        if told:
-            self._peers.send_load_delta(self._sequence(), told)
+        nonzero = {name: each for name, each in changes.items() if each != (0, 0)}
+        if nonzero:
+            self._peers.send_load_delta(self._sequence(), nonzero)
 
-    def apply_load_delta(self, note: LoadDelta) -> None:
-        """Take what a peer has placed at endpoints, or what they have read of it."""
+    def apply_load_delta(self, delta: LoadDelta) -> None:
+        """Apply a peer's load delta to the directory."""
         self._metrics.count("peer_notes_total")
         directory, now = self._hub.directory, self._timers.now()
-        for endpoint_id, (requests, tokens) in note.changes.items():
+        for endpoint_id, (requests, tokens) in delta.changes.items():
             if self._peers.is_relayed:
                 directory.noted.add(endpoint_id, requests, tokens, now)
             else:
                 directory.peer_changed(endpoint_id, requests, tokens)
 
     def preferred_endpoints(self, endpoints: Mapping[str, str]) -> tuple[str, ...]:
-        """Return the endpoints that this process uses first; none where processes are few."""
+        """Return the endpoints that this process tries first; none in small deployments.
+
+        Parameters
+        ----------
+        endpoints : mapping of str to str
+            Zone by endpoint.
+        """
         if not self._peers.is_relayed:
             return ()
         return first_endpoints(
-            self._zone_placements()[self._own_id], self._peers.relaying.known_zones(), endpoints
+            self._zone_placements()[self._local_id], self._peers.relaying.known_zones(), endpoints
         )
 
     def _zone_placements(self) -> dict[str, Placement]:
-        """Return where the processes of the zone stand among all."""
+        """Return the position of each process of the zone among the processes, by VM."""
         names = sorted(self._peers.relaying.zone_members())
         return {
             name: Placement(self._zone, number, len(names)) for number, name in enumerate(names)
         }
 
     def find_shared_endpoints(self, endpoints: Iterable[str]) -> dict[str, list[str]]:
-        """Return the endpoints that other processes of the zone use first too, by IP number."""
-        near, zones = self._peers.relaying.zone_members(), self._peers.relaying.known_zones()
+        """Return the given endpoints that other processes of the zone prefer too, by IP address."""
+        zone_ips, zones = self._peers.relaying.zone_members(), self._peers.relaying.known_zones()
         found: dict[str, list[str]] = {}
         for service in {fact.service for fact in map(self._facts.get, endpoints) if fact}:
-            known = self._hub.directory.zones_of(service)
-            for name, place in self._zone_placements().items():
-                shared = set(first_endpoints(place, zones, known)).intersection(endpoints)
-                if shared and name != self._own_id:
-                    found.setdefault(near[name], []).extend(sorted(shared))
+            endpoint_zones = self._hub.directory.zones_of(service)
+            for name, placement in self._zone_placements().items():
+                shared = set(first_endpoints(placement, zones, endpoint_zones)).intersection(
+                    endpoints
+                )
+                if shared and name != self._local_id:
+                    found.setdefault(zone_ips[name], []).extend(sorted(shared))
         return found
 
     def discard_earlier_loads(self, endpoint_id: str) -> None:
-        """Reckon without what others had placed at the earlier start of an endpoint.
+        """Ignore the load that peers report for an earlier incarnation of an endpoint.
 
         Notes
         -----
-        Their word of it is in reports and digests for a while longer.
+        Reports and digests contain that load for a while after the restart.
         """
         self._restarted_at[endpoint_id] = self._timers.now()
         self._stale = True
 
     def _recently_restarted(self, now: float) -> set[str]:
-        """Return the endpoints of which others' word is still that of an earlier start."""
+        """Return the endpoints whose load in reports is still that of an earlier incarnation."""
         for name, at in list(self._restarted_at.items()):
             if now - at >= STALE_LOAD_SECONDS:
                 del self._restarted_at[name]
         return set(self._restarted_at)
 
     def mark_loads_stale(self) -> None:
-        """Take note that a relay has told what all processes run.
+        """Mark the merged loads as stale after a relay has sent new ones.
 
         Notes
         -----
-        It is worked out with the next choice. Among 64 processes word comes twelve times a second,
-        and five choices are made: working it out each time took 16 in 100 of a process's time
+        They are merged before the next placement. With 64 processes, digests arrive twelve times a
+        second and five placements are made: merging at each digest took 16 % of a process's time
         (profile of 12 s of usual traffic).
         """
         self._stale = True
 
     def _refresh_loads(self) -> None:
-        """Take the loads together now, or among many processes with the next choice."""
+        """Merge the loads now, or with relays before the next placement."""
         if self._peers.is_relayed:
             self._stale = True
         else:
@@ -168,60 +177,60 @@
             self.update_directory_loads()
 
     def update_directory_loads(self) -> None:
-        """Tell the directory what all processes together run at each endpoint."""
+        """Pass the load of all processes at each endpoint to the directory."""
         self._stale = False
         now = self._timers.now()
         directory = self._hub.directory
         loads = Counter(directory.all_in_flight())
         backlog: Counter[str] = Counter()
         seconds = {name: each.now().token_seconds for name, each in self._hub.rates.known()}
-        unknown = self._recently_restarted(now)
-        for others in self._peers.peer_loads():
-            for name, requests in others.in_flight.items():
-                if name not in unknown:
+        restarted = self._recently_restarted(now)
+        for peer_load in self._peers.peer_loads():
+            for name, requests in peer_load.in_flight.items():
+                if name not in restarted:
                     loads[name] += requests
-            # Of what waited when an old report was made the engine has read a part since.
-            spent = max(0.0, others.age - REPORT_PERIOD_SECONDS)
-            for name, tokens in others.backlog.items():
-                if name in unknown:
+            # The engine has read a part of the backlog since the report was made.
+            elapsed = max(0.0, peer_load.age - REPORT_PERIOD_SECONDS)
+            for name, tokens in peer_load.backlog.items():
+                if name in restarted:
                     continue
                 fact = self._facts.get(name)
-                known = seconds.get(fact.service) if fact is not None else None
+                per_token = seconds.get(fact.service) if fact is not None else None
                 backlog[name] += max(
-                    0, tokens - round(spent / (known or DEFAULT_RATES.token_seconds))
+                    0, tokens - round(elapsed / (per_token or DEFAULT_RATES.token_seconds))
                 )
         directory.reported(loads, now)
         directory.peers_queued(backlog)
 
     def _check_zones(self) -> None:
-        """Look which zones are cut off; what waits there goes on elsewhere."""
+        """Detect partitioned zones, and move the requests that wait there to other zones."""
         now = self._timers.now()
         zones = self._hub.directory.zones
-        silent = self._peers.unreachable_zones() - {self._zone}
-        zones.peers_silent(silent)
-        for zone in silent:
+        unreachable = self._peers.unreachable_zones() - {self._zone}
+        zones.peers_silent(unreachable)
+        for zone in unreachable:
             zones.awaited(zone, self._hub.silent_since(zone), now)
-        known = {each.zone for each in self._facts.select(Role.ENDPOINT)}
-        cut_off = {zone for zone in known if zones.is_cut_off(zone, now)}
-        for zone in cut_off ^ self._cut_off:
-            event = "zone cut off" if zone in cut_off else "zone reached again"
-            self._log.warning(event, of_zone=zone, silent=sorted(silent))
-        self._cut_off = cut_off
-        for zone in cut_off:
+        all_zones = {each.zone for each in self._facts.select(Role.ENDPOINT)}
+        partitioned = {zone for zone in all_zones if zones.is_cut_off(zone, now)}
+        for zone in partitioned ^ self._partitioned:
+            event = "zone partitioned" if zone in partitioned else "zone reachable again"
+            self._log.warning(event, of_zone=zone, silent=sorted(unreachable))
+        self._partitioned = partitioned
+        for zone in partitioned:
             self._hub.zone_cut_off(zone)
 
     def _log_engine_rates(self) -> None:
-        """Tell what was learned of the endpoints: placement and the fleet follow from it."""
+        """Log the estimated rates of the endpoints, on which placement and fleet size depend."""
         work = self._hub.work.work(self._timers.now())
         for name, rates in self._hub.rates.known():
-            now, asked = rates.now(), work.get(name, Work())
+            now, load = rates.now(), work.get(name, Work())
             self._log.info(
-                "rates learned",
+                "engine rates",
                 service=name,
                 answers=rates.answers,
                 token_us=round(now.token_seconds * 1e6, 2),
                 base_ms=round(now.base_seconds * 1e3, 1),
                 pause_ms=round(now.pause_seconds * 1e3, 1),
                 events=round(now.events, 1),
-                work=(round(asked.fast, 3), round(asked.slow, 3)),
+                work=(round(load.fast, 3), round(load.slow, 3)),
             )
--- a/flamingofront/process/forwarding/own_report.py
+++ b/flamingofront/process/forwarding/own_report.py
@@ -1,4 +1,4 @@
-"""What this process tells the others of itself."""
+"""The report that this process sends to its peers."""
 
 import random
 from dataclasses import dataclass, replace
@@ -17,7 +17,7 @@
 
 @dataclass(frozen=True)
 class ReportSources:
-    """Parts of a process whose state is reported."""
+    """Components of a process whose state goes into its report."""
 
     hub: RequestHub
     knowledge: Knowledge
@@ -28,19 +28,19 @@
 
 
 class LocalReport:
-    """Makes this process's reports.
+    """Builds this process's reports.
 
     Parameters
     ----------
     identity : PeerReport
-        What is the same in all of them.
+        Fields that are the same in all reports.
 
     Attributes
     ----------
     sequence : int
         Number of the last report.
     leaving : bool
-        True once the process is stopping.
+        True during a graceful shutdown.
     """
 
     def __init__(self, identity: PeerReport, timers: TimerService, rng: random.Random):
@@ -50,19 +50,19 @@
         self._timers = timers
         self._rng = rng
 
-    def build(self, parts: ReportSources, consumed: dict[str, float]) -> PeerReport:
-        """Return the report as it is now.
+    def build(self, sources: ReportSources, consumed: dict[str, float]) -> PeerReport:
+        """Return a new report with the current state.
 
         Parameters
         ----------
-        spent : dict of str to float
-            Units of quotas that were taken out here in all, by workspace.
+        consumed : dict of str to float
+            Quota units consumed by this process since its start, by workspace.
         """
         self.sequence += 1
-        lease, knowledge, peers = parts.lease.holding(), parts.knowledge, parts.peers
-        heard = peers.table.live_reports(self._timers.now())
-        directory = parts.hub.directory
-        told = {name: round(units) for name, units in consumed.items()}
+        lease, knowledge, peers = sources.lease.holding(), sources.knowledge, sources.peers
+        live = peers.table.live_reports(self._timers.now())
+        directory = sources.hub.directory
+        rounded_units = {name: round(units) for name, units in consumed.items()}
         return replace(
             self.identity,
             sequence=self.sequence,
@@ -73,31 +73,31 @@
             watches_store=not knowledge.rests,
             leaving=self.leaving,
             fencing=lease.fencing if lease is not None else 0,
-            released=parts.lease.released,
-            lease_version=parts.lease.version if lease is not None else 0,
-            consumed={**told, **parts.rollouts.sums()},
+            released=sources.lease.released,
+            lease_version=sources.lease.version if lease is not None else 0,
+            consumed={**rounded_units, **sources.rollouts.sums()},
             in_flight=directory.all_in_flight(),
             backlog=directory.all_backlog(),
-            peers=self._sample_peers(heard),
-            usage=parts.usage.to_tell({each.process for each in heard}, peers.cluster_time()),
-            demand=parts.hub.in_flight_by_service(),
-            work=self._work_by_service(parts.hub),
-            rollouts=parts.rollouts.word(),
-            quarantine=parts.hub.guard.word(),
-            limits=parts.hub.limits.recent_changes(),
+            peers=self._sample_peers(live),
+            usage=sources.usage.to_tell({each.process for each in live}, peers.cluster_time()),
+            demand=sources.hub.in_flight_by_service(),
+            work=self._work_by_service(sources.hub),
+            rollouts=sources.rollouts.word(),
+            quarantine=sources.hub.guard.word(),
+            limits=sources.hub.limits.recent_changes(),
             leaving_endpoints=knowledge.endpoints.recently_leaving(),
             position=knowledge.configuration_position(),
             ages=(_round_age(knowledge.configuration_age()), _round_age(knowledge.endpoints_age())),
         )
 
     def _work_by_service(self, hub: RequestHub) -> dict[str, tuple[float, float]]:
-        """Return the work that this process places, rounded to a thousandth of an endpoint."""
-        found = hub.work.work(self._timers.now())
-        return {name: (round(each.fast, 3), round(each.slow, 3)) for name, each in found.items()}
+        """Return the load that this process places, in endpoint-seconds per second to 0.001."""
+        averages = hub.work.work(self._timers.now())
+        return {name: (round(each.fast, 3), round(each.slow, 3)) for name, each in averages.items()}
 
-    def _sample_peers(self, heard: list[PeerReport]) -> tuple[str, ...]:
-        count = min(MAX_PEERS_LISTED, len(heard))
-        return tuple(each.ip for each in self._rng.sample(heard, count))
+    def _sample_peers(self, live: list[PeerReport]) -> tuple[str, ...]:
+        count = min(MAX_PEERS_LISTED, len(live))
+        return tuple(each.ip for each in self._rng.sample(live, count))
 
 
 def _round_age(age: float | None) -> float | None:
--- a/flamingofront/process/forwarding/pacing.py
+++ b/flamingofront/process/forwarding/pacing.py
@@ -1,4 +1,4 @@
-"""Datagrams that are sent evenly: a small link loses what comes in one burst."""
+"""Paced sending of datagrams: small links drop the end of a large burst."""
 
 from collections import deque
 from collections.abc import Callable
@@ -7,56 +7,56 @@
 
 __all__ = ["PacedSender"]
 
-# What is sent at once, and again after each pause: 3.3 Mbit/s, two thirds of the smallest link that
-# a VM has. A relay of 30 processes sent 155 KB in a second (its own count). Sent in one burst of
-# about 30 KB, the last part did not arrive, at each turn that of the same addressees.
+# Bytes sent in one burst, and again after each pause: 3.3 Mbit/s, two thirds of the smallest link
+# of a VM. A relay of 30 processes sent 155 KB in a second. In one burst of about 30 KB the end was
+# lost, and with it the datagrams to the same addressees each time.
 BURST_BYTES = 4096
 PAUSE_SECONDS = 0.01
-# Datagrams that wait; more would be told too late to be true. Several turns of a relay's.
-MAX_WAITING = 400
+# Queued datagrams, several rounds of a relay; in a longer queue they would be outdated when sent.
+MAX_QUEUED_DATAGRAMS = 400
 
 
 class PacedSender:
-    """Sends datagrams in the order in which they come, in small bursts.
+    """Sends datagrams in order, in small bursts with pauses (a token bucket of bytes).
 
     Parameters
     ----------
     send : callable
-        Sends one datagram to an IP number.
+        Sends one datagram to an IP address.
     """
 
     def __init__(self, send: Callable[[bytes, str], None], timers: TimerService):
         self._send = send
         self._timers = timers
-        self._waiting: deque[tuple[bytes, str]] = deque(maxlen=MAX_WAITING)
-        self._left = float(BURST_BYTES)
-        self._filled_at = timers.now()
+        self._queue: deque[tuple[bytes, str]] = deque(maxlen=MAX_QUEUED_DATAGRAMS)
+        self._burst_left = float(BURST_BYTES)
+        self._refilled_at = timers.now()
         self._pausing = False
 
     def send(self, data: bytes, ip: str) -> None:
-        """Send a datagram now, or behind those that wait."""
-        self._waiting.append((data, ip))
-        self._send_some()
+        """Send a datagram now, or after the queued ones."""
+        self._queue.append((data, ip))
+        self._send_queued()
 
-    def _send_some(self) -> None:
-        """Send while there is room for it; what is left waits for a pause.
+    def _send_queued(self) -> None:
+        """Send queued datagrams until the burst is used up; the rest waits for the next pause.
 
         Notes
         -----
-        A timer runs only while something waits: one after each datagram would be a further turn of
-        the loop.
+        A timer runs only while datagrams are queued: one after each datagram would cost an extra
+        iteration of the event loop.
         """
         now = self._timers.now()
-        earned = (now - self._filled_at) / PAUSE_SECONDS * BURST_BYTES
-        self._left, self._filled_at = min(BURST_BYTES, self._left + earned), now
-        while self._waiting and self._left > 0:
-            data, ip = self._waiting.popleft()
-            self._left -= len(data)
+        refill = (now - self._refilled_at) / PAUSE_SECONDS * BURST_BYTES
+        self._burst_left, self._refilled_at = min(BURST_BYTES, self._burst_left + refill), now
+        while self._queue and self._burst_left > 0:
+            data, ip = self._queue.popleft()
+            self._burst_left -= len(data)
             self._send(data, ip)
-        if self._waiting and not self._pausing:
+        if self._queue and not self._pausing:
             self._pausing = True
             self._timers.once(PAUSE_SECONDS, self._resume)
 
     def _resume(self) -> None:
         self._pausing = False
-        self._send_some()
+        self._send_queued()
--- a/flamingofront/process/forwarding/peer_word.py
+++ b/flamingofront/process/forwarding/peer_word.py
@@ -1,4 +1,4 @@
-"""Word of the other entry processes, and this one's: what is made of a report, and what is told."""
+"""Dispatch of the state received from other entry processes, and building of the local report."""
 
 from collections.abc import Mapping
 from dataclasses import dataclass, replace
@@ -16,12 +16,12 @@
 
 @dataclass(frozen=True)
 class UpdateReceivers:
-    """Parts of a process that take what others tell.
+    """Components that receive the state of other processes.
 
     Parameters
     ----------
     reported : ReportSources
-        Those whose state is told, too.
+        Components whose state is also part of the local report.
     """
 
     reported: ReportSources
@@ -30,7 +30,7 @@
 
 
 class PeerDispatcher:
-    """Hands what other processes tell to the parts that need it, and makes this one's reports."""
+    """Passes reports and digests to the components that use them, and builds the local report."""
 
     def __init__(
         self, own: LocalReport, parts: UpdateReceivers, timers: TimerService, metrics: Metrics
@@ -42,22 +42,22 @@
         self._metrics = metrics
 
     def build_report(self) -> PeerReport:
-        """Return this process's report as it is now."""
+        """Return a new report of this process with the current state."""
         return self._local_report.build(self._reported, self._parts.quota.spent())
 
     def apply_report(self, report: PeerReport, gap: float | None) -> None:
-        """Take a peer's report: its quota use, its counts, its word on the lease, its load.
+        """Apply a peer's report: quota consumption, usage, lease, load and rollouts.
 
         Parameters
         ----------
         gap : float or None
-            Seconds since the peer was heard before; None if it never was.
+            Seconds since the peer's previous report; None if this is the first one.
         """
         peers, usage = self._reported.peers, self._reported.usage
         self._metrics.count("peer_reports_total", result="heard" if gap is not None else "first")
-        continuous = gap is not None and peers.table.is_within_timeout(gap)
+        is_continuous = gap is not None and peers.table.is_within_timeout(gap)
         self.apply_sums(
-            report.process, report.consumed, continuous and peers.is_counting_directly()
+            report.process, report.consumed, is_continuous and peers.is_counting_directly()
         )
         self._apply_rollouts(report)
         self._reported.hub.guard.hear(report.quarantine)
@@ -68,21 +68,23 @@
         self._reported.lease.heard(report)
         self._parts.exchange.compare(report)
         if peers.is_relayed:
-            peers.relaying.receive_report(report, continuous, gap is None)
+            peers.relaying.receive_report(report, is_continuous, gap is None)
 
-    def apply_sums(self, process: str, sums: Mapping[str, float], counts: bool) -> None:
-        """Take sums of a peer or a relay: of the quotas, and of the answers during roll-outs.
+    def apply_sums(self, process: str, sums: Mapping[str, float], is_counted: bool) -> None:
+        """Apply the running totals of a peer or relay: quota units and rollout responses.
 
         Parameters
         ----------
-        counts : bool
-            True if what they have grown was told by nobody else.
+        sums : mapping of str to float
+            Totals since the start of the sender.
+        is_counted : bool
+            True if the increase since the sender's last totals was not reported by another source.
         """
-        self._parts.quota.heard(process, sums, counts, self._timers.now())
-        self._reported.rollouts.hear_sums(process, sums, counts)
+        self._parts.quota.heard(process, sums, is_counted, self._timers.now())
+        self._reported.rollouts.hear_sums(process, sums, is_counted)
 
     def apply_relay_state(self, relay: PeerReport, claim: LeaseClaim) -> None:
-        """Take what a relay knows, and its word on the duties' holder."""
+        """Apply the state of a relay and the lease advertisement that it forwards."""
         self._metrics.count("peer_digests_total")
         self._apply_rollouts(relay)
         self._reported.hub.guard.hear(relay.quarantine)
@@ -99,6 +101,6 @@
         self._parts.exchange.compare(relay)
 
     def _apply_rollouts(self, report: PeerReport) -> None:
-        """Take a peer's word of roll-outs; an order that it knows first is read from the store."""
+        """Merge a peer's rollouts, and read those from the store that are newer there."""
         if self._reported.rollouts.hear(report.rollouts):
             self._reported.knowledge.read_rollouts()
--- a/flamingofront/process/forwarding/relay_hearing.py
+++ b/flamingofront/process/forwarding/relay_hearing.py
@@ -1,4 +1,4 @@
-"""What a process has heard of the others through relays, and what it makes of it."""
+"""View of the other processes that a process builds from relay digests and direct reports."""
 
 import math
 from collections import OrderedDict
@@ -13,43 +13,43 @@
 
 __all__ = ["DIGEST_EXPIRY_SECONDS", "ReceivedDigest", "RelayView"]
 
-# A digest that is older tells nothing of now: the relay is gone, or its datagrams are lost.
+# Older digests of the own zone are ignored: the relay has ended, or its datagrams are lost.
 DIGEST_TIMEOUT_SECONDS = 1.0
-# A zone of which no digest came for so long is silent: three digests.
+# A zone without a digest for this long, about three digests, counts as unreachable.
 ZONE_TIMEOUT_SECONDS = 1.6
-# A zone that was silent for so long is no longer told of.
+# Digests of an unreachable zone are dropped after this time.
 DIGEST_EXPIRY_SECONDS = 30.0
-# A process that the member table names counts for so long, so that all choose the same relays from
-# the start; later only those count that are heard, since nobody takes a row out.
+# Rows of the member table count as members for this long after the last read, so that all choose
+# the same relays from the start. Later only live processes count, since nobody deletes the rows.
 REGISTRATION_EXPIRY_SECONDS = 8.0
-# Time in which a new relay has heard the reports of its zone and the digests of the others twice.
+# Time in which a new relay receives the reports of its zone and the digests of the others twice.
 RELAY_WARMUP_SECONDS = 1.5
 
 
 @dataclass(frozen=True)
 class ReceivedDigest:
-    """A digest, and when it was heard on the own clock."""
+    """A digest, and when it was received on the local monotonic clock."""
 
     digest: Digest
     received_at: float
 
 
 class RelayView:
-    """Digests and reports that a process has heard, among many processes.
+    """State of the other processes in a large deployment, from digests and direct reports.
 
     Parameters
     ----------
-    own : PeerReport
+    identity : PeerReport
         Identity of this process.
     table : PeerTable
-        Reports that were heard directly: those of the zone, if this process is a relay.
+        Reports received directly: those of the zone, if this process is a relay.
     """
 
-    def __init__(self, own: PeerReport, table: PeerTable, timers: TimerService):
-        self._own = own
+    def __init__(self, identity: PeerReport, table: PeerTable, timers: TimerService):
+        self._identity = identity
         self._table = table
         self._timers = timers
-        self._relays = ZoneRelays(own.vm_id)
+        self._relays = ZoneRelays(identity.vm_id)
         self._relay_since = math.inf
         self._zone_digests: dict[str, ReceivedDigest] = {}
         self._remote_digests: dict[str, dict[str, ReceivedDigest]] = {}
@@ -59,22 +59,22 @@
         self._member_count = 1
 
     def add_registered(self, vm_id: str, zone: str, ip: str) -> None:
-        """Take note of a process that the member table names."""
+        """Add a process from the member table."""
         self._registered_until = self._timers.now() + REGISTRATION_EXPIRY_SECONDS
         self._registered.setdefault(zone, {})[vm_id] = ip
 
     @property
     def is_relay(self) -> bool:
-        """True if this process sums up the reports of its zone."""
+        """True if this process is a relay of its zone, which sums its reports."""
         return self._relays.is_relay
 
     def is_counting_directly(self) -> bool:
-        """Tell whether quotas follow the reports of the zone and the digests of the others.
+        """Return True if quota consumption is counted from zone reports and remote digests.
 
         Notes
         -----
-        A process that becomes a relay goes on with the digests of the other one until it has heard
-        all from whom it takes over.
+        A new relay continues with the digests of the other relay until it has received the reports
+        of all processes of its zone.
         """
         return (
             self._timers.now() - self._relay_since >= RELAY_WARMUP_SECONDS
@@ -82,13 +82,13 @@
         )
 
     def has_live_relay(self) -> bool:
-        """Tell whether word comes by relays now."""
+        """Return True if a relay has sent a digest recently."""
         return bool(self._live_zone_digests()) or (
             self.is_relay and bool(self._live_remote_digests())
         )
 
     def has_watching_relay(self) -> bool:
-        """Tell whether a relay of the zone follows the store for this process."""
+        """Return True if a relay of the zone watches the store for this process."""
         if self.is_relay:
             return False
         relays = [each.digest.relay for each in self._live_zone_digests()]
@@ -98,7 +98,7 @@
         )
 
     def _live_zone_digests(self) -> list[ReceivedDigest]:
-        """Return the last digest of each relay of the zone that is heard now, newest first."""
+        """Return the recent digest of each relay of the own zone, newest first."""
         now = self._timers.now()
         found = [
             each
@@ -108,19 +108,19 @@
         return sorted(found, key=lambda each: -each.received_at)
 
     def _live_remote_digests(self) -> dict[str, ReceivedDigest]:
-        """Return the best digest of each other zone that is heard now."""
+        """Return the recent digest with the most live members, for each other zone."""
         now = self._timers.now()
         found = {}
         for zone, by_relay in self._remote_digests.items():
-            fresh = [
+            recent = [
                 each for each in by_relay.values() if now - each.received_at <= ZONE_TIMEOUT_SECONDS
             ]
-            if fresh:
-                found[zone] = max(fresh, key=lambda each: (each.digest.live, each.received_at))
+            if recent:
+                found[zone] = max(recent, key=lambda each: (each.digest.live, each.received_at))
         return found
 
     def _last_remote_digests(self) -> dict[str, ReceivedDigest]:
-        """Return the best digest of each other zone, also of one that has fallen silent."""
+        """Return the best digest of each other zone, including unreachable zones."""
         now = self._timers.now()
         found = self._live_remote_digests()
         for zone, by_relay in self._remote_digests.items():
@@ -134,12 +134,12 @@
         return found
 
     def _zone_reports(self) -> list[PeerReport]:
-        """Return the reports of the zone's other processes that are heard directly."""
-        heard = self._table.live_reports(self._timers.now())
-        return [each for each in heard if each.zone == self._own.zone]
+        """Return the direct reports of the other live processes of the zone."""
+        live = self._table.live_reports(self._timers.now())
+        return [each for each in live if each.zone == self._identity.zone]
 
     def _other_zone_members(self) -> dict[str, str]:
-        """Return the IP number by VM of the zone's processes, as far as they are known."""
+        """Return the IP address by VM of the zone's other members that are not leaving."""
         found = {each.vm_id: each.ip for each in self._zone_reports() if not each.leaving}
         for each in self._live_zone_digests():
             found.update(each.digest.roster or {})
@@ -149,48 +149,52 @@
             if each.digest.relay.leaving
         }
         if not found or self._timers.now() < self._registered_until:
-            found = {**self._registered.get(self._own.zone, {}), **found}
-        found.pop(self._own.vm_id, None)
+            found = {**self._registered.get(self._identity.zone, {}), **found}
+        found.pop(self._identity.vm_id, None)
         return {name: ip for name, ip in found.items() if name not in leaving}
 
     def known_zones(self) -> list[str]:
-        """Return all zones that have entry processes, as far as they are known."""
-        told = {zone for each in self._live_zone_digests() for zone in each.digest.relays or ()}
-        return sorted({self._own.zone, *self._registered, *self._remote_digests, *told})
+        """Return all zones with entry processes, from digests and the member table."""
+        named = {zone for each in self._live_zone_digests() for zone in each.digest.relays or ()}
+        return sorted({self._identity.zone, *self._registered, *self._remote_digests, *named})
 
     def rank_relays(self, key: str) -> list[str]:
-        """Return the IP numbers of all relays, zone by zone in the order of preference for a key.
+        """Return the IP addresses of all relays, by zone in rendezvous order for a key.
 
         Notes
         -----
-        Other zones' relays are those that the own relays tell of.
+        Relays of other zones are taken from the digests of the own relays.
         """
-        relays = {self._own.zone: self._local_relays()}
+        relays = {self._identity.zone: self._local_relays()}
         for each in reversed(self._live_zone_digests()):
-            told = each.digest.relays or {}
-            relays.update({zone: ips for zone, ips in told.items() if zone != self._own.zone})
+            remote = each.digest.relays or {}
+            relays.update(
+                {zone: ips for zone, ips in remote.items() if zone != self._identity.zone}
+            )
         for zone, each in self._live_remote_digests().items():
             relays[zone] = (each.digest.relays or {}).get(zone) or (each.digest.relay.ip,)
         return list(dict.fromkeys(ip for zone in rank(key, relays) for ip in relays[zone]))
 
     def remote_relays(self) -> list[str]:
-        """Return the IP numbers of the other zones' relays, as they were told last."""
-        told = [each.digest.relays or {} for each in self._zone_digests.values()]
-        found = {ip for by_zone in told for ips in by_zone.values() for ip in ips}
-        return sorted(found - {self._own.ip})
+        """Return the IP addresses of the other zones' relays in the last digests."""
+        by_digest = [each.digest.relays or {} for each in self._zone_digests.values()]
+        found = {ip for by_zone in by_digest for ips in by_zone.values() for ip in ips}
+        return sorted(found - {self._identity.ip})
 
     def last_digest_times(self) -> dict[str, float]:
-        """Return when a digest of each other zone was heard last.
+        """Return when a digest of each other zone was received last.
 
         Notes
         -----
-        A process that is no relay hears of the others as long as its own relays do.
+        A process that is no relay receives other zones' data only through its own relays, so it
+        returns the time of their last digest.
         """
         if not self.is_relay:
             at = max((each.received_at for each in self._zone_digests.values()), default=-math.inf)
             return {
                 zone: at
-                for zone in set(self.known_zones()) - {self._own.zone, *self.unreachable_zones()}
+                for zone in set(self.known_zones())
+                - {self._identity.zone, *self.unreachable_zones()}
             }
         return {
             zone: max((each.received_at for each in by_relay.values()), default=-math.inf)
@@ -198,94 +202,97 @@
         }
 
     def digest_times(self, ip: str) -> list[float]:
-        """Return when digests of the relay at an IP number were heard last."""
-        told = [*self._zone_digests.values()]
-        told += [each for by_relay in self._remote_digests.values() for each in by_relay.values()]
-        return [each.received_at for each in told if each.digest.relay.ip == ip]
+        """Return when digests of the relay at an IP address were received last."""
+        digests = [*self._zone_digests.values()]
+        digests += [
+            each for by_relay in self._remote_digests.values() for each in by_relay.values()
+        ]
+        return [each.received_at for each in digests if each.digest.relay.ip == ip]
 
     def _local_relays(self) -> tuple[str, ...]:
-        """Return the IP numbers of the relays of the own zone."""
-        near = self.zone_members()
-        return tuple(near[name] for name in self._relays.chosen if name in near)
+        """Return the IP addresses of the relays of the own zone."""
+        zone_ips = self.zone_members()
+        return tuple(zone_ips[name] for name in self._relays.chosen if name in zone_ips)
 
     def live_relays(self) -> list[PeerReport]:
-        """Return the last reports of the relays that are heard by their digests."""
-        told = [*self._live_zone_digests(), *self._live_remote_digests().values()]
-        return [each.digest.relay for each in told]
+        """Return the last state of the relays with a recent digest."""
+        digests = [*self._live_zone_digests(), *self._live_remote_digests().values()]
+        return [each.digest.relay for each in digests]
 
     def zone_members(self) -> dict[str, str]:
-        """Return the IP number by VM of the zone's processes, this one included."""
-        return {**self._other_zone_members(), self._own.vm_id: self._own.ip}
+        """Return the IP address by VM of the zone's members, including this process."""
+        return {**self._other_zone_members(), self._identity.vm_id: self._identity.ip}
 
     def _count_zone_members(self) -> tuple[int, int]:
-        """Return the processes of the own zone, and those that are heard directly."""
-        known = self._table.members(self._timers.now())
-        members = sum(each.zone == self._own.zone for each in known)
+        """Return the members and live members of the own zone, including this process."""
+        reports = self._table.members(self._timers.now())
+        members = sum(each.zone == self._identity.zone for each in reports)
         return 1 + members, 1 + len(self._zone_reports())
 
     def count_members(self) -> tuple[int, int]:
-        """Return how many processes there are and how many of them are heard, this one included."""
-        fresh = self._live_zone_digests()
-        if fresh and not self.is_relay:
-            best = max((each.digest for each in fresh), key=lambda each: each.live)
+        """Return the number of members, and of live ones, including this process."""
+        digests = self._live_zone_digests()
+        if digests and not self.is_relay:
+            best = max((each.digest for each in digests), key=lambda each: each.live)
             self._member_count = best.members
             return best.members, best.live
-        members, heard = self._count_zone_members()
-        elsewhere = self._live_remote_digests()
-        for zone, last in self._last_remote_digests().items():
-            members += last.digest.members
-            heard += last.digest.live if zone in elsewhere else 0
+        members, live = self._count_zone_members()
+        remote = self._live_remote_digests()
+        for zone, last_digest in self._last_remote_digests().items():
+            members += last_digest.digest.members
+            live += last_digest.digest.live if zone in remote else 0
         if self.has_live_relay():
             self._member_count = members
-        return max(members, self._member_count), heard
+        return max(members, self._member_count), live
 
-    def clock_offsets(self) -> list[float]:
-        """Return the wall clocks of the relays that are heard, less the own steady clock."""
-        fresh = [*self._live_zone_digests(), *self._live_remote_digests().values()]
-        return [each.digest.wall - each.received_at for each in fresh]
+    def relay_clock_offsets(self) -> list[float]:
+        """Return the relays' wall clocks minus the local monotonic clock, in seconds."""
+        digests = [*self._live_zone_digests(), *self._live_remote_digests().values()]
+        return [each.digest.wall - each.received_at for each in digests]
 
     def unreachable_zones(self) -> frozenset[str]:
-        """Return the zones of which nobody is heard any more."""
-        fresh = self._live_zone_digests()
+        """Return the zones without a live member."""
+        digests = self._live_zone_digests()
         if not self.is_relay:
-            told = [set(each.digest.unreachable_zones) for each in fresh]
-            return frozenset(set.intersection(*told)) if told else frozenset()
+            by_relay_digest = [set(each.digest.unreachable) for each in digests]
+            return frozenset(set.intersection(*by_relay_digest)) if by_relay_digest else frozenset()
         now = self._timers.now()
-        heard = {
+        last_received = {
             zone: max(each.received_at for each in by_relay.values())
             for zone, by_relay in self._remote_digests.items()
         }
         return frozenset(
             zone
-            for zone, at in heard.items()
-            if ZONE_TIMEOUT_SECONDS < now - at <= DIGEST_EXPIRY_SECONDS
+            for zone, received in last_received.items()
+            if ZONE_TIMEOUT_SECONDS < now - received <= DIGEST_EXPIRY_SECONDS
         )
 
     def peer_loads(self) -> list[PeerLoad]:
-        """Return what the other processes run, as far as word of it has come."""
-        fresh = self._live_zone_digests()
+        """Return the load of the other processes, from digests and direct reports."""
+        digests = self._live_zone_digests()
         now = self._timers.now()
-        if fresh and not self.is_relay:
-            best = max(fresh, key=lambda each: (each.digest.live, each.received_at))
-            own = self._sent_reports.get(best.digest.acknowledged)
-            return [load_from_digest(best.digest, own, now - best.received_at)]
+        if digests and not self.is_relay:
+            best = max(digests, key=lambda each: (each.digest.live, each.received_at))
+            sent_report = self._sent_reports.get(best.digest.acknowledged)
+            return [load_from_digest(best.digest, sent_report, now - best.received_at)]
         return [*self._local_zone_loads(), *self._remote_loads()]
 
     def _local_zone_loads(self) -> list[PeerLoad]:
         now = self._timers.now()
-        gap = self._table.seconds_since_report
+        report_age = self._table.seconds_since_report
         return [
-            load_from_report(each, gap(each.vm_id, now) or 0.0) for each in self._zone_reports()
+            load_from_report(each, report_age(each.vm_id, now) or 0.0)
+            for each in self._zone_reports()
         ]
 
     def _remote_loads(self) -> list[PeerLoad]:
         now = self._timers.now()
-        told = self._live_remote_digests()
+        digests = self._live_remote_digests()
         found = [
-            load_from_digest(each.digest, None, now - each.received_at) for each in told.values()
+            load_from_digest(each.digest, None, now - each.received_at) for each in digests.values()
         ]
         for report in self._table.live_reports(now):
-            if report.zone != self._own.zone and report.zone not in told:
+            if report.zone != self._identity.zone and report.zone not in digests:
                 found.append(
                     load_from_report(
                         report, self._table.seconds_since_report(report.vm_id, now) or 0.0
--- a/flamingofront/process/forwarding/relaying.py
+++ b/flamingofront/process/forwarding/relaying.py
@@ -1,9 +1,9 @@
-"""Word between many entry processes, through the relays of each zone.
+"""Gossip in large deployments, through the relays of each zone.
 
 Each process reports to the two relays of its zone twice a second, and at once when it places a
-large prompt. The relays tell the zone four times a second what all processes run, and the relays of
-the other zones twice a second what theirs does. A process that hears no relay tells its peers
-directly, in turn, as processes of small deployments do.
+large prompt. The relays send the load of all processes to their zone four times a second, and the
+load of their zone to the relays of the other zones twice a second. A process without a live relay
+sends reports to some of its peers directly, as processes of small deployments do.
 """
 
 import math
@@ -39,56 +39,59 @@
 
 __all__ = ["DIGEST_PERIOD_SECONDS", "RelayListener", "Relaying"]
 
-# Pause between two digests to the zone. Its two relays tell in turn, so that word of a placement is
-# 0.1 s old there in the mean.
+# Period of the digests of a relay to its zone. The two relays alternate, so that load data is 0.1 s
+# old in the mean when it arrives there.
 DIGEST_PERIOD_SECONDS = 0.25
-# A report goes to the relays at each second of those moments, and a digest to the other zones.
+# Every second tick a report goes to the relays, and a digest to the other zones.
 TICKS_PER_REPORT = 2
-# Counts of requests go to the holder of the duties at each fourth: a window is reported two seconds
-# after its end at the earliest.
+# Every fourth tick usage goes to the leader: a window is reported two seconds after its end at the
+# earliest.
 TICKS_PER_USAGE = 4
-# Word of the duties' holder is passed on only while it is so young: a report and its way. Older
-# word would put off the takeover from a holder that is gone.
+# A lease advertisement is forwarded only up to this age, a report period and a datagram delay. An
+# older one would postpone the takeover from a holder that has ended.
 CLAIM_MAX_AGE_SECONDS = 0.6
-# Own reports that are remembered, to know what of this process is in a digest: eight seconds.
+# Sent reports that are kept, to subtract the load of this process from a digest; about eight
+# seconds.
 MAX_KEPT_REPORTS = 32
-# Processes whose counts are told in one digest: about 1.5 KB. Of digests of 16 processes, 10 KB and
-# more, a tenth of the counts did not arrive in time.
+# Processes whose usage is in one digest, about 1.5 KB. Of digests with 16 processes, 10 KB and
+# more, a tenth of the usage did not arrive in time.
 PROCESSES_PER_DIGEST = 4
-# Windows that are told each second: the one that runs and the last one.
+# Usage windows sent every second: the current and the previous one.
 RECENT_WINDOWS = 2
-# Times that all windows that are kept are told to a new holder of the duties; one may be lost.
+# Number of times that all kept windows are sent to a new leader; one may be lost.
 FULL_USAGE_SENDS = 2
-# Other zones whose first relay keeps this zone's counts, besides the holder.
+# Zones whose first relay keeps a copy of this zone's usage, besides the leader.
 USAGE_BACKUP_ZONES = 2
-# Processes of a silent zone that are told, any of which passes the digest on to its relays.
+# Processes of a zone without known relays that get a digest; any of them forwards it to its relays.
 UNREACHABLE_ZONE_TARGETS = 4
-# Processes of the own zone, and as many of the others, told at a time while no relay is heard.
+# Processes of the own zone, and as many of the other zones, that get a direct report while no relay
+# is live.
 DIRECT_TARGETS_PER_GROUP = 8
 
 
 @dataclass(frozen=True)
 class RelayListener:
-    """What is done with word from relays.
+    """Callbacks for data from relays.
 
     Parameters
     ----------
-    own_report : callable
-        Returns this process's report as it is now.
-    believed : callable
-        Gets what a relay holds and knows, and the claim that it passes on.
-    spent : callable
-        Gets a teller, its sums of quota units by workspace, and whether what it has added counts.
-    loads_changed : callable
-        Called when word of what all processes run has come.
-    counts : callable
-        Gets counts of requests that began, and up to which time those of a process are told.
-    zone_counts : callable
-        Returns the counts that some processes were heard to have, in so many newest windows.
-    usage_until : callable
-        Returns up to which time the counts of some processes were heard.
-    wall : callable
-        Returns the wall clock on which the processes agree.
+    build_report : callable
+        Returns a new report of this process.
+    on_relay_state : callable
+        Called with the state of a relay and the lease advertisement that it forwards.
+    on_consumed : callable
+        Called with a source, its totals of quota units by workspace, and True if their increase
+        counts.
+    on_loads : callable
+        Called when new loads of all processes have arrived.
+    on_usage : callable
+        Called with the usage of some processes, and the time up to which it is complete for each.
+    usage_of : callable
+        Returns the usage of some processes in the newest windows, given the number of windows.
+    usage_known_until : callable
+        Returns the time up to which the usage of some processes is complete.
+    cluster_time : callable
+        Returns the median wall clock of the members.
     """
 
     build_report: Callable[[], PeerReport]
@@ -102,28 +105,30 @@
 
 
 class Relaying(RelayView):
-    """Tells what this process and its zone run, and takes what others tell.
+    """Sends reports and digests through the relays, and receives those of others.
 
     Parameters
     ----------
-    own : PeerReport
+    identity : PeerReport
         Identity of this process.
     table : PeerTable
-        Reports that were heard directly: those of the zone, if this process is a relay.
+        Reports received directly: those of the zone, if this process is a relay.
     send : callable
-        Sends a datagram to an IP number.
+        Sends a datagram to an IP address.
+    listener : RelayListener
+        Callbacks for received data.
     """
 
     def __init__(
         self,
-        own: PeerReport,
+        identity: PeerReport,
         table: PeerTable,
         send: Callable[[bytes, str], None],
         listener: RelayListener,
         timers: TimerService,
         rng: random.Random,
     ):
-        super().__init__(own, table, timers)
+        super().__init__(identity, table, timers)
         self._send = PacedSender(send, timers).send
         self._listener = listener
         self._rng = rng
@@ -137,72 +142,74 @@
         self._ticks = 0
 
     def _choose_relays(self) -> dict[str, str]:
-        """Return the IP number by VM of the relays of the zone, this process left out."""
+        """Choose the zone's relays and return their IP addresses by VM, without this process."""
         members = self._other_zone_members()
-        heard_at = {name: each.received_at for name, each in self._zone_digests.items()}
+        digest_times = {name: each.received_at for name, each in self._zone_digests.items()}
         now = self._timers.now()
-        chosen = self._relays.choose(members, heard_at, now)
+        chosen = self._relays.choose(members, digest_times, now)
         self._relay_since = min(self._relay_since, now) if self.is_relay else math.inf
         return {name: members[name] for name in chosen if name in members}
 
-    # Telling
+    # Sending
 
     def run_tick(self) -> bool:
-        """Tell what is due; False if no relay is heard, so that peers have to be told directly."""
+        """Send the reports and digests that are due; False if no relay is live."""
         before = self._relays.chosen
         relays = self._choose_relays()
         self._ticks += 1
-        reports = self._ticks % TICKS_PER_REPORT == 0 or self._relays.chosen != before
-        if reports or self.is_relay or self._zone_reports():
-            self._send_due(self._listener.build_report(), tuple(relays.values()) if reports else ())
+        is_report_due = self._ticks % TICKS_PER_REPORT == 0 or self._relays.chosen != before
+        if is_report_due or self.is_relay or self._zone_reports():
+            self._send_due(
+                self._listener.build_report(), tuple(relays.values()) if is_report_due else ()
+            )
         self._source_selector.drop_expired(self._timers.now())
         if self._ticks % TICKS_PER_USAGE == 0:
             self._drop_stale_sources()
         return self.has_live_relay()
 
-    def _send_due(self, own: PeerReport, relays: tuple[str, ...]) -> None:
-        """Tell the relays of this process, and as a relay the zone and the other zones of all.
+    def _send_due(self, local: PeerReport, relays: tuple[str, ...]) -> None:
+        """Send a report to the relays, and as a relay the digests that are due.
 
         Parameters
         ----------
         relays : tuple of str
-            IP numbers of the relays; none if no report is due.
+            IP addresses of the relays; empty if no report is due.
         """
-        full = self._ticks % TICKS_PER_REPORT == 1
+        is_full = self._ticks % TICKS_PER_REPORT == 1
         if relays:
-            self._send_report(own, relays)
-        if self.is_relay and full:
-            self._send_remote_digest(own)
-        self._send_zone_digest(own, full)
+            self._send_report(local, relays)
+        if self.is_relay and is_full:
+            self._send_remote_digest(local)
+        self._send_zone_digest(local, is_full)
         if self.is_relay and self._ticks % TICKS_PER_USAGE == 0:
-            self._send_usage(own)
+            self._send_usage(local)
 
     def _drop_stale_sources(self) -> None:
-        """Drop tellers that are gone, and counts that are no longer told."""
+        """Drop the last totals of processes and relays that are no longer members."""
         members = self._table.members(self._timers.now())
         self._zone_consumed.retain_only({each.process for each in members})
-        tellers = {
+        sources = {
             f"{zone}@{each.digest.relay.process}"
             for zone, by_relay in self._remote_digests.items()
             for each in by_relay.values()
         }
-        self._remote_consumed.retain_only(tellers)
+        self._remote_consumed.retain_only(sources)
 
     def send_report_now(self) -> None:
-        """Tell the relays at once what this process runs."""
+        """Send a report to the relays at once."""
         self._send_report(self._listener.build_report(), self._choose_relays().values())
 
     def send_zone_digest_now(self) -> None:
-        """Tell the zone at once, if this process is a relay."""
+        """Send a digest to the zone at once, if this process is a relay."""
         if self.is_relay:
-            self._send_zone_digest(self._listener.build_report(), full=False)
+            self._send_zone_digest(self._listener.build_report(), is_full=False)
 
     def notify_all_relays(self) -> None:
-        """Tell the relays of all zones at once, if this process is one."""
+        """Send a report and a digest to the relays of all zones at once, if this is a relay."""
         if self.is_relay:
-            own = self._listener.build_report()
-            self._send_report(own, self._choose_relays().values())
-            self._send_remote_digest(own)
+            local = self._listener.build_report()
+            self._send_report(local, self._choose_relays().values())
+            self._send_remote_digest(local)
 
     def _send_report(self, report: PeerReport, ips: Iterable[str]) -> None:
         self._sent_reports[report.sequence] = report
@@ -212,80 +219,96 @@
         for ip in ips:
             self._send(data, ip)
 
-    def _send_zone_digest(self, own: PeerReport, full: bool) -> None:
-        """Answer those who report here with what all processes run."""
+    def _send_zone_digest(self, local: PeerReport, is_full: bool) -> None:
+        """Send the load of all processes to those that report to this process.
+
+        Parameters
+        ----------
+        is_full : bool
+            True to include demand, work, member list and relays.
+        """
         reports = self._zone_reports()
         if not reports:
             return
-        elsewhere = self._remote_loads()
+        remote_loads = self._remote_loads()
         digest = self._build_digest(
-            own, ALL_ZONES, [load_from_report(own, 0.0), *self._local_zone_loads(), *elsewhere]
+            local,
+            ALL_ZONES,
+            [load_from_report(local, 0.0), *self._local_zone_loads(), *remote_loads],
         )
-        if full:
+        if is_full:
             digest = replace(digest, roster=self._list_zone_members(reports))
             digest = replace(digest, relays=self._relays_by_zone())
-        consumed = _sum_units(own.consumed, self._zone_consumed.total, self._remote_consumed.total)
+        consumed = _sum_units(
+            local.consumed, self._zone_consumed.total, self._remote_consumed.total
+        )
         digest = replace(digest, consumed=consumed)
-        writer = DigestWriter(digest if full else replace(digest, demand=None, work=None))
+        writer = DigestWriter(digest if is_full else replace(digest, demand=None, work=None))
         for each in reports:
             self._send(writer.datagram(each.sequence), each.ip)
 
-    def _build_digest(self, own: PeerReport, scope: str, loads: list[PeerLoad]) -> Digest:
+    def _build_digest(self, local: PeerReport, scope: str, loads: list[PeerLoad]) -> Digest:
         members, live = self.count_members() if scope == ALL_ZONES else self._count_zone_members()
         return Digest(
-            relay=own,
+            relay=local,
             scope=scope,
             wall=self._listener.cluster_time(),
             members=members,
             live=live,
             loads=sum_loads(loads),
-            claim=self._newest_claim(own, elsewhere=scope == ALL_ZONES),
-            unreachable_zones=tuple(sorted(self.unreachable_zones())) if self.is_relay else (),
+            claim=self._newest_claim(local, has_remote=scope == ALL_ZONES),
+            unreachable=tuple(sorted(self.unreachable_zones())) if self.is_relay else (),
             demand=sum_demand(loads),
             work=sum_work(loads),
         )
 
     def _list_zone_members(self, reports: list[PeerReport]) -> dict[str, str]:
-        """Return the processes of the zone, for those who report here.
+        """Return the IP address by VM of the zone's members, as sent to them.
 
         Notes
         -----
-        A relay tells those that it hears itself: two relays that passed on what each told the other
-        would never forget a process. One that is no relay tells what its relays do, so that whoever
-        reports to it by mistake finds them.
+        A relay lists only members whose reports it receives itself: two relays that copied each
+        other's lists would never drop a process. A process that is no relay adds the lists of its
+        relays, so that a process that reports to it by mistake finds them.
         """
         found = {each.vm_id: each.ip for each in reports if not each.leaving}
         if not self.is_relay:
             found.update(self._other_zone_members())
-        return {**found, self._own.vm_id: self._own.ip}
+        return {**found, self._identity.vm_id: self._identity.ip}
 
     def _relays_by_zone(self) -> dict[str, tuple[str, ...]]:
-        """Return the relays of the other zones, as they were told or as the member table has it."""
+        """Return the IP addresses of other zones' relays, from digests or the member table."""
         found = {}
-        told = self._live_remote_digests()
-        for zone in sorted({*self._registered, *told} - {self._own.zone}):
-            if zone in told:
-                digest = told[zone].digest
+        digests = self._live_remote_digests()
+        for zone in sorted({*self._registered, *digests} - {self._identity.zone}):
+            if zone in digests:
+                digest = digests[zone].digest
                 found[zone] = (digest.relays or {}).get(zone) or (digest.relay.ip,)
             else:
-                known = sorted(self._registered[zone].values())
+                registered = sorted(self._registered[zone].values())
                 found[zone] = tuple(
-                    self._rng.sample(known, min(UNREACHABLE_ZONE_TARGETS, len(known)))
+                    self._rng.sample(registered, min(UNREACHABLE_ZONE_TARGETS, len(registered)))
                 )
         return found
 
-    def _newest_claim(self, own: PeerReport, elsewhere: bool) -> LeaseClaim:
-        """Return the newest word of the duties' holder."""
+    def _newest_claim(self, local: PeerReport, has_remote: bool) -> LeaseClaim:
+        """Return the newest lease advertisement that this process has received or sends itself.
+
+        Parameters
+        ----------
+        has_remote : bool
+            True to include advertisements from other zones.
+        """
         now = self._timers.now()
-        claims = [LeaseClaim(own.fencing, own.lease_version, own.released, own.ip)]
+        claims = [LeaseClaim(local.fencing, local.lease_version, local.released, local.ip)]
         for each in self._zone_reports():
             if (self._table.seconds_since_report(each.vm_id, now) or 0.0) <= CLAIM_MAX_AGE_SECONDS:
                 claims.append(LeaseClaim(each.fencing, each.lease_version, each.released, each.ip))
-        if elsewhere:
-            told = self._live_remote_digests().values()
+        if has_remote:
+            digests = self._live_remote_digests().values()
             claims += [
                 each.digest.claim
-                for each in told
+                for each in digests
                 if now - each.received_at <= CLAIM_MAX_AGE_SECONDS
             ]
         holder = max(claims, key=lambda each: (each.fencing, each.lease_version))
@@ -294,22 +317,22 @@
             return LeaseClaim(released=released)
         return replace(holder, released=released)
 
-    def _send_remote_digest(self, own: PeerReport) -> None:
-        """Tell the relays of the other zones what this zone runs."""
+    def _send_remote_digest(self, local: PeerReport) -> None:
+        """Send the load of this zone to the relays of the other zones."""
         digest = self._build_digest(
-            own, self._own.zone, [load_from_report(own, 0.0), *self._local_zone_loads()]
+            local, self._identity.zone, [load_from_report(local, 0.0), *self._local_zone_loads()]
         )
-        consumed = _sum_units(own.consumed, self._zone_consumed.total)
-        members = {**self._other_zone_members(), self._own.vm_id: self._own.ip}
+        consumed = _sum_units(local.consumed, self._zone_consumed.total)
+        members = {**self._other_zone_members(), self._identity.vm_id: self._identity.ip}
         ips = tuple(members[each] for each in self._relays.chosen if each in members)
-        digest = replace(digest, consumed=consumed, relays={self._own.zone: ips})
+        digest = replace(digest, consumed=consumed, relays={self._identity.zone: ips})
         data = DigestWriter(digest).datagram()
         for ip in _flatten(self._relays_by_zone().values()):
             self._send(data, ip)
 
-    def _send_usage(self, own: PeerReport) -> None:
-        """Tell the counts of this zone to the holder of the duties and to those that keep them."""
-        claim = self._newest_claim(own, elsewhere=True)
+    def _send_usage(self, local: PeerReport) -> None:
+        """Send the usage of this zone to the leader and to the relays that keep a copy."""
+        claim = self._newest_claim(local, has_remote=True)
         if claim.fencing != self._usage_sent_to:
             self._usage_sent_to, self._full_usage_left = claim.fencing, FULL_USAGE_SENDS
         windows = KEPT_WINDOWS if self._full_usage_left > 0 else RECENT_WINDOWS
@@ -319,54 +342,55 @@
         for zone in rank("counts", relays)[:USAGE_BACKUP_ZONES]:
             targets.update(relays[zone][:1])
         wall = self._listener.cluster_time()
-        processes = sorted({own.process, *self._processes_with_usage})
-        # Those that have nothing to be counted are told of once.
+        processes = sorted({local.process, *self._processes_with_usage})
+        # Processes without usage are listed once, in the first digest, as complete.
         idle = {each.process for each in self._zone_reports()} - {*processes}
         for start in range(0, len(processes), PROCESSES_PER_DIGEST):
-            told = processes[start : start + PROCESSES_PER_DIGEST]
-            counts = self._listener.usage_of(told, windows)
-            until = dict(self._listener.usage_known_until([*told, *(() if start else idle)]))
-            if own.process in told:
-                until[own.process] = wall
-            digest = Digest(own, self._own.zone, wall, 0, 0, usage=counts, usage_until=until)
+            batch = processes[start : start + PROCESSES_PER_DIGEST]
+            counts = self._listener.usage_of(batch, windows)
+            until = dict(self._listener.usage_known_until([*batch, *(() if start else idle)]))
+            if local.process in batch:
+                until[local.process] = wall
+            digest = Digest(local, self._identity.zone, wall, 0, 0, usage=counts, usage_until=until)
             data = DigestWriter(digest).datagram()
-            for ip in sorted(targets - {"", self._own.ip}):
+            for ip in sorted(targets - {"", self._identity.ip}):
                 self._send(data, ip)
 
-    # Hearing
+    # Receiving
 
-    def receive_report(self, report: PeerReport, continuous: bool, is_new: bool) -> None:
-        """Take note of a report that was heard directly.
+    def receive_report(self, report: PeerReport, is_continuous: bool, is_new: bool) -> None:
+        """Count the consumption and usage in a direct report, and answer a new sender.
 
         Parameters
         ----------
-        continuous : bool
-            False if its sender was out of hearing: what it took of quotas meanwhile was its part.
+        is_continuous : bool
+            False if its sender was unreachable: its consumption meanwhile was within its own share.
         is_new : bool
-            True if its sender was not heard before: it is answered at once.
+            True for the first report of its sender, which gets a digest at once.
         """
-        if report.zone != self._own.zone:
+        if report.zone != self._identity.zone:
             return
-        self._zone_consumed.add_sums(report.process, report.consumed, continuous)
+        self._zone_consumed.add_sums(report.process, report.consumed, is_continuous)
         self._processes_with_usage.update(report.usage or ())
         if is_new:
-            self._send_zone_digest(self._listener.build_report(), full=True)
+            self._send_zone_digest(self._listener.build_report(), is_full=True)
 
     def is_valid_source(self, digest: Digest, ip: str) -> bool:
-        """Tell whether a digest may come from an IP number.
+        """Return True if a digest may come from an IP address.
 
         Notes
         -----
-        That is its relay's. One of another zone may be passed on by a process of the own zone.
+        Valid are the address of its relay and, for digests of other zones, those of the own zone's
+        members, which forward them.
         """
         if ip == digest.relay.ip:
             return True
-        passed_on = digest.scope not in (ALL_ZONES, self._own.zone)
-        return passed_on and ip in {*self._other_zone_members().values()}
+        is_forwarded = digest.scope not in (ALL_ZONES, self._identity.zone)
+        return is_forwarded and ip in {*self._other_zone_members().values()}
 
     def receive_digest(self, digest: Digest, data: bytes) -> None:
-        """Take a digest: of a relay of the own zone, or of another zone's."""
-        if digest.relay.vm_id == self._own.vm_id:
+        """Process a digest from a relay of the own zone or of another zone."""
+        if digest.relay.vm_id == self._identity.vm_id:
             return
         if digest.usage is not None:
             self._listener.on_usage(digest.usage, digest.usage_until)
@@ -374,96 +398,100 @@
         if digest.scope == ALL_ZONES:
             if self._store_digest(digest, self._zone_digests) and not self.is_relay:
                 self._listener.on_loads()
-        elif digest.scope != self._own.zone:
+        elif digest.scope != self._identity.zone:
             by_relay = self._remote_digests.setdefault(digest.scope, {})
             if self._store_digest(digest, by_relay):
                 self._forward_digest(digest, data)
                 self._drop_expired(by_relay)
 
-    def _store_digest(self, digest: Digest, known: dict[str, ReceivedDigest]) -> bool:
-        """Take a digest in, unless an equal or newer one of its relay is known."""
+    def _store_digest(self, digest: Digest, digests: dict[str, ReceivedDigest]) -> bool:
+        """Store and apply a digest; False if it is not newer than the stored one of its relay."""
         now = self._timers.now()
         relay = digest.relay
-        last = known.get(relay.vm_id)
+        last = digests.get(relay.vm_id)
         if last is not None:
             before = last.digest.relay
             if (relay.incarnation, relay.sequence) <= (before.incarnation, before.sequence):
                 return False
             digest = _fill_omitted(digest, last.digest)
-        known[relay.vm_id] = ReceivedDigest(digest, now)
+        digests[relay.vm_id] = ReceivedDigest(digest, now)
         self._record_consumption(digest, now)
         self._listener.on_relay_state(relay, digest.claim)
         return True
 
     def _record_consumption(self, digest: Digest, now: float) -> None:
-        """Count what was taken out of quotas elsewhere, once.
+        """Count the quota consumption in a digest once, though redundant relays report it.
 
         Notes
         -----
-        A digest that answers no report to a relay cannot be counted, and must not stand in the way
-        of those that can. After a restart of all, processes that were told by mistake went on
-        telling for three seconds; until then nobody counted what the others took.
+        A digest that acknowledges no sent report cannot be counted, and must not become the active
+        source in place of one that can. After a restart of all processes, some that had been taken
+        for relays went on sending digests for three seconds, and until then no process counted the
+        others' consumption.
         """
         if digest.consumed is None:
             return
         process = f"{digest.scope}@{digest.relay.process}"
-        of_all = digest.scope == ALL_ZONES
-        if of_all and digest.acknowledged not in self._sent_reports:
+        is_global = digest.scope == ALL_ZONES
+        if is_global and digest.acknowledged not in self._sent_reports:
             return
-        period = DIGEST_PERIOD_SECONDS if of_all else DIGEST_PERIOD_SECONDS * TICKS_PER_REPORT
-        step = self._source_selector.select_action(digest.scope, process, period, now)
-        if step is SumAction.IGNORE:
+        period = DIGEST_PERIOD_SECONDS if is_global else DIGEST_PERIOD_SECONDS * TICKS_PER_REPORT
+        action = self._source_selector.select_action(digest.scope, process, period, now)
+        if action is SumAction.IGNORE:
             return
-        counts = step is SumAction.COUNT
-        if of_all:
-            self._record_zone_consumption(digest, process, counts)
+        is_counted = action is SumAction.COUNT
+        if is_global:
+            self._record_zone_consumption(digest, process, is_counted)
         else:
-            self._remote_consumed.add_sums(process, digest.consumed, counts)
+            self._remote_consumed.add_sums(process, digest.consumed, is_counted)
             self._listener.on_consumed(
-                process, digest.consumed, counts and self.is_counting_directly()
+                process, digest.consumed, is_counted and self.is_counting_directly()
             )
 
-    def _record_zone_consumption(self, digest: Digest, process: str, counts: bool) -> None:
-        """Count what a relay of the own zone tells, less what this process itself took."""
-        own = self._sent_reports[digest.acknowledged]
-        names = digest.consumed.keys() | own.consumed.keys()
+    def _record_zone_consumption(self, digest: Digest, process: str, is_counted: bool) -> None:
+        """Count the totals in a digest of the own zone, minus this process's own consumption."""
+        sent_report = self._sent_reports[digest.acknowledged]
+        names = digest.consumed.keys() | sent_report.consumed.keys()
         others = {
-            name: digest.consumed.get(name, 0.0) - own.consumed.get(name, 0.0) for name in names
+            name: digest.consumed.get(name, 0.0) - sent_report.consumed.get(name, 0.0)
+            for name in names
         }
-        self._listener.on_consumed(process, others, counts and not self.is_counting_directly())
+        self._listener.on_consumed(process, others, is_counted and not self.is_counting_directly())
 
     def _forward_digest(self, digest: Digest, data: bytes) -> None:
-        """Hand a digest of another zone to the own relays, if this process is none of them."""
+        """Forward another zone's digest to the own relays, unless this process is a relay."""
         if self.is_relay:
             return
-        mark = (digest.relay.vm_id, digest.relay.incarnation, digest.relay.sequence)
-        if mark in self._forwarded:
+        digest_id = (digest.relay.vm_id, digest.relay.incarnation, digest.relay.sequence)
+        if digest_id in self._forwarded:
             return
         if len(self._forwarded) > MAX_KEPT_REPORTS:
             self._forwarded.clear()
-        self._forwarded.add(mark)
+        self._forwarded.add(digest_id)
         for ip in self._choose_relays().values():
             self._send(data, ip)
 
-    def _drop_expired(self, known: dict[str, ReceivedDigest]) -> None:
+    def _drop_expired(self, digests: dict[str, ReceivedDigest]) -> None:
         now = self._timers.now()
         for name in [
-            each for each, it in known.items() if now - it.received_at > DIGEST_EXPIRY_SECONDS
+            vm_id
+            for vm_id, received in digests.items()
+            if now - received.received_at > DIGEST_EXPIRY_SECONDS
         ]:
-            del known[name]
+            del digests[name]
 
     def direct_targets(self, ips: Iterable[str]) -> list[str]:
-        """Return whom to tell directly while no relay is heard: those of the own zone first."""
-        own_zone = set(self._registered.get(self._own.zone, {}).values()) - {self._own.ip}
-        others = sorted(set(ips) - own_zone - {self._own.ip})
-        near = sorted(own_zone)
-        self._rng.shuffle(near)
-        self._rng.shuffle(others)
-        return [*near[:DIRECT_TARGETS_PER_GROUP], *others[:DIRECT_TARGETS_PER_GROUP]]
+        """Return the peers to report to directly without a live relay, own zone first."""
+        zone_ips = set(self._registered.get(self._identity.zone, {}).values()) - {self._identity.ip}
+        remote = sorted(set(ips) - zone_ips - {self._identity.ip})
+        local = sorted(zone_ips)
+        self._rng.shuffle(local)
+        self._rng.shuffle(remote)
+        return [*local[:DIRECT_TARGETS_PER_GROUP], *remote[:DIRECT_TARGETS_PER_GROUP]]
 
 
 def _fill_omitted(digest: Digest, last: Digest) -> Digest:
-    """Return a digest with what it leaves out as it was told before."""
+    """Return a digest with the parts that it leaves out copied from the previous one."""
     changes = {
         name: getattr(last, name)
         for name in ("demand", "work", "roster", "relays")
@@ -473,7 +501,7 @@
 
 
 def _add_units(total: Counter[str], added: Mapping[str, float]) -> None:
-    """Add units that may be given back, too."""
+    """Add units by workspace; refunds are negative."""
     for name, units in added.items():
         total[name] += units
 
--- a/flamingofront/process/forwarding/reports.py
+++ b/flamingofront/process/forwarding/reports.py
@@ -1,9 +1,9 @@
-"""What entry processes tell one another, several times a second, by datagram.
+"""State that entry processes send one another several times a second, by datagram.
 
-A report goes out in two forms: with the counts that only some of the processes need (usage,
-demand), and without them. A process that hears the short form keeps the demand that it was told
-before. Between two reports a `LoadDelta` tells at once what was placed at an endpoint and what an
-endpoint has read.
+A report has a full form and a short form, which leaves out the counts that only some processes need
+(usage, demand). A receiver of the short form keeps the demand of the last full report. Between two
+reports a `LoadDelta` reports at once which attempts were placed at an endpoint and which prompt
+tokens an endpoint has read.
 """
 
 import dataclasses
@@ -36,17 +36,16 @@
 
 ProcessCounts = Mapping[str, Mapping[str, Mapping[str, int]]]
 
-# A process that has not been heard for so long is out of hearing, or for as long as four of its
-# reports take, whichever is more.
+# A process counts as unreachable after this time without a report, or after four report periods if
+# that is longer.
 LIVENESS_TIMEOUT_SECONDS = 1.6
 LIVENESS_TIMEOUT_REPORTS = 4
-# A zone is silent when none of its members was heard for as long as three of their reports take,
-# and two of them or more were heard within the last seconds: one alone may have been killed.
+# A zone counts as unreachable when no member reported for three report periods, and at least two of
+# its members reported within the last seconds: a single one may have been killed.
 ZONE_TIMEOUT_REPORTS = 3
 MIN_UNREACHABLE_MEMBERS = 2
 ZONE_MEMORY_SECONDS = 8.0
-# A process that has not been heard for so long is no member any more: longer than any restart or
-# partition after which it would come back with its old counts.
+# Longer than any restart or partition after which a process would return with its old counters.
 MEMBER_EXPIRY_SECONDS = 30.0
 
 
@@ -57,59 +56,59 @@
     Parameters
     ----------
     incarnation : int
-        Start of the process; a new one counts from 0.
+        Start of the process; a new incarnation counts from 0.
     sequence : int
         Number of the report.
     address : str
-        ``IP:PORT`` at which peers can ask for what it holds.
+        ``IP:PORT`` at which peers can fetch the state that it has cached.
     wall : float
         Its wall clock, seconds since the epoch.
     configuration : int
-        Version of the configuration in force there.
+        Version of its active configuration.
     endpoints : int
-        Mark of the last change of the endpoints that it knows.
+        Change number of the newest endpoint row that it has cached.
     store_unreachable : bool
         True if the store does not answer it.
     watches_store : bool
-        True if it follows the store itself, and tells its zone of changes.
+        True if it watches the change feed of the store itself, and forwards changes to its zone.
     leaving : bool
-        True if it is stopping.
+        True during a graceful shutdown.
     fencing : int
-        Fencing number of the duty lease that it holds; 0 if it holds none.
+        Fencing token of the leader lease that it holds; 0 if it holds none.
     released : int
-        Fencing number of the lease that it has given up; 0 if it has not.
+        Fencing token of the leader lease that it has released; 0 if it has released none.
     lease_version : int
-        Version of the lease's row after its last renewal.
-    spent : mapping of str to float
-        Quota units that it has taken out in all, by workspace.
+        Version of the lease row after its last renewal.
+    consumed : mapping of str to float
+        Quota units consumed since its start, by workspace.
     in_flight : mapping of str to int
-        Attempts that it runs, by endpoint.
+        Attempts in flight, by endpoint.
     backlog : mapping of str to int
-        Prompt tokens of its attempts that have not begun to be answered, by endpoint.
+        Prompt tokens of its attempts whose response has not started, by endpoint.
     peers : tuple of str
-        IP numbers of some of the processes that it hears.
+        IP addresses of some of its live peers.
     usage : mapping, optional
-        Requests that began, by process, window and workspace, for the last windows: those of this
-        process and of processes that are gone. None if this report does not tell it.
+        Requests started, by process, window and workspace, for the last windows: those of this
+        process and of processes that have ended. None if this report leaves it out.
     demand : mapping of str to float, optional
-        Requests that it runs, by service. None if this report does not tell it.
+        Requests in flight, by service. None if this report leaves it out.
     work : mapping of str to (float, float), optional
-        Fast and slow mean of the work that it places, in busy endpoints, by service. None if this
-        report does not tell it.
+        Fast and slow moving average of the load that it places, in endpoint-seconds per second, by
+        service. None if this report leaves it out.
     rollouts : mapping of str to (int, int)
-        Number of the order and phase of each roll-out that it knows, by service.
+        Sequence number and phase of each rollout that it has cached, by service.
     quarantine : QuarantineWord, optional
-        Endpoints that have just ended and what ran there, and requests that are not run. None if
-        there are none.
+        Endpoints that have just crashed with the requests that ran there, and quarantined requests.
+        None if there are none.
     limits : tuple of EndpointLimit
-        Changes of the rates that endpoints take from all, of the last seconds.
+        Changes of the rate limits of endpoints in the last seconds.
     leaving_endpoints : tuple of (str, int)
-        Endpoints that have lately begun to leave, by their answers or rows, with their starts.
+        Endpoints that began to leave recently, by their responses or rows, with their start times.
     position : int
-        Change of the store up to which it knows the configuration.
+        Feed position up to which its configuration is current.
     ages : tuple of (float or None, float or None)
-        Seconds since what it knows of the configuration, and of the endpoints, was current. None if
-        that is not known.
+        Seconds since its cached configuration, and its cached endpoints, were current. None if
+        unknown.
     """
 
     vm_id: str
@@ -143,12 +142,12 @@
 
     @property
     def process(self) -> str:
-        """VM and incarnation: one process."""
+        """VM and incarnation, which identify one process."""
         return f"{self.vm_id}/{self.incarnation}"
 
 
 def without_counts(report: PeerReport) -> PeerReport:
-    """Return the short form of a report."""
+    """Return the short form of a report, without usage, demand and work."""
     return replace(report, usage=None, demand=None, work=None)
 
 
@@ -166,26 +165,26 @@
     Notes
     -----
     Without the names of the fields the short form of a process with 16 workspaces takes 705 bytes
-    in place of 907.
+    instead of 907.
     """
     values = ((_ENCODERS.get(name), getattr(report, name)) for name in _FIELDS)
     return orjson.dumps([value if encode is None else encode(value) for encode, value in values])
 
 
 def decode_report(data: bytes) -> PeerReport:
-    """Return the report in a datagram; fields that a newer version has appended are ignored.
+    """Return the report in a datagram; fields appended by a newer version are ignored.
 
     Raises
     ------
     ValueError
-        If it is no report.
+        If the datagram is no valid report.
     """
     try:
         values = orjson.loads(data)
     except orjson.JSONDecodeError as exc:
         raise ValueError(f"malformed report: {exc}") from exc
     if not isinstance(values, list) or len(values) < _REQUIRED:
-        raise ValueError("malformed report: not a list of its fields")
+        raise ValueError("malformed report: expected a list with the values of all required fields")
     named = dict(zip(_FIELDS, values, strict=False))
     named["peers"] = _decode_ips(named.get("peers", ()))
     named["rollouts"] = decode_rollouts(named.get("rollouts", {}))
@@ -198,45 +197,45 @@
 
 def _decode_ips(value: Any) -> tuple[str, ...]:
     if not isinstance(value, list | tuple) or not all(isinstance(each, str) for each in value):
-        raise ValueError(f"malformed report: {value!r:.60} is no list of IP numbers")
+        raise ValueError(f"malformed report: {value!r:.60} is not a list of IP addresses")
     return tuple(value)
 
 
 def decode_rollouts(value: Any) -> dict[str, tuple[int, int]]:
-    """Return the number of the order and the phase of each roll-out, as they were told.
+    """Return the sequence number and phase of each rollout, by service.
 
     Raises
     ------
     ValueError
-        If it is something else.
+        If the value is malformed.
     """
     try:
         return {str(name): (int(each[0]), int(Phase(each[1]))) for name, each in value.items()}
     except (TypeError, AttributeError, IndexError) as exc:
-        raise ValueError(f"malformed word of roll-outs: {exc!r:.100}") from exc
+        raise ValueError(f"malformed rollouts: {exc!r:.100}") from exc
 
 
 def decode_endpoint_starts(value: Any) -> tuple[tuple[str, int], ...]:
-    """Return endpoints and their starts, as they were told.
+    """Return endpoints with their start times.
 
     Raises
     ------
     ValueError
-        If it is something else.
+        If the value is malformed.
     """
     try:
-        return tuple((str(endpoint_id), int(born)) for endpoint_id, born in value)
+        return tuple((str(endpoint_id), int(started_at)) for endpoint_id, started_at in value)
     except TypeError as exc:
-        raise ValueError(f"malformed word of endpoints: {exc!r:.100}") from exc
+        raise ValueError(f"malformed leaving endpoints: {exc!r:.100}") from exc
 
 
 def decode_ages(value: Any) -> tuple[float | None, float | None]:
-    """Return the ages of what is known of the configuration and the endpoints, as they were told.
+    """Return the ages of the cached configuration and endpoints, in seconds.
 
     Raises
     ------
     ValueError
-        If it is something else.
+        If the value is malformed.
     """
     try:
         configuration, endpoints = (None if each is None else float(each) for each in value)
@@ -247,15 +246,15 @@
 
 @dataclass(frozen=True)
 class LoadDelta:
-    """What changed at the endpoints since a report.
+    """Load placed at and completed by endpoints since a report.
 
     Parameters
     ----------
     sequence : int
-        Number of the sender's last report: later ones tell the same changes.
+        Number of the sender's last report; later reports include these changes.
     changes : mapping of str to (int, int)
-        By endpoint, the attempts begun less those ended, and the prompt tokens placed less those
-        that the endpoint has read.
+        By endpoint, attempts started minus attempts ended, and prompt tokens placed minus prompt
+        tokens that the endpoint has read.
     """
 
     vm_id: str
@@ -268,22 +267,22 @@
 
 
 def is_load_delta(data: bytes) -> bool:
-    """Tell whether a datagram is a note; a report is a list."""
+    """Return True if a datagram is a load delta; a report is a list."""
     return data.startswith(_DELTA_PREFIX)
 
 
-def encode_load_delta(note: LoadDelta) -> bytes:
-    """Return the datagram of a note."""
-    return orjson.dumps({"load": [note.vm_id, note.incarnation, note.sequence, note.changes]})
+def encode_load_delta(delta: LoadDelta) -> bytes:
+    """Return the datagram of a load delta."""
+    return orjson.dumps({"load": [delta.vm_id, delta.incarnation, delta.sequence, delta.changes]})
 
 
 def decode_load_delta(data: bytes) -> LoadDelta:
-    """Return the note in a datagram.
+    """Return the load delta in a datagram.
 
     Raises
     ------
     ValueError
-        If it is no note.
+        If the datagram is no valid load delta.
     """
     try:
         vm_id, incarnation, sequence, changes = orjson.loads(data)["load"]
@@ -301,64 +300,70 @@
 
 
 def _adjust_count(counts: Mapping[str, int], name: str, change: int) -> dict[str, int]:
-    """Return counts with one of them changed; none falls below nothing."""
+    """Return a copy of the counts with one of them changed, but not below 0."""
     return {**counts, name: max(0, counts.get(name, 0) + change)}
 
 
 class PeerTable:
-    """Last report of each other process."""
+    """Last report of each other process.
 
-    def __init__(self, own_id: str):
-        self._own_id = own_id
+    Parameters
+    ----------
+    local_id : str
+        VM of this process, whose own reports are ignored.
+    """
+
+    def __init__(self, local_id: str):
+        self._local_id = local_id
         self._reports: dict[str, _ReceivedReport] = {}
         self._liveness_timeout = self._zone_timeout = LIVENESS_TIMEOUT_SECONDS
 
     def set_report_period(self, seconds: float) -> None:
-        """Set the time between two reports of a process to the same peer."""
+        """Set the seconds between two reports of a process to the same peer."""
         self._liveness_timeout = max(LIVENESS_TIMEOUT_SECONDS, LIVENESS_TIMEOUT_REPORTS * seconds)
         self._zone_timeout = ZONE_TIMEOUT_REPORTS * seconds
 
-    def is_within_timeout(self, gap: float) -> bool:
-        """Tell whether a process that was heard some seconds ago counts as heard."""
-        return gap <= self._liveness_timeout
+    def is_within_timeout(self, age: float) -> bool:
+        """Return True if a process whose last report is this many seconds old counts as live."""
+        return age <= self._liveness_timeout
 
     def store_report(self, report: PeerReport, now: float) -> bool:
-        """Take a report in; False if it is old or this process's own."""
-        if report.vm_id == self._own_id:
+        """Store a report; False if it is not newer than the stored one, or of this process."""
+        if report.vm_id == self._local_id:
             return False
-        known = self._reports.get(report.vm_id)
+        last = self._reports.get(report.vm_id)
         rank = (report.incarnation, report.sequence)
-        if known and rank <= (known.report.incarnation, known.report.sequence):
+        if last and rank <= (last.report.incarnation, last.report.sequence):
             return False
-        if known and report.demand is None:
-            report = replace(report, demand=known.report.demand, work=known.report.work)
+        if last and report.demand is None:
+            report = replace(report, demand=last.report.demand, work=last.report.work)
         self._reports[report.vm_id] = _ReceivedReport(report, now, report.wall - now)
         return True
 
-    def apply_delta(self, note: LoadDelta) -> bool:
-        """Add a note to the last report of its sender; False if that report tells it already."""
-        known = self._reports.get(note.vm_id)
-        if known is None:
+    def apply_delta(self, delta: LoadDelta) -> bool:
+        """Apply a load delta to its sender's last report; False if the report includes it."""
+        last = self._reports.get(delta.vm_id)
+        if last is None:
             return False
-        report = known.report
-        if note.incarnation != report.incarnation or note.sequence < report.sequence:
+        report = last.report
+        if delta.incarnation != report.incarnation or delta.sequence < report.sequence:
             return False
-        for name, (requests, tokens) in note.changes.items():
+        for name, (requests, tokens) in delta.changes.items():
             report = replace(
                 report,
                 in_flight=_adjust_count(report.in_flight, name, requests),
                 backlog=_adjust_count(report.backlog, name, tokens),
             )
-        self._reports[note.vm_id] = replace(known, report=report)
+        self._reports[delta.vm_id] = replace(last, report=report)
         return True
 
     def seconds_since_report(self, vm_id: str, now: float) -> float | None:
-        """Return the seconds since a process was heard last; None if it never was."""
-        known = self._reports.get(vm_id)
-        return None if known is None else now - known.received_at
+        """Return the age in seconds of a process's last report; None if there is none."""
+        last = self._reports.get(vm_id)
+        return None if last is None else now - last.received_at
 
     def live_reports(self, now: float) -> list[PeerReport]:
-        """Return the last reports of the processes within hearing."""
+        """Return the last reports of the live processes."""
         return [
             each.report
             for each in self._reports.values()
@@ -366,31 +371,31 @@
         ]
 
     def unreachable_zones(self, now: float) -> frozenset[str]:
-        """Return the zones of which two members or more were heard, and none is any more."""
-        heard: dict[str, int] = {}
-        silent: dict[str, int] = {}
+        """Return the zones of which two or more members reported recently, and none still does."""
+        live: dict[str, int] = {}
+        unreachable: dict[str, int] = {}
         for each in self._reports.values():
             if each.report.leaving or now - each.received_at > ZONE_MEMORY_SECONDS:
                 continue
-            counts = heard if now - each.received_at <= self._zone_timeout else silent
+            counts = live if now - each.received_at <= self._zone_timeout else unreachable
             counts[each.report.zone] = counts.get(each.report.zone, 0) + 1
         return frozenset(
             zone
-            for zone, count in silent.items()
-            if zone not in heard and count >= MIN_UNREACHABLE_MEMBERS
+            for zone, count in unreachable.items()
+            if zone not in live and count >= MIN_UNREACHABLE_MEMBERS
         )
 
     def members(self, now: float) -> list[PeerReport]:
-        """Return the last reports of all other members, heard now or not."""
+        """Return the last reports of all other members, live or not, and drop expired ones."""
         for vm_id, each in list(self._reports.items()):
-            silent = now - each.received_at
-            left = each.report.leaving and not self.is_within_timeout(silent)
-            if silent > MEMBER_EXPIRY_SECONDS or left:
+            age = now - each.received_at
+            left = each.report.leaving and not self.is_within_timeout(age)
+            if age > MEMBER_EXPIRY_SECONDS or left:
                 del self._reports[vm_id]
         return [each.report for each in self._reports.values()]
 
     def clock_offsets(self, now: float) -> list[float]:
-        """Return wall clock minus own monotonic clock, for each process heard."""
+        """Return wall clock minus local monotonic clock in seconds, for each recent report."""
         return [
             each.clock_offset
             for each in self._reports.values()
--- a/flamingofront/process/forwarding/streams.py
+++ b/flamingofront/process/forwarding/streams.py
@@ -1,4 +1,4 @@
-"""Sums that several tellers tell of the same processes: each unit must be counted once."""
+"""Running totals that several redundant relays report: each unit must be counted once."""
 
 import enum
 from collections import Counter
@@ -7,22 +7,22 @@
 
 __all__ = ["ConsumptionLedger", "SumAction", "SourceSelector"]
 
-# In periods of the teller: when its next digest is late, and when another teller takes its place.
+# In digest periods of a source: when its next digest is late, and when another source replaces it.
 LATE_PERIODS = 1.3
 SWITCH_PERIODS = 2.4
-# Sums that were seen longer ago than this, in seconds, say nothing about what was added since.
+# Totals received longer ago than this are no base for an increase.
 SOURCE_EXPIRY_SECONDS = 3.0
 
 
 class SumAction(enum.Enum):
-    """What is done with the sums of a digest."""
+    """How the totals in a digest are used."""
 
     COUNT = "count"
-    """What they have grown since the teller's last sums counts."""
+    """Count the increase since the last totals of this source."""
     RECORD = "mark"
-    """They are noted: what they have grown was told by another teller."""
+    """Record the totals as new base: another source has reported the increase."""
     IGNORE = "hold"
-    """They are left out, and what they grow counts if the other teller is gone."""
+    """Ignore the totals; the increase counts later if the active source has failed."""
 
 
 @dataclass
@@ -32,42 +32,42 @@
 
 
 class SourceSelector:
-    """Picks the teller that counts in each group.
+    """Selects the source whose totals count, for each group.
 
-    All tellers of a group sum over the same processes, each from its own start.
+    All sources of a group sum over the same processes, each from its own start.
     """
 
     def __init__(self):
-        self._sources: dict[str, _ActiveSource] = {}
+        self._active: dict[str, _ActiveSource] = {}
         self._last_seen: dict[str, float] = {}
 
     def select_action(self, group: str, process: str, period: float, now: float) -> SumAction:
-        """Return what is done with the sums of a digest that has just come.
+        """Return how the totals in a newly received digest are used.
 
         Parameters
         ----------
         group : str
-            What is summed, for example a zone.
+            Set of processes that the totals cover, for example a zone.
         process : str
-            The teller: VM and incarnation.
+            The active: VM and incarnation.
         period : float
-            Seconds between two digests of a teller.
+            Seconds between two digests of a active.
         """
-        known_at = self._last_seen.get(process)
+        last_seen = self._last_seen.get(process)
         self._last_seen[process] = now
-        is_known = known_at is not None and now - known_at <= SOURCE_EXPIRY_SECONDS
-        source = self._sources.get(group)
-        if source is not None and source.process != process:
-            age = now - source.last_at
+        is_recent = last_seen is not None and now - last_seen <= SOURCE_EXPIRY_SECONDS
+        active = self._active.get(group)
+        if active is not None and active.process != process:
+            age = now - active.last_at
             if age <= LATE_PERIODS * period:
                 return SumAction.RECORD
             if age <= SWITCH_PERIODS * period:
-                return SumAction.IGNORE if is_known else SumAction.RECORD
-        self._sources[group] = _ActiveSource(process, now)
-        return SumAction.COUNT if is_known and source is not None else SumAction.RECORD
+                return SumAction.IGNORE if is_recent else SumAction.RECORD
+        self._active[group] = _ActiveSource(process, now)
+        return SumAction.COUNT if is_recent and active is not None else SumAction.RECORD
 
     def drop_expired(self, now: float) -> None:
-        """Drop tellers that are gone."""
+        """Drop sources without a recent digest."""
         for process in [
             each for each, at in self._last_seen.items() if now - at > SOURCE_EXPIRY_SECONDS
         ]:
@@ -75,28 +75,28 @@
 
 
 class ConsumptionLedger:
-    """Quota units that some tellers were heard to add, by workspace.
+    """Quota units whose consumption some sources have reported, by workspace.
 
     Attributes
     ----------
     total : Counter of str
-        Units since this ledger was begun; they may be given back.
+        Units counted since this ledger was created; refunds reduce them.
     """
 
     def __init__(self):
         self.total: Counter[str] = Counter()
-        self._last_seen: dict[str, Mapping[str, float]] = {}
+        self._last_sums: dict[str, Mapping[str, float]] = {}
 
-    def add_sums(self, process: str, spent: Mapping[str, float], counts: bool) -> None:
-        """Take the sums of a teller; what they have grown is added if it counts."""
-        known = self._last_seen.get(process, {})
-        self._last_seen[process] = spent
-        if counts:
-            for name, units in spent.items():
-                self.total[name] += units - known.get(name, 0.0)
+    def add_sums(self, process: str, consumed: Mapping[str, float], is_counted: bool) -> None:
+        """Store the totals of a source and, if `is_counted`, add their increase."""
+        last = self._last_sums.get(process, {})
+        self._last_sums[process] = consumed
+        if is_counted:
+            for name, units in consumed.items():
+                self.total[name] += units - last.get(name, 0.0)
 
     def retain_only(self, processes: set[str]) -> None:
-        """Drop what is known of all other tellers; what they added stays."""
-        self._last_seen = {
-            name: each for name, each in self._last_seen.items() if name in processes
+        """Drop the last totals of all other sources; units already counted stay."""
+        self._last_sums = {
+            name: each for name, each in self._last_sums.items() if name in processes
         }
--- a/flamingofront/process/forwarding/sums.py
+++ b/flamingofront/process/forwarding/sums.py
@@ -1,4 +1,4 @@
-"""Sums over entry processes: what a relay tells, and what a process reckons with."""
+"""Sums of the load of entry processes, for digests and for placement."""
 
 from collections import Counter
 from collections.abc import Iterable, Mapping
@@ -20,20 +20,20 @@
 
 @dataclass(frozen=True)
 class PeerLoad:
-    """What one or more other entry processes run.
+    """Load of one or more other entry processes.
 
     Parameters
     ----------
     age : float
-        Seconds since it was so.
+        Age of the data in seconds.
     in_flight : mapping of str to int
-        Attempts that run, by endpoint.
+        Attempts in flight, by endpoint.
     backlog : mapping of str to int
-        Prompt tokens that wait to be read, by endpoint.
+        Prompt tokens not yet read, by endpoint.
     demand : mapping of str to float
-        Requests that run, by service.
+        Requests in flight, by service.
     work : mapping of str to (float, float)
-        Fast and slow mean of the work placed, in busy endpoints, by service.
+        Fast and slow moving average of the load placed, in endpoint-seconds per second, by service.
     """
 
     age: float = 0.0
@@ -44,33 +44,33 @@
 
 
 def load_from_report(report: PeerReport, age: float) -> PeerLoad:
-    """Return what one process runs."""
+    """Return the load of the process that sent a report."""
     return PeerLoad(age, report.in_flight, report.backlog, report.demand or {}, report.work or {})
 
 
-def load_from_digest(digest: Digest, own: PeerReport | None, age: float) -> PeerLoad:
-    """Return what the processes of a digest run, apart from what this one had told of itself."""
+def load_from_digest(digest: Digest, local: PeerReport | None, age: float) -> PeerLoad:
+    """Return the load of the processes of a digest, without the part of the local report."""
     in_flight = Counter({name: each[0] for name, each in digest.loads.items()})
     backlog = Counter({name: each[1] for name, each in digest.loads.items()})
     demand = Counter(digest.demand or {})
     work = {name: Work(*each) for name, each in (digest.work or {}).items()}
-    if own is not None:
-        in_flight -= Counter(own.in_flight)
-        backlog -= Counter(own.backlog)
-        demand -= Counter(own.demand or {})
-        for name, each in (own.work or {}).items():
+    if local is not None:
+        in_flight -= Counter(local.in_flight)
+        backlog -= Counter(local.backlog)
+        demand -= Counter(local.demand or {})
+        for name, each in (local.work or {}).items():
             if name in work:
                 work[name] = _subtract_work(work[name], Work(*each))
-    told = {name: (each.fast, each.slow) for name, each in work.items()}
-    return PeerLoad(age, in_flight, backlog, demand, told)
+    averages = {name: (each.fast, each.slow) for name, each in work.items()}
+    return PeerLoad(age, in_flight, backlog, demand, averages)
 
 
-def _subtract_work(work: Work, part: Work) -> Work:
-    return Work(max(0.0, work.fast - part.fast), max(0.0, work.slow - part.slow))
+def _subtract_work(work: Work, other: Work) -> Work:
+    return Work(max(0.0, work.fast - other.fast), max(0.0, work.slow - other.slow))
 
 
 def sum_loads(loads: Iterable[PeerLoad]) -> dict[str, tuple[int, int]]:
-    """Return by endpoint the attempts that run and the prompt tokens that wait, where any do."""
+    """Return by endpoint the attempts in flight and unread prompt tokens, where nonzero."""
     in_flight: Counter[str] = Counter()
     backlog: Counter[str] = Counter()
     for each in loads:
@@ -82,7 +82,7 @@
 
 
 def sum_demand(loads: Iterable[PeerLoad]) -> dict[str, float]:
-    """Return the requests that run, by service."""
+    """Return the requests in flight, by service."""
     total: Counter[str] = Counter()
     for each in loads:
         total.update(each.demand)
@@ -90,7 +90,7 @@
 
 
 def sum_work(loads: Iterable[PeerLoad]) -> dict[str, tuple[float, float]]:
-    """Return the work that is placed, by service, rounded to a thousandth of an endpoint."""
+    """Return the load placed, in endpoint-seconds per second to 0.001, by service."""
     total: dict[str, Work] = {}
     for each in loads:
         for name, means in each.work.items():
--- a/flamingofront/process/forwarding/tests/test_digests.py
+++ b/flamingofront/process/forwarding/tests/test_digests.py
@@ -1,4 +1,4 @@
-"""Digests of relays: format, what is refused, who relays, and what counts once."""
+"""Digests of relays: format, rejection, choice of relays, and totals that count once."""
 
 import random
 
@@ -18,7 +18,11 @@
 )
 from flamingofront.process.forwarding.reports import PeerReport, encode_report
 from flamingofront.process.forwarding.streams import ConsumptionLedger, SourceSelector, SumAction
-from flamingofront.process.forwarding.tests.test_reports import in_zone, many_world, relays
+from flamingofront.process.forwarding.tests.test_reports import (
+    large_world,
+    names_in_zone,
+    relay_names,
+)
 from flamingofront.process.forwarding.zone_relays import (
     RELAY_RETRY_SECONDS,
     RELAY_TIMEOUT_SECONDS,
@@ -35,7 +39,7 @@
     live=29,
     loads={"e": (3, 900)},
     claim=LeaseClaim(5, 77, 4, "1.2.3.9"),
-    unreachable_zones=("zone-b",),
+    unreachable=("zone-b",),
     consumed={"desk": 40},
     demand={"engines": 3},
     work={"engines": (0.5, 0.25)},
@@ -50,18 +54,18 @@
 
 
 class TestFormat:
-    def test_it_is_decoded_as_it_was_encoded(self):
+    def test_encoding_round_trip(self):
         found = decode_digest(datagram())
         assert found.relay == RELAY and found.acknowledged == 12
-        assert (found.loads, found.claim, found.unreachable_zones) == (
+        assert (found.loads, found.claim, found.unreachable) == (
             DIGEST.loads,
             DIGEST.claim,
-            DIGEST.unreachable_zones,
+            DIGEST.unreachable,
         )
         assert found.work == {"engines": [0.5, 0.25]} and found.relays == DIGEST.relays
         assert found.usage_until == {"vm/1": 8.25}
 
-    def test_it_is_told_apart_from_reports(self):
+    def test_digest_is_distinguished_from_a_report(self):
         assert is_digest(datagram()) and not is_digest(encode_report(RELAY))
 
     @pytest.mark.parametrize(
@@ -78,24 +82,24 @@
             datagram().replace(b'{"e":[3,900]}', b'{"e":[3]}'),
         ],
     )
-    def test_what_is_cut_or_malformed_is_refused(self, data):
+    def test_truncated_or_malformed_digest_is_rejected(self, data):
         with pytest.raises(ValueError, match="digest"):
             decode_digest(data)
 
-    def test_another_version_is_refused(self):
+    def test_another_version_is_rejected(self):
         with pytest.raises(ValueError, match="another version"):
             decode_digest(b"D1" + datagram()[2:])
 
-    def test_what_is_too_long_is_refused(self):
+    def test_oversized_digest_is_rejected(self):
         with pytest.raises(ValueError, match="at most"):
             decode_digest(datagram() + b" " * MAX_DIGEST_BYTES)
 
     @given(st.binary(max_size=200))
-    def test_any_bytes_are_taken_or_refused(self, junk):
+    def test_random_bytes_raise_value_error(self, junk):
         with pytest.raises(ValueError):
             decode_digest(b"D1 " + junk)
 
-    def test_size_at_six_hundred_endpoints_is_within_the_cap(self):
+    def test_digest_of_600_endpoints_fits_the_limit(self):
         loads = {f"i-{number:010x}": (12, 100000) for number in range(600)}
         roster = {f"front-some-zone-{number}": "10.200.30.40" for number in range(41)}
         consumed = {f"workspace-{number}": 10**9 for number in range(64)}
@@ -103,7 +107,7 @@
         assert len(datagram(digest)) < MAX_DIGEST_BYTES
 
 
-class TestRefusedDatagrams:
+class TestRejectedDatagrams:
     @pytest.mark.parametrize(
         "data",
         [
@@ -114,25 +118,25 @@
         ],
         ids=["version", "malformed", "another's digest", "another's report"],
     )
-    def test_they_are_counted_and_told_once(self, data):
-        world = many_world()
+    def test_rejections_are_counted_and_logged_once(self, data):
+        world = large_world()
         front = world.fronts["front-0"]
         with logbook.TestHandler(level="WARNING", bubble=True).applicationbound() as log:
             for _ in range(3):
                 front.peers.receive_datagram(data, "9.9.9.9")
-        assert [each.message for each in log.records] == ["datagram refused"]
+        assert [each.message for each in log.records] == ["datagram rejected"]
         assert front.metrics.value("peer_datagrams_refused_total") == 3
 
-    def test_a_digest_that_comes_again_changes_nothing(self):
-        """The units that it tells of must not count twice."""
+    def test_repeated_digest_changes_nothing(self):
+        """Guards against counting the consumption in a duplicated digest twice."""
         tenant = {"name": "desk", "api_keys": ["key-1"], "rate_per_s": 1e-6, "burst": 1e6}
-        world = many_world(tenants=[tenant])
-        kept = []
-        inner = world._datagram
+        world = large_world(tenants=[tenant])
+        sent = []
+        deliver = world._datagram
 
         def send(source, address, data):
-            kept.append((source, address, data))
-            inner(source, address, data)
+            sent.append((source, address, data))
+            deliver(source, address, data)
 
         world._datagram = send
         front = world.fronts["front-0"]
@@ -140,9 +144,9 @@
             front.quota.spend(front.configuration.workspaces[0], 1000.0, front.timers.now())
             world.run(0.1)
         world.run(2.0)
-        world._datagram = inner
-        for each in kept:
-            inner(*each)
+        world._datagram = deliver
+        for each in sent:
+            deliver(*each)
         world.run(0.1)
         for each in world.fronts.values():
             state = each.quota.state(each.configuration.workspaces[0], each.timers.now())
@@ -152,24 +156,24 @@
 class TestZoneRelays:
     members = {f"vm-{number}": f"1.1.1.{number}" for number in range(9)}
 
-    def test_all_choose_the_same(self):
+    def test_all_members_choose_the_same_relays(self):
         chosen = {
             ZoneRelays(own).choose({k: v for k, v in self.members.items() if k != own}, {}, 0.0)
             for own in self.members
         }
         assert len(chosen) == 1 and len(chosen.pop()) == RELAYS_PER_ZONE
 
-    def test_one_that_stays_silent_is_passed_over_and_tried_again(self):
+    def test_unresponsive_relay_is_excluded_and_retried(self):
         relays = ZoneRelays("own")
         first = next(each for each in relays.choose(self.members, {}, 0.0) if each != "own")
-        heard = dict.fromkeys(self.members, 0.0)
+        digest_times = dict.fromkeys(self.members, 0.0)
         soon = RELAY_TIMEOUT_SECONDS + 0.1
-        heard.update({name: soon for name in self.members if name != first})
-        assert first not in relays.choose(self.members, heard, soon)
+        digest_times.update({name: soon for name in self.members if name != first})
+        assert first not in relays.choose(self.members, digest_times, soon)
         later = soon + RELAY_RETRY_SECONDS + 0.1
         assert first in relays.choose(self.members, dict.fromkeys(self.members, later), later)
 
-    def test_one_that_is_heard_stays(self):
+    def test_live_relay_stays_chosen(self):
         relays = ZoneRelays("own")
         chosen = relays.choose(self.members, {}, 0.0)
         for step in range(20):
@@ -177,32 +181,32 @@
             assert relays.choose(self.members, dict.fromkeys(self.members, now), now) == chosen
 
 
-class TestSums:
-    """Two tellers of the same sums, either of which may be lost at any time."""
+class TestSourceSelection:
+    """Two sources of the same totals, either of which may be lost at any time."""
 
     def count(self, events, period=0.25):
-        """Return what a listener counts of (time, teller, sum)."""
-        streams, ledger = SourceSelector(), ConsumptionLedger()
-        for now, teller, total in events:
-            step = streams.select_action("zone", teller, period, now)
-            if step is not SumAction.IGNORE:
-                ledger.add_sums(teller, {"desk": total}, step is SumAction.COUNT)
+        """Return the units counted from events of (time, source, total)."""
+        selector, ledger = SourceSelector(), ConsumptionLedger()
+        for now, source, total in events:
+            action = selector.select_action("zone", source, period, now)
+            if action is not SumAction.IGNORE:
+                ledger.add_sums(source, {"desk": total}, action is SumAction.COUNT)
         return ledger.total["desk"]
 
-    def test_both_together_count_once(self):
+    def test_redundant_sources_count_once(self):
         events = []
         for step in range(40):
             events += [(step * 0.25, "a", step * 10), (step * 0.25 + 0.1, "b", 5000 + step * 10)]
         assert self.count(events) == 390
 
-    def test_other_one_goes_on_where_one_is_lost(self):
+    def test_second_source_continues_after_the_first_is_lost(self):
         events = [(step * 0.25, "a", step * 10) for step in range(20)]
         events += [(step * 0.25 + 0.1, "b", 7 + step * 10) for step in range(40)]
         counted = self.count(sorted(events))
-        # What the other one has added since its last sums that were noted counts in full.
+        # The second source's increase since its last recorded totals counts in full.
         assert 385 <= counted <= 400
 
-    def test_a_late_digest_loses_nothing(self):
+    def test_late_digest_loses_no_units(self):
         events = []
         for step in range(40):
             if step not in (10, 20):
@@ -210,39 +214,40 @@
             events.append((step * 0.25 + 0.1, "b", 3 + step * 10))
         assert 370 <= self.count(sorted(events)) <= 400
 
-    def test_what_a_new_teller_knew_before_does_not_count(self):
+    def test_first_totals_of_a_source_do_not_count(self):
         assert self.count([(0.0, "a", 900), (0.25, "a", 910)]) == 10
 
     @pytest.mark.parametrize("seed", range(5))
-    def test_lost_digests_change_little(self, seed):
+    def test_lost_digests_cause_little_error(self, seed):
         rng = random.Random(seed)
         events = []
         for step in range(400):
-            for teller, offset in (("a", 0.0), ("b", 0.1)):
+            for source, offset in (("a", 0.0), ("b", 0.1)):
                 if rng.random() > 0.05:
-                    events.append((step * 0.25 + offset, teller, step * 10))
+                    events.append((step * 0.25 + offset, source, step * 10))
         assert 0.95 * 4000 <= self.count(sorted(events)) <= 1.05 * 4000
 
 
-class TestRelaysOfTheStore:
-    def test_only_relays_follow_the_store_and_ask_once_a_second_at_most(self):
-        world = many_world()
+class TestStoreWatchingRelays:
+    def test_only_relays_watch_the_store_with_few_calls(self):
+        world = large_world()
         world.run(6.0)
-        following = {name for name, each in world.fronts.items() if not each.knowledge.rests}
-        assert following == relays(world)
+        watching = {name for name, each in world.fronts.items() if not each.knowledge.rests}
+        assert watching == relay_names(world)
         before = world.store.calls
         for step in range(50):
             world.register("plain-1", "records", sequence=2 + step)
             world.run(0.2)
-        # Endpoints once a second, the configuration each 3.5 s, and the duties of one holder.
-        assert world.store.calls - before <= len(relays(world)) * 10 * (1.1 + 0.3) + 10 * 4
+        # Endpoints once a second, the configuration every 3.5 s, and the leader tasks of one
+        # process.
+        assert world.store.calls - before <= len(relay_names(world)) * 10 * (1.1 + 0.3) + 10 * 4
 
     @pytest.mark.parametrize("way", ["kill", "pause", "cut"])
-    def test_zone_learns_of_changes_when_its_relays_are_lost(self, way):
-        world = many_world()
+    def test_zone_receives_changes_after_its_relays_are_lost(self, way):
+        world = large_world()
         world.endpoint("plain-2", "records")
         world.run(6.0)
-        lost = relays(world) & set(in_zone(world, "zone-a"))
+        lost = relay_names(world) & set(names_in_zone(world, "zone-a"))
         for name in lost:
             world.lose(name, way)
         world.configure_routes(version=2)
--- a/flamingofront/process/forwarding/tests/test_pacing.py
+++ b/flamingofront/process/forwarding/tests/test_pacing.py
@@ -1,4 +1,4 @@
-"""Datagrams that are sent evenly."""
+"""Paced sending of datagrams."""
 
 from flamingofront.process.forwarding.pacing import BURST_BYTES, PAUSE_SECONDS, PacedSender
 from flamingofront.process.timers import ManualClock, TimerService
@@ -11,14 +11,14 @@
         sent = []
         return PacedSender(lambda data, ip: sent.append((clock.time, ip)), timers), clock, sent
 
-    def test_a_few_are_sent_at_once_and_leave_no_timer(self):
+    def test_small_burst_is_sent_at_once_without_a_timer(self):
         sender, _, sent = self.sender()
         for number in range(3):
             sender.send(b"x" * 1000, str(number))
         assert [ip for _, ip in sent] == ["0", "1", "2"]
         assert sender._timers.next_due() is None
 
-    def test_many_are_sent_in_order_and_evenly(self):
+    def test_large_burst_is_sent_in_order_and_paced(self):
         sender, clock, sent = self.sender()
         for number in range(60):
             sender.send(b"x" * 1000, str(number))
--- a/flamingofront/process/forwarding/tests/test_reports.py
+++ b/flamingofront/process/forwarding/tests/test_reports.py
@@ -1,4 +1,4 @@
-"""What entry processes tell one another when they are many."""
+"""Reports, load deltas, and gossip through relays in large deployments."""
 
 import logbook
 import pytest
@@ -20,11 +20,11 @@
 from flamingofront.tests.forwarding_world import ForwardingWorld, ready_world
 
 ZONES = ("zone-a", "zone-b", "zone-c", "zone-d")
-MANY = 2 * MAX_DIRECT_PEERS + 4
+LARGE_COUNT = 2 * MAX_DIRECT_PEERS + 4
 
 
-def many_world(count=MANY, burst_bytes=24_000, **changes):
-    """Return a world with many entry processes in four zones, started within 0.3 s."""
+def large_world(count=LARGE_COUNT, burst_bytes=24_000, **changes):
+    """Return a simulated cluster of many entry processes in four zones, started within 0.3 s."""
     world = ForwardingWorld()
     world.burst_bytes = burst_bytes
     world.configure_routes(**changes)
@@ -37,12 +37,12 @@
     return world
 
 
-class Datagrams:
-    """Counts what the entry processes of a world send and get, by VM."""
+class DatagramCounter:
+    """Counts the datagrams that the entry processes of a world send and receive, by VM."""
 
     def __init__(self, world):
         self.sent = dict.fromkeys(world.fronts, 0)
-        self.got = dict.fromkeys(world.fronts, 0)
+        self.received = dict.fromkeys(world.fronts, 0)
         self.bytes_to_other_zones = 0
         inner = world._datagram
 
@@ -50,7 +50,7 @@
             target = world.hosts.get(address)
             if target is not None:
                 self.sent[source.name] += 1
-                self.got[target.name] += 1
+                self.received[target.name] += 1
                 if target.zone != source.zone:
                     self.bytes_to_other_zones += len(data)
             inner(source, address, data)
@@ -58,65 +58,65 @@
         world._datagram = send
 
 
-def relays(world):
+def relay_names(world):
     return {name for name, each in world.fronts.items() if each.peers.relaying.is_relay}
 
 
-def in_zone(world, zone):
+def names_in_zone(world, zone):
     return [name for name, each in world.fronts.items() if each.settings.zone == zone]
 
 
-def backlog_of(world, name, endpoint):
-    """Return the prompt tokens at an endpoint of which a process has heard."""
+def peer_backlog(world, name, endpoint):
+    """Return the unread prompt tokens at an endpoint that peers have reported to a process."""
     return sum(each.backlog.get(endpoint, 0) for each in world.fronts[name].peers.peer_loads())
 
 
-class TestManyMembers:
-    def test_lines_on_who_is_heard_do_not_grow_with_their_number(self):
+class TestLargeDeployment:
+    def test_number_of_liveness_lines_is_bounded(self):
         with logbook.TestHandler(level="INFO", bubble=True).applicationbound() as log:
-            world = many_world()
-            first = len([each for each in log.records if each.message == "peers heard"])
+            world = large_world()
+            first = len([each for each in log.records if each.message == "live peers"])
             world.kill("front-1")
             world.run(10.0)
-        told = [each.kwargs for each in log.records if each.message == "peers heard"]
-        assert first <= 3 * MANY
-        assert len(told) - first <= 3 * MANY
-        missing = [each for each in told if each["missing"]]
+        lines = [each.kwargs for each in log.records if each.message == "live peers"]
+        assert first <= 3 * LARGE_COUNT
+        assert len(lines) - first <= 3 * LARGE_COUNT
+        missing = [each for each in lines if each["missing"]]
         assert missing and {tuple(each["named"]) for each in missing} == {("front-1",)}
 
-    def test_all_stay_in_hearing_of_all_though_datagrams_are_lost(self):
-        world = many_world()
+    def test_members_stay_live_despite_lost_datagrams(self):
+        world = large_world()
         world.lost_datagrams = 0.05
         for _ in range(20):
             world.run(0.5)
             shares = [each.peers.live_share() for each in world.fronts.values()]
-            assert min(shares) >= 1.0 - 1.5 / MANY
+            assert min(shares) >= 1.0 - 1.5 / LARGE_COUNT
 
-    def test_traffic_of_a_process_does_not_grow_with_their_number(self):
-        """Each process told 64 a second and heard as many: processor time by the turn."""
+    def test_traffic_per_process_is_independent_of_cluster_size(self):
+        """Without relays each process sent and received 64 datagrams a second, one per peer."""
         to_other_zones = []
-        for count in (MANY, 2 * MANY):
-            world = many_world(count)
-            traffic = Datagrams(world)
+        for count in (LARGE_COUNT, 2 * LARGE_COUNT):
+            world = large_world(count)
+            traffic = DatagramCounter(world)
             world.run(5.0)
-            assert len(relays(world)) == 2 * len(ZONES)
-            for name in world.fronts.keys() - relays(world):
+            assert len(relay_names(world)) == 2 * len(ZONES)
+            for name in world.fronts.keys() - relay_names(world):
                 assert traffic.sent[name] / 5.0 <= 5
-                # The holder of the duties gets the counts of each relay each second besides.
+                # Each relay also sends its usage to the leader every second.
                 counts = 2 * len(ZONES) if name == holder(world) else 0
-                assert traffic.got[name] / 5.0 <= 9 + counts
-            for name in relays(world):
+                assert traffic.received[name] / 5.0 <= 9 + counts
+            for name in relay_names(world):
                 zone_size = count / len(ZONES)
                 assert traffic.sent[name] / 5.0 <= 4 * zone_size + 2 * 2 * len(ZONES) + 4
-                assert traffic.got[name] / 5.0 <= 3 * zone_size + 2 * 2 * len(ZONES) + 8
+                assert traffic.received[name] / 5.0 <= 3 * zone_size + 2 * 2 * len(ZONES) + 8
             to_other_zones.append(traffic.bytes_to_other_zones)
         assert to_other_zones[1] <= 1.5 * to_other_zones[0]
 
     @pytest.mark.parametrize("killed", ["none", "a process", "the holder"])
-    def test_usage_is_complete(self, killed):
-        world = many_world()
+    def test_usage_is_complete_after_a_crash(self, killed):
+        world = large_world()
         for number in range(40):
-            world.finish(world.ask(f"front-{number % MANY}", "/read/x"))
+            world.finish(world.ask(f"front-{number % LARGE_COUNT}", "/read/x"))
             world.run(0.1)
         world.run(1.0)
         first = holder(world)
@@ -128,47 +128,56 @@
         assert sum(each.get("desk", 0) for each in usage(world).values()) == 40
 
     @pytest.mark.parametrize("lost", [0.1, 0.3])
-    def test_window_waits_for_counts_that_are_known_to_be_missing(self, lost):
-        """Of 89 busy processes some counts came after two seconds, and were missing then."""
-        world = many_world()
+    def test_usage_window_waits_for_missing_counts(self, lost):
+        """Guards against windows closed before all usage has arrived.
+
+        With 89 busy processes some usage came after two seconds and was missing in the window.
+        """
+        world = large_world()
         world.lost_datagrams = lost
         for number in range(120):
-            world.finish(world.ask(f"front-{number % MANY}", "/read/x"))
+            world.finish(world.ask(f"front-{number % LARGE_COUNT}", "/read/x"))
             world.run(0.1)
         world.run(15.0)
         assert sum(each.get("desk", 0) for each in usage(world).values()) == 120
 
-    def test_large_prompts_are_known_in_the_zone_soon_and_elsewhere_a_little_later(self):
-        """A prompt is read in 20 to 200 ms; word of it was 1.5 s old among 195 processes."""
-        world = many_world()
+    def test_large_prompts_propagate_in_time(self):
+        """Guards against load data that is older than the time to read a prompt, 20 to 200 ms.
+
+        Among 195 processes it was 1.5 s old.
+        """
+        world = large_world()
         names = [name for name in world.fronts if name != "front-0"]
-        near = {name for name in names if name in in_zone(world, "zone-a")}
-        seen = {}
+        same_zone = {name for name in names if name in names_in_zone(world, "zone-a")}
+        delays = {}
         for trial in range(8):
             world.run(0.63)
             start = world.clock.now()
             endpoint = f"engine-{trial}"
             world.fronts["front-0"].directory.queued(endpoint, 9000)
-            while len([key for key in seen if key[0] == trial]) < len(names):
+            while len([key for key in delays if key[0] == trial]) < len(names):
                 world.run(0.01)
                 for name in names:
-                    if backlog_of(world, name, endpoint) == 9000:
-                        seen.setdefault((trial, name), world.clock.now() - start)
-        close = [age for (_, name), age in seen.items() if name in near]
-        far = [age for (_, name), age in seen.items() if name not in near]
+                    if peer_backlog(world, name, endpoint) == 9000:
+                        delays.setdefault((trial, name), world.clock.now() - start)
+        close = [age for (_, name), age in delays.items() if name in same_zone]
+        far = [age for (_, name), age in delays.items() if name not in same_zone]
         assert sum(close) / len(close) <= 0.15 and max(close) <= 0.3
         assert sum(far) / len(far) <= 0.5 and max(far) <= 1.0
 
-    def test_links_that_lose_what_comes_in_one_burst_are_no_harm(self):
-        """Behind the digests to the zone all those to other zones were lost, at each turn."""
-        world = many_world(2 * MANY, burst_bytes=6_000)
+    def test_digests_arrive_over_links_that_drop_bursts(self):
+        """Guards against digests sent in one burst, whose end small links drop.
+
+        All digests to other zones followed those to the own zone and were lost each time.
+        """
+        world = large_world(2 * LARGE_COUNT, burst_bytes=6_000)
         world.run(5.0)
-        assert len(relays(world)) == 2 * len(ZONES)
+        assert len(relay_names(world)) == 2 * len(ZONES)
         assert min(each.peers.live_share() for each in world.fronts.values()) == 1.0
 
     def test_small_prompts_wait_for_the_next_report(self):
-        world = many_world()
-        name = next(iter(world.fronts.keys() - relays(world)))
+        world = large_world()
+        name = next(iter(world.fronts.keys() - relay_names(world)))
         front = world.fronts[name]
         sent = []
         front.peers._send = lambda data, target: sent.append((data, target))
@@ -177,41 +186,44 @@
             world.run(0.01)
         assert len(sent) <= 2
 
-    def test_own_prompts_are_not_taken_for_those_of_others(self):
-        world = many_world()
+    def test_local_prompts_are_not_counted_as_peer_load(self):
+        world = large_world()
         for _ in range(30):
             world.fronts["front-0"].directory.queued("engine", 2000)
             world.run(0.1)
-            assert backlog_of(world, "front-0", "engine") == 0
+            assert peer_backlog(world, "front-0", "engine") == 0
         world.run(1.5)
-        assert {backlog_of(world, name, "engine") for name in world.fronts} == {0, 60000}
+        assert {peer_backlog(world, name, "engine") for name in world.fronts} == {0, 60000}
 
-    def test_zone_hears_of_all_again_soon_after_both_its_relays_are_killed(self):
-        world = many_world()
-        lost = relays(world) & set(in_zone(world, "zone-b"))
+    def test_zone_recovers_after_both_relays_are_killed(self):
+        world = large_world()
+        lost = relay_names(world) & set(names_in_zone(world, "zone-b"))
         assert len(lost) == 2
         for name in lost:
             world.kill(name)
         world.run(3.0)
         alive = {name: each for name, each in world.fronts.items() if name not in lost}
-        assert len(relays(world) & alive.keys()) == 2 * len(ZONES)
-        assert min(each.peers.live_share() for each in alive.values()) >= 1 - 2.5 / MANY
+        assert len(relay_names(world) & alive.keys()) == 2 * len(ZONES)
+        assert min(each.peers.live_share() for each in alive.values()) >= 1 - 2.5 / LARGE_COUNT
         world.fronts["front-0"].directory.queued("engine", 9000)
         world.run(1.2)
-        for name in set(in_zone(world, "zone-b")) & alive.keys():
-            assert backlog_of(world, name, "engine") == 9000
+        for name in set(names_in_zone(world, "zone-b")) & alive.keys():
+            assert peer_backlog(world, name, "engine") == 9000
 
     @pytest.mark.parametrize("killed", ["none", "relays"])
-    def test_what_is_taken_of_a_quota_counts_once_everywhere(self, killed):
+    def test_quota_consumption_counts_once_everywhere(self, killed):
         tenant = {"name": "desk", "api_keys": ["key-1"], "rate_per_s": 1e-6, "burst": 1e6}
-        world = many_world(tenants=[tenant])
+        world = large_world(tenants=[tenant])
         lost = set()
         for number in range(200):
             if number == 100 and killed == "relays":
-                lost = {sorted(relays(world) & set(in_zone(world, zone)))[0] for zone in ZONES}
+                lost = {
+                    sorted(relay_names(world) & set(names_in_zone(world, zone)))[0]
+                    for zone in ZONES
+                }
                 for name in lost:
                     world.kill(name)
-            name = f"front-{number % MANY}"
+            name = f"front-{number % LARGE_COUNT}"
             front = world.fronts[name]
             if name not in lost:
                 workspace = front.configuration.workspaces[0]
@@ -219,27 +231,27 @@
             world.run(0.02)
         world.run(2.0)
         alive = {name: each for name, each in world.fronts.items() if name not in lost}
-        taken = sum(each.quota.spent().get("desk", 0.0) for each in world.fronts.values())
+        consumed = sum(each.quota.spent().get("desk", 0.0) for each in world.fronts.values())
         for each in alive.values():
             state = each.quota.state(each.configuration.workspaces[0], each.timers.now())
-            # Losing one relay in every zone at once hides up to 0.8 s, of four, from the others.
-            assert (0.8 if lost else 1.0) * taken <= state.taken <= 1.05 * taken
+            # Losing one relay in every zone at once hides up to 0.8 s of the 4 s from the others.
+            assert (0.8 if lost else 1.0) * consumed <= state.taken <= 1.05 * consumed
 
-    def test_holder_knows_the_demand_of_all(self):
-        world = many_world()
-        for number in range(MANY):
+    def test_leader_has_the_demand_of_all_processes(self):
+        world = large_world()
+        for number in range(LARGE_COUNT):
             world.ask(f"front-{number}", "/read/x")
         world.run(0.9)
         node = world.fronts[holder(world)]
         running = sum(each.hub.in_flight_of("records") for each in world.fronts.values())
-        told = sum_demand(node.peers.peer_loads()).get("records", 0)
-        assert told + node.hub.in_flight_of("records") >= running - 1
+        reported = sum_demand(node.peers.peer_loads()).get("records", 0)
+        assert reported + node.hub.in_flight_of("records") >= running - 1
 
 
-class TestReport:
+class TestReportFormat:
     report = PeerReport("vm", 7, 3, "zone-a", "1.2.3.4", "1.2.3.4:5", peers=("4.3.2.1",), demand={})
 
-    def test_it_is_decoded_as_it_was_encoded(self):
+    def test_encoding_round_trip(self):
         assert decode_report(encode_report(self.report)) == self.report
 
     def test_fields_of_a_newer_version_are_ignored(self):
@@ -247,36 +259,36 @@
         assert decode_report(data) == self.report
 
     @pytest.mark.parametrize("data", [b"", b"{}", b"[]", b'["vm",1]', b"7", b"\xff"])
-    def test_what_is_no_report_is_refused(self, data):
+    def test_malformed_report_is_rejected(self, data):
         with pytest.raises(ValueError, match="malformed report"):
             decode_report(data)
 
-    def test_short_form_leaves_the_demand_as_it_was_told(self):
+    def test_short_form_keeps_the_last_demand(self):
         table = PeerTable("other")
-        told = PeerReport("vm", 7, 1, "z", "1.2.3.4", "1.2.3.4:5", demand={"records": 4})
-        table.store_report(told, 1.0)
+        full = PeerReport("vm", 7, 1, "z", "1.2.3.4", "1.2.3.4:5", demand={"records": 4})
+        table.store_report(full, 1.0)
         newer = without_counts(PeerReport("vm", 7, 2, "z", "1.2.3.4", "1.2.3.4:5"))
         assert table.store_report(newer, 2.0)
         (kept,) = table.live_reports(2.0)
         assert (kept.sequence, kept.demand) == (2, {"records": 4})
 
 
-class TestNotes:
-    """Prompts come in clumps, within less time than lies between two reports."""
+class TestLoadDeltas:
+    """Several prompts can arrive between two reports; deltas keep placements apart meanwhile."""
 
     report = PeerReport(
         "vm", 7, 3, "z", "1.2.3.4", "1.2.3.4:5", in_flight={"e": 1}, backlog={"e": 5}
     )
 
-    def heard(self, *notes):
+    def apply_deltas(self, *deltas):
         table = PeerTable("other")
         table.store_report(self.report, 1.0)
-        taken = [table.apply_delta(each) for each in notes]
+        results = [table.apply_delta(each) for each in deltas]
         (kept,) = table.live_reports(1.0)
-        return taken, kept
+        return results, kept
 
     @pytest.mark.parametrize("seed", range(4))
-    def test_clump_of_prompts_at_several_processes_is_spread(self, seed):
+    def test_simultaneous_prompts_spread_over_endpoints(self, seed):
         world = ready_world(fronts=4, engines=4, seed=seed)
         for each in world.endpoints.values():
             each.gap = 0.15
@@ -294,7 +306,7 @@
             assert begun == [1, 1, 1, 1]
             world.run(1.1)
 
-    def test_it_is_decoded_as_it_was_encoded(self):
+    def test_encoding_round_trip(self):
         note = LoadDelta("vm", 7, 3, {"e": (1, 900)})
         data = encode_load_delta(note)
         assert decode_load_delta(data) == note
@@ -303,22 +315,22 @@
     @pytest.mark.parametrize(
         "data", [b"{}", b'{"load":[]}', b'{"load":["vm",1,2,{"e":[1]}]}', b"{"]
     )
-    def test_what_is_no_note_is_refused(self, data):
+    def test_malformed_load_delta_is_rejected(self, data):
         with pytest.raises(ValueError, match="malformed note"):
             decode_load_delta(data)
 
-    def test_changes_are_added_to_the_report(self):
-        notes = (LoadDelta("vm", 7, 3, {"e": (1, 7)}), LoadDelta("vm", 7, 3, {"f": (2, 9)}))
-        taken, kept = self.heard(*notes)
-        assert taken == [True, True]
+    def test_deltas_are_added_to_the_report(self):
+        deltas = (LoadDelta("vm", 7, 3, {"e": (1, 7)}), LoadDelta("vm", 7, 3, {"f": (2, 9)}))
+        results, kept = self.apply_deltas(*deltas)
+        assert results == [True, True]
         assert (kept.in_flight, kept.backlog) == ({"e": 2, "f": 2}, {"e": 12, "f": 9})
 
     @pytest.mark.parametrize("note", [("vm", 7, 2), ("vm", 6, 3), ("unknown", 7, 3)])
-    def test_what_a_report_tells_already_is_left_out(self, note):
-        taken, kept = self.heard(LoadDelta(*note, {"e": (1, 7)}))
-        assert taken == [False] and kept == self.report
+    def test_delta_that_a_report_includes_is_ignored(self, note):
+        results, kept = self.apply_deltas(LoadDelta(*note, {"e": (1, 7)}))
+        assert results == [False] and kept == self.report
 
-    def test_lost_datagrams_leave_nothing_behind(self):
+    def test_lost_datagrams_leave_no_phantom_load(self):
         world = ready_world(fronts=3, seed=3)
         world.lost_datagrams = 0.3
         for number in range(30):
@@ -327,15 +339,19 @@
         world.lost_datagrams = 0.0
         world.run(3.0)
         for each in world.fronts.values():
-            heard = each.peers.table.live_reports(each.timers.now())
-            assert not any(sum(report.in_flight.values()) for report in heard)
+            live = each.peers.table.live_reports(each.timers.now())
+            assert not any(sum(report.in_flight.values()) for report in live)
+
 
+class TestFullRestart:
+    def test_quota_holds_after_a_full_restart(self):
+        """Guards against consumption that is not counted after all processes restart.
 
-class TestRestartOfAll:
-    def test_quota_holds_in_the_seconds_after_it(self):
-        """Processes that first heard a digest later than others knew nothing of what these took."""
+        Processes that received their first digest later than others did not count the others'
+        consumption.
+        """
         tenant = {"name": "desk", "api_keys": ["key-1"], "rate_per_s": 40.0, "burst": 40.0}
-        world = many_world(tenants=[tenant])
+        world = large_world(tenants=[tenant])
         for name in list(world.fronts):
             zone = world.fronts[name].settings.zone
             world.kill(name)
--- a/flamingofront/process/forwarding/whole_load.py
+++ b/flamingofront/process/forwarding/whole_load.py
@@ -1,4 +1,4 @@
-"""What all entry processes together run at the endpoints of a service."""
+"""Load of all entry processes together at the endpoints of a service."""
 
 from collections import Counter
 
@@ -14,7 +14,7 @@
 
 
 class ClusterLoad:
-    """Sums of this process's requests and of those that the others tell.
+    """Sums the requests of this process and those that its peers report.
 
     Parameters
     ----------
@@ -29,7 +29,7 @@
         self._timers = timers
 
     def compute_demand(self, service: str) -> Demand:
-        """Return the requests that run at the endpoints of a service."""
+        """Return the demand of all processes for the endpoints of a service."""
         loads = self._peers.peer_loads()
         running = self._hub.in_flight_of(service) + sum_demand(loads).get(service, 0)
         work = self._hub.work.work(self._timers.now()).get(service, Work())
@@ -37,12 +37,12 @@
         return Demand(running, self._hub.directory.slots(service) or DEFAULT_SLOTS, work)
 
     def count_at_other_versions(self, service: str, version: str) -> int | None:
-        """Return what runs at the endpoints of a service that have not a version.
+        """Return the attempts in flight at endpoints of a service that run other versions.
 
         Returns
         -------
         int or None
-            None while some processes cannot be heard.
+            None while some processes are unreachable, because the count would be incomplete.
         """
         if self._peers.live_share() < 1.0:
             return None
--- a/flamingofront/process/forwarding/zone_relays.py
+++ b/flamingofront/process/forwarding/zone_relays.py
@@ -1,8 +1,8 @@
-"""Which processes of a zone sum up its reports and tell the sums.
+"""Selection of the relays of a zone: the processes that sum its reports and send the sums.
 
-Nothing is agreed on: each process ranks those that it knows of by rendezvous hash and reports to
-the first two. A process that gets a report answers with digests, whatever it thinks of itself, so
-that views that differ only cost some datagrams until the next roster.
+There is no agreement protocol: each process ranks the members that it has cached by rendezvous hash
+and reports to the first two. A process that receives a report answers with digests even if it is no
+relay in its own view, so differing views only cost some datagrams until the next member list.
 """
 
 from collections.abc import Mapping
@@ -11,66 +11,67 @@
 
 __all__ = ["RELAYS_PER_ZONE", "ZoneRelays"]
 
-# With two a zone is never without word while one of them is replaced: the other's digests go on.
+# With two relays the zone still gets digests while one of them is replaced.
 RELAYS_PER_ZONE = 2
-# A relay that sends no digest for so long after it was first told is passed over: four digests.
-# The other relay goes on meanwhile.
+# A relay without a digest for this long after its first report is excluded; about four digests. The
+# other relay continues meanwhile.
 RELAY_TIMEOUT_SECONDS = 1.2
-# It is tried again after so long: longer than a restart, shorter than a partition that matters.
+# An excluded relay is tried again after this time: longer than a restart, shorter than a partition
+# that matters.
 RELAY_RETRY_SECONDS = 5.0
 _KEY = "relay"
 
 
 class ZoneRelays:
-    """The relays that a process reports to.
+    """Relays to which a process reports.
 
     Parameters
     ----------
-    own_id : str
+    local_id : str
         VM of this process, which may be a relay itself.
     """
 
-    def __init__(self, own_id: str):
-        self._own_id = own_id
+    def __init__(self, local_id: str):
+        self._local_id = local_id
         self._chosen: tuple[str, ...] = ()
         self._reporting_since: dict[str, float] = {}
         self._excluded_until: dict[str, float] = {}
 
     @property
     def chosen(self) -> tuple[str, ...]:
-        """The relays as they were chosen last, the first one in front."""
+        """VMs of the relays of the last choice, the preferred one first."""
         return self._chosen
 
     @property
     def is_relay(self) -> bool:
-        """True if this process is one of them."""
-        return self._own_id in self._chosen
+        """True if this process is a relay."""
+        return self._local_id in self._chosen
 
     def choose(
-        self, members: Mapping[str, str], heard_at: Mapping[str, float], now: float
+        self, members: Mapping[str, str], digest_times: Mapping[str, float], now: float
     ) -> tuple[str, ...]:
-        """Choose among the processes of the zone and return the relays.
+        """Choose the relays among the processes of the zone and return their VMs.
 
         Parameters
         ----------
         members : mapping of str to str
-            IP number by VM, of those that are not stopping.
-        heard_at : mapping of str to float
-            When a digest of each was heard last.
+            IP address by VM, of the members that are not leaving.
+        digest_times : mapping of str to float
+            Time of the last digest of each member.
         """
-        self._exclude_unresponsive(heard_at, now)
-        able = {self._own_id, *members}.difference(self._excluded_until)
-        chosen = tuple(rank(_KEY, able)[:RELAYS_PER_ZONE])
+        self._exclude_unresponsive(digest_times, now)
+        candidates = {self._local_id, *members}.difference(self._excluded_until)
+        chosen = tuple(rank(_KEY, candidates)[:RELAYS_PER_ZONE])
         for vm_id in chosen:
             self._reporting_since.setdefault(vm_id, now)
         self._reporting_since = {name: self._reporting_since[name] for name in chosen}
         self._chosen = chosen
         return chosen
 
-    def _exclude_unresponsive(self, heard_at: Mapping[str, float], now: float) -> None:
+    def _exclude_unresponsive(self, digest_times: Mapping[str, float], now: float) -> None:
         for vm_id, since in self._reporting_since.items():
-            quiet_since = max(since, heard_at.get(vm_id, since))
-            if vm_id != self._own_id and now - quiet_since > RELAY_TIMEOUT_SECONDS:
+            last_sign = max(since, digest_times.get(vm_id, since))
+            if vm_id != self._local_id and now - last_sign > RELAY_TIMEOUT_SECONDS:
                 self._excluded_until[vm_id] = now + RELAY_RETRY_SECONDS
         self._excluded_until = {
             vm_id: until for vm_id, until in self._excluded_until.items() if until > now
