--- a/flamingofront/process/forwarding/own_report.py
+++ b/flamingofront/process/forwarding/own_report.py
@@ -81,7 +81,7 @@
             peers=self._sample_peers(live),
             usage=sources.usage.to_tell({each.process for each in live}, peers.cluster_time()),
             demand=sources.hub.in_flight_by_service(),
-            work=self._work_by_service(sources.hub),
+            work=self._round_work(sources.hub),
             rollouts=sources.rollouts.word(),
             quarantine=sources.hub.guard.word(),
             limits=sources.hub.limits.recent_changes(),
@@ -90,7 +90,7 @@
             ages=(_round_age(knowledge.configuration_age()), _round_age(knowledge.endpoints_age())),
         )
 
-    def _work_by_service(self, hub: RequestHub) -> dict[str, tuple[float, float]]:
+    def _round_work(self, hub: RequestHub) -> dict[str, tuple[float, float]]:
         """Return the load that this process places, in endpoint-seconds per second to 0.001."""
         averages = hub.work.work(self._timers.now())
         return {name: (round(each.fast, 3), round(each.slow, 3)) for name, each in averages.items()}
--- a/flamingofront/process/forwarding/pacing.py
+++ b/flamingofront/process/forwarding/pacing.py
@@ -8,8 +8,8 @@
 __all__ = ["PacedSender"]
 
 # Bytes sent in one burst, and again after each pause: 3.3 Mbit/s, two thirds of the smallest link
-# of a VM. A relay of 30 processes sent 155 KB in a second. In one burst of about 30 KB the end was
-# lost, and with it the datagrams to the same addressees each time.
+# of a VM. A relay of 30 processes sent 155 KB in a second. When about 30 KB were sent in one burst,
+# the end was lost, each time for the same addressees.
 BURST_BYTES = 4096
 PAUSE_SECONDS = 0.01
 # Queued datagrams, several rounds of a relay; in a longer queue they would be outdated when sent.
@@ -31,7 +31,7 @@
         self._queue: deque[tuple[bytes, str]] = deque(maxlen=MAX_QUEUED_DATAGRAMS)
         self._burst_left = float(BURST_BYTES)
         self._refilled_at = timers.now()
-        self._pausing = False
+        self._is_pausing = False
 
     def send(self, data: bytes, ip: str) -> None:
         """Send a datagram now, or after the queued ones."""
@@ -53,10 +53,10 @@
             data, ip = self._queue.popleft()
             self._burst_left -= len(data)
             self._send(data, ip)
-        if self._queue and not self._pausing:
-            self._pausing = True
+        if self._queue and not self._is_pausing:
+            self._is_pausing = True
             self._timers.once(PAUSE_SECONDS, self._resume)
 
     def _resume(self) -> None:
-        self._pausing = False
+        self._is_pausing = False
         self._send_queued()
--- a/flamingofront/process/forwarding/peer_word.py
+++ b/flamingofront/process/forwarding/peer_word.py
@@ -33,29 +33,35 @@
     """Passes reports and digests to the components that use them, and builds the local report."""
 
     def __init__(
-        self, own: LocalReport, parts: UpdateReceivers, timers: TimerService, metrics: Metrics
+        self,
+        local_report: LocalReport,
+        receivers: UpdateReceivers,
+        timers: TimerService,
+        metrics: Metrics,
     ):
-        self._local_report = own
-        self._parts = parts
-        self._reported = parts.reported
+        self._local_report = local_report
+        self._receivers = receivers
+        self._reported = receivers.reported
         self._timers = timers
         self._metrics = metrics
 
     def build_report(self) -> PeerReport:
         """Return a new report of this process with the current state."""
-        return self._local_report.build(self._reported, self._parts.quota.spent())
+        return self._local_report.build(self._reported, self._receivers.quota.spent())
 
-    def apply_report(self, report: PeerReport, gap: float | None) -> None:
+    def apply_report(self, report: PeerReport, since_previous: float | None) -> None:
         """Apply a peer's report: quota consumption, usage, lease, load and rollouts.
 
         Parameters
         ----------
-        gap : float or None
+        since_previous : float or None
             Seconds since the peer's previous report; None if this is the first one.
         """
         peers, usage = self._reported.peers, self._reported.usage
-        self._metrics.count("peer_reports_total", result="heard" if gap is not None else "first")
-        is_continuous = gap is not None and peers.table.is_within_timeout(gap)
+        self._metrics.count(
+            "peer_reports_total", result="heard" if since_previous is not None else "first"
+        )
+        is_continuous = since_previous is not None and peers.table.is_within_timeout(since_previous)
         self.apply_sums(
             report.process, report.consumed, is_continuous and peers.is_counting_directly()
         )
@@ -66,22 +72,22 @@
         if report.usage is not None:
             usage.reported(report.usage, report.process, peers.cluster_time())
         self._reported.lease.heard(report)
-        self._parts.exchange.compare(report)
+        self._receivers.exchange.compare(report)
         if peers.is_relayed:
-            peers.relaying.receive_report(report, is_continuous, gap is None)
+            peers.relaying.receive_report(report, is_continuous, since_previous is None)
 
-    def apply_sums(self, process: str, sums: Mapping[str, float], is_counted: bool) -> None:
+    def apply_sums(self, process: str, totals: Mapping[str, float], is_counted: bool) -> None:
         """Apply the running totals of a peer or relay: quota units and rollout responses.
 
         Parameters
         ----------
-        sums : mapping of str to float
+        totals : mapping of str to float
             Totals since the start of the sender.
         is_counted : bool
             True if the increase since the sender's last totals was not reported by another source.
         """
-        self._parts.quota.heard(process, sums, is_counted, self._timers.now())
-        self._reported.rollouts.hear_sums(process, sums, is_counted)
+        self._receivers.quota.heard(process, totals, is_counted, self._timers.now())
+        self._reported.rollouts.hear_sums(process, totals, is_counted)
 
     def apply_relay_state(self, relay: PeerReport, claim: LeaseClaim) -> None:
         """Apply the state of a relay and the lease advertisement that it forwards."""
@@ -98,7 +104,7 @@
                 lease_version=claim.lease_version,
             )
         )
-        self._parts.exchange.compare(relay)
+        self._receivers.exchange.compare(relay)
 
     def _apply_rollouts(self, report: PeerReport) -> None:
         """Merge a peer's rollouts, and read those from the store that are newer there."""
--- a/flamingofront/process/forwarding/peers.py
+++ b/flamingofront/process/forwarding/peers.py
@@ -241,7 +241,7 @@
         return min(1.0, (self.live_count() + 1) / self.member_count())
 
     def propagation_delay(self) -> float:
-        """Return the mean seconds until this process receives a change at another process."""
+        """Return the mean delay in seconds until a change at one process reaches another."""
         return (
             RELAYED_DELAY_SECONDS
             if self.is_relayed
@@ -267,7 +267,7 @@
 
         Notes
         -----
-        A VM with a wrong clock so agrees with the others while their clocks are the majority.
+        So a VM with a wrong clock agrees with the others, as long as most clocks are right.
         """
         now = self._timers.now()
         offsets = [*self.table.clock_offsets(now), self._timers.wall() - now]
@@ -420,7 +420,7 @@
             self._send_one(encode_load_delta(part), ip)
 
     def broadcast_report(self) -> None:
-        """Send a report at once, after a change that the others need soon."""
+        """Send the local report at once, after a change that the others need soon."""
         if self.is_relayed:
             self.relaying.send_report_now()
             self.relaying.send_zone_digest_now()
--- a/flamingofront/process/forwarding/relay_hearing.py
+++ b/flamingofront/process/forwarding/relay_hearing.py
@@ -120,7 +120,7 @@
         return found
 
     def _last_remote_digests(self) -> dict[str, ReceivedDigest]:
-        """Return the best digest of each other zone, including unreachable zones."""
+        """Return the last digest of each other zone, including unreachable zones."""
         now = self._timers.now()
         found = self._live_remote_digests()
         for zone, by_relay in self._remote_digests.items():
@@ -159,7 +159,7 @@
         return sorted({self._identity.zone, *self._registered, *self._remote_digests, *named})
 
     def rank_relays(self, key: str) -> list[str]:
-        """Return the IP addresses of all relays, by zone in rendezvous order for a key.
+        """Return the IP addresses of all relays, grouped by zone in rendezvous order for a key.
 
         Notes
         -----
@@ -182,7 +182,7 @@
         return sorted(found - {self._identity.ip})
 
     def last_digest_times(self) -> dict[str, float]:
-        """Return when a digest of each other zone was received last.
+        """Return the receive time of the last digest of each other zone.
 
         Notes
         -----
@@ -190,9 +190,11 @@
         returns the time of their last digest.
         """
         if not self.is_relay:
-            at = max((each.received_at for each in self._zone_digests.values()), default=-math.inf)
+            last_received = max(
+                (each.received_at for each in self._zone_digests.values()), default=-math.inf
+            )
             return {
-                zone: at
+                zone: last_received
                 for zone in set(self.known_zones())
                 - {self._identity.zone, *self.unreachable_zones()}
             }
@@ -202,7 +204,7 @@
         }
 
     def digest_times(self, ip: str) -> list[float]:
-        """Return when digests of the relay at an IP address were received last."""
+        """Return the receive times of the last digests from the relay at an IP address."""
         digests = [*self._zone_digests.values()]
         digests += [
             each for by_relay in self._remote_digests.values() for each in by_relay.values()
@@ -254,8 +256,8 @@
         """Return the zones without a live member."""
         digests = self._live_zone_digests()
         if not self.is_relay:
-            by_relay_digest = [set(each.digest.unreachable) for each in digests]
-            return frozenset(set.intersection(*by_relay_digest)) if by_relay_digest else frozenset()
+            zone_sets = [set(each.digest.unreachable) for each in digests]
+            return frozenset(set.intersection(*zone_sets)) if zone_sets else frozenset()
         now = self._timers.now()
         last_received = {
             zone: max(each.received_at for each in by_relay.values())
--- a/flamingofront/process/forwarding/reports.py
+++ b/flamingofront/process/forwarding/reports.py
@@ -56,7 +56,7 @@
     Parameters
     ----------
     incarnation : int
-        Start of the process; a new incarnation counts from 0.
+        Start time of the process, milliseconds since the epoch; its counters start from 0.
     sequence : int
         Number of the report.
     address : str
@@ -80,11 +80,11 @@
     lease_version : int
         Version of the lease row after its last renewal.
     consumed : mapping of str to float
-        Quota units consumed since its start, by workspace.
+        Quota units consumed since its start by workspace, and response totals of rollouts.
     in_flight : mapping of str to int
         Attempts in flight, by endpoint.
     backlog : mapping of str to int
-        Prompt tokens of its attempts whose response has not started, by endpoint.
+        Prompt tokens of its attempts whose response has not started yet, by endpoint.
     peers : tuple of str
         IP addresses of some of its live peers.
     usage : mapping, optional
@@ -103,7 +103,8 @@
     limits : tuple of EndpointLimit
         Changes of the rate limits of endpoints in the last seconds.
     leaving_endpoints : tuple of (str, int)
-        Endpoints that began to leave recently, by their responses or rows, with their start times.
+        Endpoints that began to leave recently, according to their responses or rows, with their
+        start times in milliseconds since the epoch.
     position : int
         Feed position up to which its configuration is current.
     ages : tuple of (float or None, float or None)
@@ -153,7 +154,7 @@
 
 _FIELDS = tuple(each.name for each in dataclasses.fields(PeerReport))
 _ENCODERS = {"quarantine": encode_word, "limits": encode_limits}
-_REQUIRED = sum(
+_REQUIRED_COUNT = sum(
     each.default is dataclasses.MISSING and each.default_factory is dataclasses.MISSING
     for each in dataclasses.fields(PeerReport)
 )
@@ -183,7 +184,7 @@
         values = orjson.loads(data)
     except orjson.JSONDecodeError as exc:
         raise ValueError(f"malformed report: {exc}") from exc
-    if not isinstance(values, list) or len(values) < _REQUIRED:
+    if not isinstance(values, list) or len(values) < _REQUIRED_COUNT:
         raise ValueError("malformed report: expected a list with the values of all required fields")
     named = dict(zip(_FIELDS, values, strict=False))
     named["peers"] = _decode_ips(named.get("peers", ()))
@@ -216,7 +217,7 @@
 
 
 def decode_endpoint_starts(value: Any) -> tuple[tuple[str, int], ...]:
-    """Return endpoints with their start times.
+    """Return endpoint ids with their start times, in milliseconds since the epoch.
 
     Raises
     ------
@@ -288,7 +289,7 @@
         vm_id, incarnation, sequence, changes = orjson.loads(data)["load"]
         found = {name: (int(each[0]), int(each[1])) for name, each in changes.items()}
     except (KeyError, TypeError, IndexError, AttributeError, ValueError) as exc:
-        raise ValueError(f"malformed note: {exc!r}") from exc
+        raise ValueError(f"malformed load delta: {exc!r}") from exc
     return LoadDelta(str(vm_id), int(incarnation), int(sequence), found)
 
 
@@ -328,7 +329,7 @@
         return age <= self._liveness_timeout
 
     def store_report(self, report: PeerReport, now: float) -> bool:
-        """Store a report; False if it is not newer than the stored one, or of this process."""
+        """Store a report; False if it is not newer than the stored one, or from this process."""
         if report.vm_id == self._local_id:
             return False
         last = self._reports.get(report.vm_id)
@@ -341,7 +342,10 @@
         return True
 
     def apply_delta(self, delta: LoadDelta) -> bool:
-        """Apply a load delta to its sender's last report; False if the report includes it."""
+        """Apply a load delta to its sender's last report and return True.
+
+        Returns False without such a report, or if the report already includes the delta.
+        """
         last = self._reports.get(delta.vm_id)
         if last is None:
             return False
--- a/flamingofront/process/forwarding/streams.py
+++ b/flamingofront/process/forwarding/streams.py
@@ -10,7 +10,7 @@
 # In digest periods of a source: when its next digest is late, and when another source replaces it.
 LATE_PERIODS = 1.3
 SWITCH_PERIODS = 2.4
-# Totals received longer ago than this are no base for an increase.
+# No increase is counted from totals received longer ago than this.
 SOURCE_EXPIRY_SECONDS = 3.0
 
 
@@ -49,9 +49,9 @@
         group : str
             Set of processes that the totals cover, for example a zone.
         process : str
-            The active: VM and incarnation.
+            The source: VM and incarnation.
         period : float
-            Seconds between two digests of a active.
+            Seconds between two digests of a source.
         """
         last_seen = self._last_seen.get(process)
         self._last_seen[process] = now
--- a/flamingofront/process/forwarding/tests/test_digests.py
+++ b/flamingofront/process/forwarding/tests/test_digests.py
@@ -49,13 +49,13 @@
 )
 
 
-def datagram(digest=DIGEST, acknowledged=12):
+def encode_digest(digest=DIGEST, acknowledged=12):
     return DigestWriter(digest).datagram(acknowledged)
 
 
 class TestFormat:
     def test_encoding_round_trip(self):
-        found = decode_digest(datagram())
+        found = decode_digest(encode_digest())
         assert found.relay == RELAY and found.acknowledged == 12
         assert (found.loads, found.claim, found.unreachable) == (
             DIGEST.loads,
@@ -66,7 +66,7 @@
         assert found.usage_until == {"vm/1": 8.25}
 
     def test_digest_is_distinguished_from_a_report(self):
-        assert is_digest(datagram()) and not is_digest(encode_report(RELAY))
+        assert is_digest(encode_digest()) and not is_digest(encode_report(RELAY))
 
     @pytest.mark.parametrize(
         "data",
@@ -76,10 +76,10 @@
             b"D1 x\n[]",
             b"D1 1\n[]",
             b"D1 1\n{}",
-            datagram()[:-1],
-            datagram()[: len(datagram()) // 2],
-            datagram().replace(b"[30,29]", b"[30]"),
-            datagram().replace(b'{"e":[3,900]}', b'{"e":[3]}'),
+            encode_digest()[:-1],
+            encode_digest()[: len(encode_digest()) // 2],
+            encode_digest().replace(b"[30,29]", b"[30]"),
+            encode_digest().replace(b'{"e":[3,900]}', b'{"e":[3]}'),
         ],
     )
     def test_truncated_or_malformed_digest_is_rejected(self, data):
@@ -88,11 +88,11 @@
 
     def test_another_version_is_rejected(self):
         with pytest.raises(ValueError, match="another version"):
-            decode_digest(b"D1" + datagram()[2:])
+            decode_digest(b"D1" + encode_digest()[2:])
 
     def test_oversized_digest_is_rejected(self):
         with pytest.raises(ValueError, match="at most"):
-            decode_digest(datagram() + b" " * MAX_DIGEST_BYTES)
+            decode_digest(encode_digest() + b" " * MAX_DIGEST_BYTES)
 
     @given(st.binary(max_size=200))
     def test_random_bytes_raise_value_error(self, junk):
@@ -104,7 +104,7 @@
         roster = {f"front-some-zone-{number}": "10.200.30.40" for number in range(41)}
         consumed = {f"workspace-{number}": 10**9 for number in range(64)}
         digest = Digest(RELAY, ALL_ZONES, 9.5, 410, 410, loads, consumed=consumed, roster=roster)
-        assert len(datagram(digest)) < MAX_DIGEST_BYTES
+        assert len(encode_digest(digest)) < MAX_DIGEST_BYTES
 
 
 class TestRejectedDatagrams:
@@ -113,7 +113,7 @@
         [
             b"D2 0\n[]",
             b"[1,2]",
-            datagram(),
+            encode_digest(),
             encode_report(RELAY),
         ],
         ids=["version", "malformed", "another's digest", "another's report"],
@@ -184,7 +184,7 @@
 class TestSourceSelection:
     """Two sources of the same totals, either of which may be lost at any time."""
 
-    def count(self, events, period=0.25):
+    def count_units(self, events, period=0.25):
         """Return the units counted from events of (time, source, total)."""
         selector, ledger = SourceSelector(), ConsumptionLedger()
         for now, source, total in events:
@@ -197,12 +197,12 @@
         events = []
         for step in range(40):
             events += [(step * 0.25, "a", step * 10), (step * 0.25 + 0.1, "b", 5000 + step * 10)]
-        assert self.count(events) == 390
+        assert self.count_units(events) == 390
 
     def test_second_source_continues_after_the_first_is_lost(self):
         events = [(step * 0.25, "a", step * 10) for step in range(20)]
         events += [(step * 0.25 + 0.1, "b", 7 + step * 10) for step in range(40)]
-        counted = self.count(sorted(events))
+        counted = self.count_units(sorted(events))
         # The second source's increase since its last recorded totals counts in full.
         assert 385 <= counted <= 400
 
@@ -212,10 +212,10 @@
             if step not in (10, 20):
                 events.append((step * 0.25, "a", step * 10))
             events.append((step * 0.25 + 0.1, "b", 3 + step * 10))
-        assert 370 <= self.count(sorted(events)) <= 400
+        assert 370 <= self.count_units(sorted(events)) <= 400
 
     def test_first_totals_of_a_source_do_not_count(self):
-        assert self.count([(0.0, "a", 900), (0.25, "a", 910)]) == 10
+        assert self.count_units([(0.0, "a", 900), (0.25, "a", 910)]) == 10
 
     @pytest.mark.parametrize("seed", range(5))
     def test_lost_digests_cause_little_error(self, seed):
@@ -225,7 +225,7 @@
             for source, offset in (("a", 0.0), ("b", 0.1)):
                 if rng.random() > 0.05:
                     events.append((step * 0.25 + offset, source, step * 10))
-        assert 0.95 * 4000 <= self.count(sorted(events)) <= 1.05 * 4000
+        assert 0.95 * 4000 <= self.count_units(sorted(events)) <= 1.05 * 4000
 
 
 class TestStoreWatchingRelays:
--- a/flamingofront/process/forwarding/tests/test_reports.py
+++ b/flamingofront/process/forwarding/tests/test_reports.py
@@ -93,7 +93,11 @@
             assert min(shares) >= 1.0 - 1.5 / LARGE_COUNT
 
     def test_traffic_per_process_is_independent_of_cluster_size(self):
-        """Without relays each process sent and received 64 datagrams a second, one per peer."""
+        """Guards against traffic per process that grows with the number of processes.
+
+        Without relays each process sent and received 64 datagrams a second, which cost processor
+        time.
+        """
         to_other_zones = []
         for count in (LARGE_COUNT, 2 * LARGE_COUNT):
             world = large_world(count)
@@ -316,7 +320,7 @@
         "data", [b"{}", b'{"load":[]}', b'{"load":["vm",1,2,{"e":[1]}]}', b"{"]
     )
     def test_malformed_load_delta_is_rejected(self, data):
-        with pytest.raises(ValueError, match="malformed note"):
+        with pytest.raises(ValueError, match="malformed load delta"):
             decode_load_delta(data)
 
     def test_deltas_are_added_to_the_report(self):
--- a/flamingofront/process/forwarding/zone_relays.py
+++ b/flamingofront/process/forwarding/zone_relays.py
@@ -13,13 +13,13 @@
 
 # With two relays the zone still gets digests while one of them is replaced.
 RELAYS_PER_ZONE = 2
-# A relay without a digest for this long after its first report is excluded; about four digests. The
-# other relay continues meanwhile.
+# A relay is excluded if it sends no digest for this long, about four digests, after the first
+# report to it. The other relay continues meanwhile.
 RELAY_TIMEOUT_SECONDS = 1.2
 # An excluded relay is tried again after this time: longer than a restart, shorter than a partition
 # that matters.
 RELAY_RETRY_SECONDS = 5.0
-_KEY = "relay"
+_HASH_KEY = "relay"
 
 
 class ZoneRelays:
@@ -61,7 +61,7 @@
         """
         self._exclude_unresponsive(digest_times, now)
         candidates = {self._local_id, *members}.difference(self._excluded_until)
-        chosen = tuple(rank(_KEY, candidates)[:RELAYS_PER_ZONE])
+        chosen = tuple(rank(_HASH_KEY, candidates)[:RELAYS_PER_ZONE])
         for vm_id in chosen:
             self._reporting_since.setdefault(vm_id, now)
         self._reporting_since = {name: self._reporting_since[name] for name in chosen}
