--- a/bench/platform_mutations.py
+++ b/bench/platform_mutations.py
@@ -245,7 +245,7 @@
     Mutation(
         "P placements are told to peers at once",
         "process/forwarding/observations.py",
-        "        self._hub.directory.on_load = self._record_load_change\n",
+        "        self._hub.directory.on_load_change = self._record_load_change\n",
         "",
         REPORTS,
     ),
@@ -322,15 +322,15 @@
     Mutation(
         "P late work stands back",
         "decisions/lateness.py",
-        "    return LOOK_SECONDS if waited < LONGEST_PART * deadline else 0.0\n",
+        "    return RECHECK_SECONDS if waited < MAX_YIELD_FRACTION * deadline else 0.0\n",
         "    return 0.0\n",
         "decisions/tests/test_lateness.py",
     ),
     Mutation(
         "P work that stands back goes before its deadline is lost",
         "decisions/lateness.py",
-        "    return LOOK_SECONDS if waited < LONGEST_PART * deadline else 0.0\n",
-        "    return LOOK_SECONDS\n",
+        "    return RECHECK_SECONDS if waited < MAX_YIELD_FRACTION * deadline else 0.0\n",
+        "    return RECHECK_SECONDS\n",
         "decisions/tests/test_lateness.py",
     ),
     Mutation(
--- a/bench/restart_mutations.py
+++ b/bench/restart_mutations.py
@@ -102,9 +102,9 @@
         ROLLOUTS,
     ),
     Mutation(
-        "R a version whose order was replaced is withheld",
+        "R a version whose order was replaced is blocked",
         "process/forwarding/rollouts.py",
-        "    return (known.withheld | {known.order.version}) - {order.version}",
+        "    return (known.blocked | {known.order.version}) - {order.version}",
         "    return frozenset()",
         ROLLOUTS,
     ),
--- a/flamingofront/decisions/tests/test_zone_reach.py
+++ b/flamingofront/decisions/tests/test_zone_reach.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from flamingofront.decisions.zone_reach import CUT_OFF_SECONDS, SPOKE_SECONDS, ZoneReach
+from flamingofront.decisions.zone_reach import CUT_OFF_SECONDS, SPOKE_SECONDS, ZoneReachability
 from flamingofront.process.forwarding.reports import PeerReport, PeerTable
 from flamingofront.tests.forwarding_world import ForwardingWorld
 
@@ -10,8 +10,8 @@
 class TestSigns:
     def silent(self):
         """Return the signs of a zone with silent peers, and an answer that does not come."""
-        reach = ZoneReach()
-        reach.peers_silent({"b"})
+        reach = ZoneReachability()
+        reach.set_unresponsive_zones({"b"})
         reach.awaited("b", 10.0 - SPOKE_SECONDS, 10.0)
         return reach
 
@@ -19,21 +19,21 @@
         reach = self.silent()
         assert reach.is_cut_off("b", 10.0) and not reach.is_cut_off("a", 10.0)
         assert not reach.is_cut_off("b", 10.1 + CUT_OFF_SECONDS)
-        reach.peers_silent(())
+        reach.set_unresponsive_zones(())
         assert not reach.is_cut_off("b", 10.0)
 
     @pytest.mark.parametrize("sign", ["none", "an answer that is not late yet"])
     def test_silent_peers_alone_tell_nothing(self, sign):
-        reach = ZoneReach()
-        reach.peers_silent({"b"})
+        reach = ZoneReachability()
+        reach.set_unresponsive_zones({"b"})
         if sign != "none":
             reach.awaited("b", 9.9, 10.0)
         assert not reach.is_cut_off("b", 10.0)
 
     def test_one_failed_connection_is_enough_where_peers_are_silent(self):
-        reach = ZoneReach()
+        reach = ZoneReachability()
         reach.failed("b", "e1", 10.0)
-        reach.peers_silent({"b"})
+        reach.set_unresponsive_zones({"b"})
         assert reach.is_cut_off("b", 10.0)
 
     def test_endpoint_that_speaks_outweighs_its_zone_s_silent_peers(self):
@@ -44,7 +44,7 @@
         assert reach.is_cut_off("b", 10.0 + 1.1 * SPOKE_SECONDS)
 
     def test_two_endpoints_that_cannot_be_connected_to_tell_a_cut_for_a_while(self):
-        reach = ZoneReach()
+        reach = ZoneReachability()
         reach.failed("b", "e1", 10.0)
         assert not reach.is_cut_off("b", 10.0)
         reach.failed("b", "e2", 10.5)
@@ -52,7 +52,7 @@
         assert not reach.is_cut_off("b", 10.6 + CUT_OFF_SECONDS)
 
     def test_answer_forgets_failures(self):
-        reach = ZoneReach()
+        reach = ZoneReachability()
         for endpoint in ("e1", "e2"):
             reach.failed("b", endpoint, 10.0)
         reach.spoke("b", 10.1)
@@ -130,12 +130,12 @@
         world = self.world()
         front = world.fronts["front-zone-a-1"]
         world.cut("zone-a", "zone-b")
-        front.directory.connect_failed("engine-zone-b-1", front.timers.now())
+        front.directory.record_connect_failure("engine-zone-b-1", front.timers.now())
         world.run(1.5)
-        assert front.directory.zones.is_cut_off("zone-b", front.timers.now())
+        assert front.directory.zones.is_partitioned("zone-b", front.timers.now())
         world.heal()
         world.run(0.6)
-        assert not front.directory.zones.is_cut_off("zone-b", front.timers.now())
+        assert not front.directory.zones.is_partitioned("zone-b", front.timers.now())
 
     def test_zone_whose_processes_were_all_killed_is_used_while_its_endpoints_answer(self):
         world = self.world()
--- a/flamingofront/process/forwarding/control.py
+++ b/flamingofront/process/forwarding/control.py
@@ -59,10 +59,10 @@
     def _set_gauges(self) -> None:
         node, gauge = self._node, self._node.metrics.gauge
         gauge("requests_in_flight", len(node.hub.active))
-        gauge("requests_waiting", node.hub.waiting())
+        gauge("requests_waiting", node.hub.count_queued())
         gauge("requests_suspected", len(node.hub.guard.suspects()))
-        gauge("requests_held", len(node.hub.guard.quarantine.holds()))
-        gauge("endpoints_limited", len(node.hub.limits.limited()))
+        gauge("requests_held", len(node.hub.guard.quarantine.list_entries()))
+        gauge("endpoints_limited", len(node.hub.limits.rates_by_endpoint()))
         gauge("configuration_revision", node.configuration.version)
         gauge("store_era", node.store.era)
         gauge("ready", int(node.ready))
--- a/flamingofront/process/forwarding/freshness.py
+++ b/flamingofront/process/forwarding/freshness.py
@@ -7,7 +7,7 @@
 from flamingofront.process.logs import Log
 from flamingofront.process.tasks import Task, TaskRunner
 from flamingofront.process.timers import Timer, TimerService
-from flamingofront.request.unknown_gate import UnknownGate
+from flamingofront.request.unknown_gate import ConfigFreshness
 
 __all__ = ["ConfigurationCheck"]
 
@@ -19,7 +19,7 @@
 FAILED_PAUSE_SECONDS = 0.5
 
 
-class ConfigurationCheck(UnknownGate):
+class ConfigurationCheck(ConfigFreshness):
     """Asks the store for a newer configuration when the knowledge here is too old to refuse by.
 
     All requests that wait share one look, so that a process makes one a second at most.
--- a/flamingofront/process/forwarding/held_requests.py
+++ b/flamingofront/process/forwarding/held_requests.py
@@ -59,8 +59,8 @@
         first_start: float | None = None,
     ):
         guard.wall = peers.cluster_time
-        guard.on_news = peers.broadcast_report
-        guard.restarts = lambda: _restarts(peers.start_times(), first_start)
+        guard.on_update = peers.broadcast_report
+        guard.entry_start_times = lambda: _restarts(peers.start_times(), first_start)
         self._keeper = HoldKeeper(guard, TableHolds(store), services, FEED_SEEN_SECONDS, may_rest)
         store.on_return(self._keeper.write_again)
         self._recorder = recording(TableIntents(store), services)
--- a/flamingofront/process/forwarding/node.py
+++ b/flamingofront/process/forwarding/node.py
@@ -10,7 +10,7 @@
 from flamingofront.decisions.choice import BacklogChoice
 from flamingofront.decisions.fleet_plan import CheapestSafeFleet
 from flamingofront.decisions.quota import SharedQuota
-from flamingofront.decisions.quota_facts import QuotaRules
+from flamingofront.decisions.quota_facts import QuotaLimits
 from flamingofront.decisions.retry import RetryBudget
 from flamingofront.decisions.shared_retry import SharedRetryBudget
 from flamingofront.messages import InboundRequest
@@ -179,8 +179,8 @@
             HubSettings(
                 settings.vm_id,
                 settings.zone,
-                queue_patience=REFUSE_WITHIN,
-                choice_patience=REFUSE_WITHIN,
+                queue_wait_fraction=REFUSE_WITHIN,
+                choice_wait_fraction=REFUSE_WITHIN,
             ),
             needs.transport,
             self.timers,
@@ -193,14 +193,14 @@
             self._retry_budget,
         )
         self.knowledge.on_rollout = self.rollouts.take_order
-        self.hub.on_leaving = self._endpoint_leaves
+        self.hub.on_endpoint_leaving = self._endpoint_leaves
         self.hub.on_outcome = self._outcome
         self.hub.cache_tokens = self._cache_tokens
         self.directory.sample_size = self._sample_size
         rules = settings.rules
         self.quota = SharedQuota(
             lambda: self.peers.live_share(),
-            QuotaRules(rules.quota_window, rules.quota_over, rules.quota_allowance),
+            QuotaLimits(rules.quota_window, rules.quota_over, rules.quota_allowance),
             lambda: self.peers.propagation_delay(),
             self._rng,
             lambda: self.peers.member_count(),
@@ -220,10 +220,10 @@
         )
 
     def _endpoint_gone(self, row: EndpointRow) -> None:
-        self.hub.guard.ends.gone(row.endpoint_id, announced=not row.ready)
+        self.hub.guard.crash_detector.record_row_removal(row.endpoint_id, announced=not row.ready)
         self.directory.forget(row.endpoint_id)
         self.hub.limits.forget(row.endpoint_id)
-        self.hub.pauses.forget(row.endpoint_id)
+        self.hub.backoffs.forget(row.endpoint_id)
         self._needs.transport.drop_idle(row.address)
         self.knowledge.endpoint_gone(row.endpoint_id)
 
@@ -235,7 +235,7 @@
         """Forget the earlier start of an endpoint, and what ran there."""
         self.directory.forget(row.endpoint_id)
         self.hub.limits.forget(row.endpoint_id)
-        self.hub.pauses.forget(row.endpoint_id)
+        self.hub.backoffs.forget(row.endpoint_id)
         self.observations.discard_earlier_loads(row.endpoint_id)
         for address in {row.address, before.address}:
             self._needs.transport.drop_idle(address)
@@ -243,7 +243,7 @@
         at = self.timers.now() - ago
         # What has arrived of its last answers is read first.
         self.timers.once(
-            LAST_ANSWERS_SECONDS, lambda: self.hub.endpoint_restarted(row.endpoint_id, at)
+            LAST_ANSWERS_SECONDS, lambda: self.hub.handle_endpoint_restart(row.endpoint_id, at)
         )
 
     def _retry_budget(self, service: Service) -> RetryBudget:
@@ -350,7 +350,7 @@
         """Let one process decide on each endpoint that names the rate that it takes from all."""
         limits, permits = self.hub.limits, self.hub.permits
         limits.wall = self.peers.cluster_time
-        limits.born_of = self.knowledge.endpoints.born
+        limits.start_ms_of = self.knowledge.endpoints.born
         own_ip = self.settings.ip
         members = LimitMembers(own_ip, self.quota_members, self.peers, lambda: self.stopping)
         inquirer = Inquirer(own_ip, self._needs.incarnation, members.ranked)
@@ -363,7 +363,7 @@
             self.log,
         )
         permits.gate = self.limit_arbiters
-        permits.own_name = own_ip
+        permits.process_name = own_ip
         self.peers.on_permit_request = self.limit_arbiters.take_question
         self.peers.on_permit_reply = self.limit_arbiters.take_reply
 
@@ -518,7 +518,7 @@
 
     def _configuration_changed(self, cfg: ForwardingConfiguration) -> None:
         self.gateway.configuration = cfg
-        self.quota.prepare(cfg.workspaces, self.timers.now())
+        self.quota.start_buckets(cfg.workspaces, self.timers.now())
         self.on_configuration(cfg)
 
     @property
--- a/flamingofront/process/forwarding/observations.py
+++ b/flamingofront/process/forwarding/observations.py
@@ -6,9 +6,9 @@
 from collections import Counter
 from collections.abc import Callable, Iterable, Mapping
 
-from flamingofront.decisions.demand import Work
+from flamingofront.decisions.demand import OfferedLoad
 from flamingofront.decisions.engine_rates import EngineRates
-from flamingofront.decisions.shares import Placement, first_endpoints
+from flamingofront.decisions.shares import RingPosition, select_preferred_endpoints
 from flamingofront.process.forwarding.peers import REPORT_PERIOD_SECONDS, Peers
 from flamingofront.process.forwarding.reports import LoadDelta
 from flamingofront.process.logs import Log
@@ -71,10 +71,10 @@
 
     def start(self) -> None:
         """Install the callbacks and start the timers."""
-        self._hub.directory.on_load = self._record_load_change
-        self._hub.directory.first = self.preferred_endpoints
+        self._hub.directory.on_load_change = self._record_load_change
+        self._hub.directory.preferred_endpoints = self.preferred_endpoints
         self._peers.shared_endpoints = self.find_shared_endpoints
-        self._hub.directory.before_choice = self._refresh_if_stale
+        self._hub.directory.refresh_loads = self._refresh_if_stale
         self._timers.every(LOAD_PERIOD_SECONDS, self._refresh_loads, relaxed=True)
         self._timers.every(LOAD_PERIOD_SECONDS, self._check_zones, relaxed=True)
         self._timers.every(RATES_LOG_PERIOD_SECONDS, self._log_engine_rates, relaxed=True)
@@ -98,9 +98,9 @@
         directory, now = self._hub.directory, self._timers.now()
         for endpoint_id, (requests, tokens) in delta.changes.items():
             if self._peers.is_relayed:
-                directory.noted.add(endpoint_id, requests, tokens, now)
+                directory.noted_prompts.add(endpoint_id, requests, tokens, now)
             else:
-                directory.peer_changed(endpoint_id, requests, tokens)
+                directory.apply_peer_change(endpoint_id, requests, tokens)
 
     def preferred_endpoints(self, endpoints: Mapping[str, str]) -> tuple[str, ...]:
         """Return the endpoints that this process tries first; none in small deployments.
@@ -112,15 +112,15 @@
         """
         if not self._peers.is_relayed:
             return ()
-        return first_endpoints(
+        return select_preferred_endpoints(
             self._zone_placements()[self._local_id], self._peers.relaying.known_zones(), endpoints
         )
 
-    def _zone_placements(self) -> dict[str, Placement]:
+    def _zone_placements(self) -> dict[str, RingPosition]:
         """Return the position of each process of the zone among the processes, by VM."""
         names = sorted(self._peers.relaying.zone_members())
         return {
-            name: Placement(self._zone, number, len(names)) for number, name in enumerate(names)
+            name: RingPosition(self._zone, number, len(names)) for number, name in enumerate(names)
         }
 
     def find_shared_endpoints(self, endpoints: Iterable[str]) -> dict[str, list[str]]:
@@ -130,9 +130,9 @@
         for service in {fact.service for fact in map(self._facts.get, endpoints) if fact}:
             endpoint_zones = self._hub.directory.zones_of(service)
             for name, placement in self._zone_placements().items():
-                shared = set(first_endpoints(placement, zones, endpoint_zones)).intersection(
-                    endpoints
-                )
+                shared = set(
+                    select_preferred_endpoints(placement, zones, endpoint_zones)
+                ).intersection(endpoints)
                 if shared and name != self._local_id:
                     found.setdefault(zone_ips[name], []).extend(sorted(shared))
         return found
@@ -181,9 +181,11 @@
         self._stale = False
         now = self._timers.now()
         directory = self._hub.directory
-        loads = Counter(directory.all_in_flight())
+        loads = Counter(directory.in_flight_by_endpoint())
         backlog: Counter[str] = Counter()
-        seconds = {name: each.now().token_seconds for name, each in self._hub.rates.known()}
+        seconds = {
+            name: each.estimate().token_seconds for name, each in self._hub.rates.list_services()
+        }
         restarted = self._recently_restarted(now)
         for peer_load in self._peers.peer_loads():
             for name, requests in peer_load.in_flight.items():
@@ -199,35 +201,35 @@
                 backlog[name] += max(
                     0, tokens - round(elapsed / (per_token or DEFAULT_RATES.token_seconds))
                 )
-        directory.reported(loads, now)
-        directory.peers_queued(backlog)
+        directory.apply_load_reports(loads, now)
+        directory.set_peer_backlog(backlog)
 
     def _check_zones(self) -> None:
         """Detect partitioned zones, and move the requests that wait there to other zones."""
         now = self._timers.now()
         zones = self._hub.directory.zones
         unreachable = self._peers.unreachable_zones() - {self._zone}
-        zones.peers_silent(unreachable)
+        zones.set_unresponsive_zones(unreachable)
         for zone in unreachable:
-            zones.awaited(zone, self._hub.silent_since(zone), now)
+            zones.record_pending(zone, self._hub.unanswered_since(zone), now)
         all_zones = {each.zone for each in self._facts.select(Role.ENDPOINT)}
-        partitioned = {zone for zone in all_zones if zones.is_cut_off(zone, now)}
+        partitioned = {zone for zone in all_zones if zones.is_partitioned(zone, now)}
         for zone in partitioned ^ self._partitioned:
             event = "zone partitioned" if zone in partitioned else "zone reachable again"
             self._log.warning(event, of_zone=zone, silent=sorted(unreachable))
         self._partitioned = partitioned
         for zone in partitioned:
-            self._hub.zone_cut_off(zone)
+            self._hub.fail_over_zone(zone)
 
     def _log_engine_rates(self) -> None:
         """Log the estimated rates of the endpoints, on which placement and fleet size depend."""
-        work = self._hub.work.work(self._timers.now())
-        for name, rates in self._hub.rates.known():
-            now, load = rates.now(), work.get(name, Work())
+        work = self._hub.load_meter.get_loads(self._timers.now())
+        for name, rates in self._hub.rates.list_services():
+            now, load = rates.estimate(), work.get(name, OfferedLoad())
             self._log.info(
                 "engine rates",
                 service=name,
-                answers=rates.answers,
+                answers=rates.response_count,
                 token_us=round(now.token_seconds * 1e6, 2),
                 base_ms=round(now.base_seconds * 1e3, 1),
                 pause_ms=round(now.pause_seconds * 1e3, 1),
--- a/flamingofront/process/forwarding/operators.py
+++ b/flamingofront/process/forwarding/operators.py
@@ -135,7 +135,7 @@
 
     def _endpoints(self) -> Rows:
         directory = self._node.directory
-        backlog = directory.all_backlog()
+        backlog = directory.backlog_by_endpoint()
         return [
             {
                 "endpoint": fact.vm_id,
@@ -145,10 +145,10 @@
                 "address": fact.address,
                 "slots": fact.slots,
                 "reclaimable": fact.reclaimable,
-                "in_flight": directory.in_flight(fact.vm_id),
+                "in_flight": directory.in_flight_at(fact.vm_id),
                 "load": directory.load_of(fact.vm_id),
                 "backlog": backlog.get(fact.vm_id, 0),
-                "rate_limit": self._node.hub.limits.rate(fact.vm_id),
+                "rate_limit": self._node.hub.limits.rate_of(fact.vm_id),
                 **self._withheld(fact),
             }
             for fact in self._node.facts.all()
@@ -158,9 +158,11 @@
     def _withheld(self, fact: Fact) -> dict[str, Any]:
         """Return why an endpoint gets nothing from this process now, and for how long."""
         hub = self._node.hub
-        pause, permit = hub.pauses.remaining(fact.vm_id), hub.permits.wait((fact.vm_id,))
+        pause, permit = hub.backoffs.remaining_seconds(fact.vm_id), hub.permits.wait_seconds(
+            (fact.vm_id,)
+        )
         reason = None
-        if hub.directory.leaving(fact.vm_id):
+        if hub.directory.is_unavailable(fact.vm_id):
             reason = "leaves" if fact.state is VmState.LEAVING else "gone"
         elif pause > 0:
             reason = "requested a pause"
@@ -168,7 +170,7 @@
             reason = "no permit"
         elif not hub.directory.is_reachable(fact.vm_id, hub.now()):
             reason = "not reached"
-        elif hub.directory.health.ejected((fact.vm_id,), hub.now()):
+        elif hub.directory.health.list_ejected((fact.vm_id,), hub.now()):
             reason = "errors"
         return {"closed_for": round(max(pause, permit), 3) or None, "withheld": reason}
 
@@ -178,7 +180,7 @@
                 "name": each.name,
                 "kind": "model" if each.is_model else "plain",
                 "max_connections": each.max_connections,
-                "slots": each.slots or self._node.directory.slots(each.name),
+                "slots": each.slots or self._node.directory.advertised_slots(each.name),
                 "least": each.scaling.least if each.scaling else None,
                 "most": each.scaling.most if each.scaling else None,
             }
@@ -201,7 +203,7 @@
         ]
 
     def _workspaces(self) -> Rows:
-        spent = self._node.quota.spent()
+        spent = self._node.quota.get_consumed()
         return [
             {
                 "name": each.name,
--- a/flamingofront/process/forwarding/own_report.py
+++ b/flamingofront/process/forwarding/own_report.py
@@ -76,14 +76,14 @@
             released=sources.lease.released,
             lease_version=sources.lease.version if lease is not None else 0,
             consumed={**rounded_units, **sources.rollouts.sums()},
-            in_flight=directory.all_in_flight(),
-            backlog=directory.all_backlog(),
+            in_flight=directory.in_flight_by_endpoint(),
+            backlog=directory.backlog_by_endpoint(),
             peers=self._sample_peers(live),
             usage=sources.usage.to_tell({each.process for each in live}, peers.cluster_time()),
             demand=sources.hub.in_flight_by_service(),
             work=self._round_work(sources.hub),
             rollouts=sources.rollouts.word(),
-            quarantine=sources.hub.guard.word(),
+            quarantine=sources.hub.guard.build_update(),
             limits=sources.hub.limits.recent_changes(),
             leaving_endpoints=knowledge.endpoints.recently_leaving(),
             position=knowledge.configuration_position(),
@@ -92,7 +92,7 @@
 
     def _round_work(self, hub: RequestHub) -> dict[str, tuple[float, float]]:
         """Return the load that this process places, in endpoint-seconds per second to 0.001."""
-        averages = hub.work.work(self._timers.now())
+        averages = hub.load_meter.get_loads(self._timers.now())
         return {name: (round(each.fast, 3), round(each.slow, 3)) for name, each in averages.items()}
 
     def _sample_peers(self, live: list[PeerReport]) -> tuple[str, ...]:
--- a/flamingofront/process/forwarding/peer_word.py
+++ b/flamingofront/process/forwarding/peer_word.py
@@ -47,7 +47,7 @@
 
     def build_report(self) -> PeerReport:
         """Return a new report of this process with the current state."""
-        return self._local_report.build(self._reported, self._receivers.quota.spent())
+        return self._local_report.build(self._reported, self._receivers.quota.get_consumed())
 
     def apply_report(self, report: PeerReport, since_previous: float | None) -> None:
         """Apply a peer's report: quota consumption, usage, lease, load and rollouts.
@@ -66,7 +66,7 @@
             report.process, report.consumed, is_continuous and peers.is_counting_directly()
         )
         self._apply_rollouts(report)
-        self._reported.hub.guard.hear(report.quarantine)
+        self._reported.hub.guard.merge_update(report.quarantine)
         self._reported.hub.limits.merge(report.limits)
         self._reported.knowledge.endpoints.merge_leaving(report.leaving_endpoints)
         if report.usage is not None:
@@ -86,14 +86,14 @@
         is_counted : bool
             True if the increase since the sender's last totals was not reported by another source.
         """
-        self._receivers.quota.heard(process, totals, is_counted, self._timers.now())
+        self._receivers.quota.merge_consumed(process, totals, is_counted, self._timers.now())
         self._reported.rollouts.hear_sums(process, totals, is_counted)
 
     def apply_relay_state(self, relay: PeerReport, claim: LeaseClaim) -> None:
         """Apply the state of a relay and the lease advertisement that it forwards."""
         self._metrics.count("peer_digests_total")
         self._apply_rollouts(relay)
-        self._reported.hub.guard.hear(relay.quarantine)
+        self._reported.hub.guard.merge_update(relay.quarantine)
         self._reported.hub.limits.merge(relay.limits)
         self._reported.knowledge.endpoints.merge_leaving(relay.leaving_endpoints)
         self._reported.lease.heard(
--- a/flamingofront/process/forwarding/reports.py
+++ b/flamingofront/process/forwarding/reports.py
@@ -13,7 +13,7 @@
 
 import orjson
 
-from flamingofront.decisions.quarantine_facts import QuarantineWord
+from flamingofront.decisions.quarantine_facts import QuarantineUpdate
 from flamingofront.decisions.rollout import Phase
 from flamingofront.process.forwarding.limit_messages import decode_limits, encode_limits
 from flamingofront.process.quarantine_codec import decode_word, encode_word
@@ -97,7 +97,7 @@
         service. None if this report leaves it out.
     rollouts : mapping of str to (int, int)
         Sequence number and phase of each rollout that it has cached, by service.
-    quarantine : QuarantineWord, optional
+    quarantine : QuarantineUpdate, optional
         Endpoints that have just crashed with the requests that ran there, and quarantined requests.
         None if there are none.
     limits : tuple of EndpointLimit
@@ -135,7 +135,7 @@
     demand: Mapping[str, float] | None = None
     work: Mapping[str, tuple[float, float]] | None = None
     rollouts: Mapping[str, tuple[int, int]] = field(default_factory=dict)
-    quarantine: QuarantineWord | None = None
+    quarantine: QuarantineUpdate | None = None
     limits: tuple[EndpointLimit, ...] = ()
     leaving_endpoints: tuple[tuple[str, int], ...] = ()
     position: int = 0
--- a/flamingofront/process/forwarding/sums.py
+++ b/flamingofront/process/forwarding/sums.py
@@ -4,7 +4,7 @@
 from collections.abc import Iterable, Mapping
 from dataclasses import dataclass, field
 
-from flamingofront.decisions.demand import Work
+from flamingofront.decisions.demand import OfferedLoad
 from flamingofront.process.forwarding.digests import Digest
 from flamingofront.process.forwarding.reports import PeerReport
 
@@ -53,20 +53,20 @@
     in_flight = Counter({name: each[0] for name, each in digest.loads.items()})
     backlog = Counter({name: each[1] for name, each in digest.loads.items()})
     demand = Counter(digest.demand or {})
-    work = {name: Work(*each) for name, each in (digest.work or {}).items()}
+    work = {name: OfferedLoad(*each) for name, each in (digest.work or {}).items()}
     if local is not None:
         in_flight -= Counter(local.in_flight)
         backlog -= Counter(local.backlog)
         demand -= Counter(local.demand or {})
         for name, each in (local.work or {}).items():
             if name in work:
-                work[name] = _subtract_work(work[name], Work(*each))
+                work[name] = _subtract_work(work[name], OfferedLoad(*each))
     averages = {name: (each.fast, each.slow) for name, each in work.items()}
     return PeerLoad(age, in_flight, backlog, demand, averages)
 
 
-def _subtract_work(work: Work, other: Work) -> Work:
-    return Work(max(0.0, work.fast - other.fast), max(0.0, work.slow - other.slow))
+def _subtract_work(work: OfferedLoad, other: OfferedLoad) -> OfferedLoad:
+    return OfferedLoad(max(0.0, work.fast - other.fast), max(0.0, work.slow - other.slow))
 
 
 def sum_loads(loads: Iterable[PeerLoad]) -> dict[str, tuple[int, int]]:
@@ -91,8 +91,8 @@
 
 def sum_work(loads: Iterable[PeerLoad]) -> dict[str, tuple[float, float]]:
     """Return the load placed, in endpoint-seconds per second to 0.001, by service."""
-    total: dict[str, Work] = {}
+    total: dict[str, OfferedLoad] = {}
     for each in loads:
         for name, means in each.work.items():
-            total[name] = total.get(name, Work()) + Work(*means)
+            total[name] = total.get(name, OfferedLoad()) + OfferedLoad(*means)
     return {name: (round(each.fast, 3), round(each.slow, 3)) for name, each in total.items()}
--- a/flamingofront/process/forwarding/tests/test_digests.py
+++ b/flamingofront/process/forwarding/tests/test_digests.py
@@ -141,7 +141,7 @@
         world._datagram = send
         front = world.fronts["front-0"]
         for _ in range(10):
-            front.quota.spend(front.configuration.workspaces[0], 1000.0, front.timers.now())
+            front.quota.consume(front.configuration.workspaces[0], 1000.0, front.timers.now())
             world.run(0.1)
         world.run(2.0)
         world._datagram = deliver
@@ -149,7 +149,7 @@
             deliver(*each)
         world.run(0.1)
         for each in world.fronts.values():
-            state = each.quota.state(each.configuration.workspaces[0], each.timers.now())
+            state = each.quota.get_state(each.configuration.workspaces[0], each.timers.now())
             assert state.taken == 10_000
 
 
--- a/flamingofront/process/forwarding/tests/test_reports.py
+++ b/flamingofront/process/forwarding/tests/test_reports.py
@@ -158,7 +158,7 @@
             world.run(0.63)
             start = world.clock.now()
             endpoint = f"engine-{trial}"
-            world.fronts["front-0"].directory.queued(endpoint, 9000)
+            world.fronts["front-0"].directory.add_backlog(endpoint, 9000)
             while len([key for key in delays if key[0] == trial]) < len(names):
                 world.run(0.01)
                 for name in names:
@@ -186,14 +186,14 @@
         sent = []
         front.peers._send = lambda data, target: sent.append((data, target))
         for _ in range(20):
-            front.directory.queued("engine", 200)
+            front.directory.add_backlog("engine", 200)
             world.run(0.01)
         assert len(sent) <= 2
 
     def test_local_prompts_are_not_counted_as_peer_load(self):
         world = large_world()
         for _ in range(30):
-            world.fronts["front-0"].directory.queued("engine", 2000)
+            world.fronts["front-0"].directory.add_backlog("engine", 2000)
             world.run(0.1)
             assert peer_backlog(world, "front-0", "engine") == 0
         world.run(1.5)
@@ -209,7 +209,7 @@
         alive = {name: each for name, each in world.fronts.items() if name not in lost}
         assert len(relay_names(world) & alive.keys()) == 2 * len(ZONES)
         assert min(each.peers.live_share() for each in alive.values()) >= 1 - 2.5 / LARGE_COUNT
-        world.fronts["front-0"].directory.queued("engine", 9000)
+        world.fronts["front-0"].directory.add_backlog("engine", 9000)
         world.run(1.2)
         for name in set(names_in_zone(world, "zone-b")) & alive.keys():
             assert peer_backlog(world, name, "engine") == 9000
@@ -231,13 +231,13 @@
             front = world.fronts[name]
             if name not in lost:
                 workspace = front.configuration.workspaces[0]
-                front.quota.spend(workspace, 1000.0, front.timers.now())
+                front.quota.consume(workspace, 1000.0, front.timers.now())
             world.run(0.02)
         world.run(2.0)
         alive = {name: each for name, each in world.fronts.items() if name not in lost}
-        consumed = sum(each.quota.spent().get("desk", 0.0) for each in world.fronts.values())
+        consumed = sum(each.quota.get_consumed().get("desk", 0.0) for each in world.fronts.values())
         for each in alive.values():
-            state = each.quota.state(each.configuration.workspaces[0], each.timers.now())
+            state = each.quota.get_state(each.configuration.workspaces[0], each.timers.now())
             # Losing one relay in every zone at once hides up to 0.8 s of the 4 s from the others.
             assert (0.8 if lost else 1.0) * consumed <= state.taken <= 1.05 * consumed
 
@@ -247,9 +247,9 @@
             world.ask(f"front-{number}", "/read/x")
         world.run(0.9)
         node = world.fronts[holder(world)]
-        running = sum(each.hub.in_flight_of("records") for each in world.fronts.values())
+        running = sum(each.hub.count_in_flight("records") for each in world.fronts.values())
         reported = sum_demand(node.peers.peer_loads()).get("records", 0)
-        assert reported + node.hub.in_flight_of("records") >= running - 1
+        assert reported + node.hub.count_in_flight("records") >= running - 1
 
 
 class TestReportFormat:
--- a/flamingofront/process/forwarding/whole_load.py
+++ b/flamingofront/process/forwarding/whole_load.py
@@ -2,7 +2,7 @@
 
 from collections import Counter
 
-from flamingofront.decisions.demand import Demand, Work
+from flamingofront.decisions.demand import Demand, OfferedLoad
 from flamingofront.process.forwarding.peers import Peers
 from flamingofront.process.forwarding.sums import sum_demand, sum_work
 from flamingofront.process.membership import FactTable
@@ -31,10 +31,10 @@
     def compute_demand(self, service: str) -> Demand:
         """Return the demand of all processes for the endpoints of a service."""
         loads = self._peers.peer_loads()
-        running = self._hub.in_flight_of(service) + sum_demand(loads).get(service, 0)
-        work = self._hub.work.work(self._timers.now()).get(service, Work())
-        work += Work(*sum_work(loads).get(service, (0.0, 0.0)))
-        return Demand(running, self._hub.directory.slots(service) or DEFAULT_SLOTS, work)
+        running = self._hub.count_in_flight(service) + sum_demand(loads).get(service, 0)
+        work = self._hub.load_meter.get_loads(self._timers.now()).get(service, OfferedLoad())
+        work += OfferedLoad(*sum_work(loads).get(service, (0.0, 0.0)))
+        return Demand(running, self._hub.directory.advertised_slots(service) or DEFAULT_SLOTS, work)
 
     def count_at_other_versions(self, service: str, version: str) -> int | None:
         """Return the attempts in flight at endpoints of a service that run other versions.
@@ -46,7 +46,7 @@
         """
         if self._peers.live_share() < 1.0:
             return None
-        total = Counter(self._hub.directory.all_in_flight())
+        total = Counter(self._hub.directory.in_flight_by_endpoint())
         for each in self._peers.peer_loads():
             total.update(each.in_flight)
         others = {
