--- a/flamingofront/process/forwarding/digests.py
+++ b/flamingofront/process/forwarding/digests.py
@@ -1,8 +1,8 @@
-"""What the relays of a zone tell: sums over many entry processes, in one datagram.
+"""Digests that the relays of a zone send: sums over many entry processes, in one datagram.
 
-A relay hears the reports of its zone's processes. It sends their sum to the relays of the other
-zones, and the sum over all zones back to the processes of its own. So what a process sends and
-hears does not grow with the number of VMs.
+A relay receives the reports of the processes of its zone. It sends their sum to the relays of the
+other zones, and the sum over all zones back to the processes of its own zone. So the traffic of a
+process does not grow with the number of VMs.
 """
 
 from collections.abc import Mapping
@@ -15,15 +15,15 @@
     PeerReport,
     ProcessCounts,
     decode_ages,
+    decode_endpoint_starts,
     decode_rollouts,
-    decode_starts,
 )
 from flamingofront.process.quarantine_codec import decode_word, encode_word
 
 __all__ = [
     "ALL_ZONES",
     "MAX_DIGEST_BYTES",
-    "Claim",
+    "LeaseClaim",
     "Digest",
     "DigestWriter",
     "decode_digest",
@@ -32,25 +32,26 @@
 
 # Scope of a digest that sums over all zones.
 ALL_ZONES = "*"
-# Format of the datagram; a process of another version refuses it and says so.
-_START = b"D3 "
-_ACKNOWLEDGED_END = b"\n"
-# Longest digest that is read: 600 endpoints, 64 workspaces and 41 members take under 20 KB.
+# Magic and format version of the datagram; a process of another version rejects it with an error.
+_PREFIX = b"D3 "
+_HEADER_END = b"\n"
+# Longer digests are rejected. 600 endpoints, 64 workspaces and 41 members take under 20 KB.
 MAX_DIGEST_BYTES = 48 * 1024
 
 
 @dataclass(frozen=True)
-class Claim:
-    """Who holds the duties, or has given them up, as far as a relay has heard lately.
+class LeaseClaim:
+    """Lease advertisement: the holder of the leader lease and the newest released lease.
 
     Parameters
     ----------
     fencing, lease_version : int
-        Fencing number of the holder's lease and version of its row; 0 if no holder is heard.
+        Fencing token of the holder's lease and version of its row; 0 if no holder was seen
+        recently.
     released : int
-        Largest fencing number of a lease that was given up.
+        Largest fencing token of a released lease.
     ip : str
-        IP number of the holder, empty if none is heard.
+        IP address of the holder, empty if no holder was seen recently.
     """
 
     fencing: int = 0
@@ -61,73 +62,80 @@
 
 @dataclass(frozen=True)
 class Digest:
-    """Sums over the entry processes of one zone, or of all.
+    """Sums over the entry processes of one zone, or of all zones.
 
     Parameters
     ----------
     relay : PeerReport
-        State of the process that tells it, without loads and counts.
+        State of the sending relay, without loads and counts.
     scope : str
         The zone, or `ALL_ZONES`.
     wall : float
-        Wall clock on which the processes that the relay hears agree, seconds since the epoch.
-    members, heard : int
-        Processes that belong to the scope, and those of them that are heard; the relay included.
+        Median wall clock of the processes that the relay receives, seconds since the epoch.
+    members, live : int
+        Processes of the scope, and the live ones among them; both include the relay.
     loads : mapping of str to (int, int)
-        By endpoint, attempts that run and prompt tokens that wait to be read.
-    claim : Claim
-        Who holds the duties.
-    silent : tuple of str
-        Zones of which nobody is heard any more.
-    spent : mapping of str to float, optional
-        Quota units taken out, by workspace, since the relay began to count. None if not told.
+        By endpoint, attempts in flight and prompt tokens not yet read.
+    claim : LeaseClaim
+        Newest lease advertisement that the relay has received.
+    unreachable : tuple of str
+        Zones without a live member.
+    consumed : mapping of str to float, optional
+        Quota units consumed, by workspace, since the relay began to count. None if left out.
     demand : mapping of str to float, optional
-        Requests that run, by service. None if not told.
+        Requests in flight, by service. None if left out.
     work : mapping of str to (float, float), optional
-        Fast and slow mean of the work placed, in busy endpoints, by service. None if not told.
+        Fast and slow moving average of the load placed, in endpoint-seconds per second, by service.
+        None if left out.
     roster : mapping of str to str, optional
-        IP number of each process of the relay's zone that it hears. None if not told.
+        IP address of each live process of the relay's zone, by VM. None if left out.
     relays : mapping of str to tuple of str, optional
-        IP numbers of the relays of each zone. None if not told.
+        IP addresses of the relays of each zone. None if left out.
     usage : mapping, optional
-        Requests that began, by process, window and workspace. None if not told.
-    told_until : mapping of str to float
-        Up to which time of the wall clock these counts of a process are known.
+        Requests started, by process, window and workspace. None if left out.
+    usage_until : mapping of str to float
+        Wall-clock time up to which the usage of a process is complete.
     acknowledged : int
-        Number of the addressee's last report that is in the sums; 0 if none is.
+        Number of the addressee's last report that the sums include; 0 if they include none.
     """
 
     relay: PeerReport
     scope: str
     wall: float
     members: int
-    heard: int
+    live: int
     loads: Mapping[str, tuple[int, int]] = field(default_factory=dict)
-    claim: Claim = Claim()
-    silent: tuple[str, ...] = ()
-    spent: Mapping[str, float] | None = None
+    claim: LeaseClaim = LeaseClaim()
+    unreachable: tuple[str, ...] = ()
+    consumed: Mapping[str, float] | None = None
     demand: Mapping[str, float] | None = None
     work: Mapping[str, tuple[float, float]] | None = None
     roster: Mapping[str, str] | None = None
     relays: Mapping[str, tuple[str, ...]] | None = None
     usage: ProcessCounts | None = None
-    told_until: Mapping[str, float] = field(default_factory=dict)
+    usage_until: Mapping[str, float] = field(default_factory=dict)
     acknowledged: int = 0
 
 
 def is_digest(data: bytes) -> bool:
-    """Tell whether a datagram is a digest, of any version; reports and notes begin otherwise."""
-    return data.startswith(_START[:1])
+    """Return True if a datagram is a digest, of any version."""
+    return data.startswith(_PREFIX[:1])
 
 
 class DigestWriter:
-    """Writes one digest for many addressees, each with the number of its own last report."""
+    """Encodes one digest for many addressees, each with the number of its own last report.
+
+    Parameters
+    ----------
+    digest : Digest
+        Its `acknowledged` is ignored; `datagram` gets the number for each addressee.
+    """
 
     def __init__(self, digest: Digest):
         relay = digest.relay
         identity = [relay.vm_id, relay.incarnation, relay.sequence, relay.zone, relay.ip]
         state = [relay.address, relay.configuration, relay.endpoints, relay.rollouts]
-        flags = [relay.store_unreachable, relay.follows, relay.leaving]
+        flags = [relay.store_unreachable, relay.watches_store, relay.leaving]
         claim = digest.claim
         values = [
             identity,
@@ -135,17 +143,17 @@
             flags,
             digest.scope,
             digest.wall,
-            [digest.members, digest.heard],
+            [digest.members, digest.live],
             digest.loads,
             [claim.fencing, claim.lease_version, claim.released, claim.ip],
-            digest.silent,
-            digest.spent,
+            digest.unreachable,
+            digest.consumed,
             digest.demand,
             digest.work,
             digest.roster,
             digest.relays,
             digest.usage,
-            digest.told_until,
+            digest.usage_until,
             encode_word(relay.quarantine),
             encode_limits(relay.limits),
             relay.leaving_endpoints,
@@ -155,7 +163,7 @@
 
     def datagram(self, acknowledged: int = 0) -> bytes:
         """Return the datagram for an addressee whose last report has this number."""
-        return b"%b%d%b%b" % (_START, acknowledged, _ACKNOWLEDGED_END, self._body)
+        return b"%b%d%b%b" % (_PREFIX, acknowledged, _HEADER_END, self._body)
 
 
 def decode_digest(data: bytes) -> Digest:
@@ -164,28 +172,28 @@
     Raises
     ------
     ValueError
-        If it is too long, of another version, or malformed.
+        If the datagram is too long, of another version, or malformed.
     """
     if len(data) > MAX_DIGEST_BYTES:
-        raise ValueError(f"digest of {len(data)} bytes: at most {MAX_DIGEST_BYTES} are read")
-    if not data.startswith(_START):
-        raise ValueError(f"digest of another version: begins with {data[:3]!r}")
-    head, _, body = data.partition(_ACKNOWLEDGED_END)
+        raise ValueError(f"digest of {len(data)} bytes: at most {MAX_DIGEST_BYTES} are accepted")
+    if not data.startswith(_PREFIX):
+        raise ValueError(f"digest of another version: starts with {data[:3]!r}")
+    head, _, body = data.partition(_HEADER_END)
     try:
-        acknowledged = int(head[len(_START) :])
-        return _digest(orjson.loads(body), acknowledged)
+        acknowledged = int(head[len(_PREFIX) :])
+        return _build_digest(orjson.loads(body), acknowledged)
     except (TypeError, ValueError, IndexError, AttributeError) as exc:
         raise ValueError(f"malformed digest: {exc!r}") from exc
 
 
-def _digest(values: list, acknowledged: int) -> Digest:
-    identity, state, flags, scope, wall, counts, loads, claim, silent = values[:9]
-    spent, demand, work, roster, relays, usage, told_until, quarantine = values[9:17]
-    # A relay of an earlier version does not tell how old its knowledge is.
+def _build_digest(values: list, acknowledged: int) -> Digest:
+    identity, state, flags, scope, wall, counts, loads, claim, unreachable = values[:9]
+    consumed, demand, work, roster, relays, usage, usage_until, quarantine = values[9:17]
+    # Earlier versions send neither feed position nor ages.
     position, ages = values[19] if len(values) > 19 else (0, (None, None))
     vm_id, incarnation, sequence, zone, ip = identity
     address, configuration, endpoints, rollouts = state
-    cut_off, follows, leaving = flags
+    store_unreachable, watches_store, leaving = flags
     relay = PeerReport(
         str(vm_id),
         int(incarnation),
@@ -196,14 +204,14 @@
         wall=float(wall),
         configuration=int(configuration),
         endpoints=int(endpoints),
-        cut_off=bool(cut_off),
-        follows=bool(follows),
+        store_unreachable=bool(store_unreachable),
+        watches_store=bool(watches_store),
         leaving=bool(leaving),
         rollouts=decode_rollouts(rollouts),
         quarantine=decode_word(quarantine),
-        # A relay of an earlier version tells none.
+        # Earlier versions send neither limits nor leaving endpoints.
         limits=decode_limits(*values[17:18] or ((),)),
-        leaving_endpoints=decode_starts(*values[18:19] or ((),)),
+        leaving_endpoints=decode_endpoint_starts(*values[18:19] or ((),)),
         position=int(position),
         ages=decode_ages(ages),
     )
@@ -213,22 +221,22 @@
         scope=str(scope),
         wall=float(wall),
         members=int(counts[0]),
-        heard=int(counts[1]),
+        live=int(counts[1]),
         loads={name: (int(each[0]), int(each[1])) for name, each in loads.items()},
-        claim=Claim(int(fencing), int(lease_version), int(released), str(holder_ip)),
-        silent=tuple(map(str, silent)),
-        spent=_mapping(spent),
-        demand=_mapping(demand),
-        work=_mapping(work),
-        roster=_mapping(roster),
+        claim=LeaseClaim(int(fencing), int(lease_version), int(released), str(holder_ip)),
+        unreachable=tuple(map(str, unreachable)),
+        consumed=_check_mapping(consumed),
+        demand=_check_mapping(demand),
+        work=_check_mapping(work),
+        roster=_check_mapping(roster),
         relays=None if relays is None else {name: tuple(ips) for name, ips in relays.items()},
-        usage=_mapping(usage),
-        told_until={name: float(each) for name, each in told_until.items()},
+        usage=_check_mapping(usage),
+        usage_until={name: float(each) for name, each in usage_until.items()},
         acknowledged=acknowledged,
     )
 
 
-def _mapping(value: object) -> dict | None:
+def _check_mapping(value: object) -> dict | None:
     if value is not None and not isinstance(value, dict):
         raise TypeError(f"expected a mapping, got {type(value).__name__}")
     return value
--- a/flamingofront/process/forwarding/peer_word.py
+++ b/flamingofront/process/forwarding/peer_word.py
@@ -1,10 +1,10 @@
-"""Word of the other entry processes, and this one's: what is made of a report, and what is told."""
+"""Dispatch of the state received from other entry processes, and building of the local report."""
 
 from collections.abc import Mapping
 from dataclasses import dataclass, replace
 
 from flamingofront.decisions.quota import SharedQuota
-from flamingofront.process.forwarding.digests import Claim
+from flamingofront.process.forwarding.digests import LeaseClaim
 from flamingofront.process.forwarding.exchange import KnowledgeExchange
 from flamingofront.process.forwarding.own_report import LocalReport, ReportSources
 from flamingofront.process.forwarding.reports import PeerReport
@@ -16,12 +16,12 @@
 
 @dataclass(frozen=True)
 class UpdateReceivers:
-    """Parts of a process that take what others tell.
+    """Components that receive the state of other processes.
 
     Parameters
     ----------
     reported : ReportSources
-        Those whose state is told, too.
+        Components whose state is also part of the local report.
     """
 
     reported: ReportSources
@@ -30,59 +30,69 @@
 
 
 class PeerDispatcher:
-    """Hands what other processes tell to the parts that need it, and makes this one's reports."""
+    """Passes reports and digests to the components that use them, and builds the local report."""
 
     def __init__(
-        self, own: LocalReport, parts: UpdateReceivers, timers: TimerService, metrics: Metrics
+        self,
+        local_report: LocalReport,
+        receivers: UpdateReceivers,
+        timers: TimerService,
+        metrics: Metrics,
     ):
-        self._own = own
-        self._parts = parts
-        self._reported = parts.reported
+        self._local_report = local_report
+        self._receivers = receivers
+        self._reported = receivers.reported
         self._timers = timers
         self._metrics = metrics
 
-    def own_report(self) -> PeerReport:
-        """Return this process's report as it is now."""
-        return self._own.make(self._reported, self._parts.quota.get_consumed())
+    def build_report(self) -> PeerReport:
+        """Return a new report of this process with the current state."""
+        return self._local_report.build(self._reported, self._receivers.quota.get_consumed())
 
-    def take_report(self, report: PeerReport, gap: float | None) -> None:
-        """Take a peer's report: its quota use, its counts, its word on the lease, its load.
+    def apply_report(self, report: PeerReport, since_previous: float | None) -> None:
+        """Apply a peer's report: quota consumption, usage, lease, load and rollouts.
 
         Parameters
         ----------
-        gap : float or None
-            Seconds since the peer was heard before; None if it never was.
+        since_previous : float or None
+            Seconds since the peer's previous report; None if this is the first one.
         """
         peers, usage = self._reported.peers, self._reported.usage
-        self._metrics.count("peer_reports_total", result="heard" if gap is not None else "first")
-        continuous = gap is not None and peers.table.in_hearing(gap)
-        self.take_sums(report.process, report.spent, continuous and peers.counts_directly())
-        self._take_rollouts(report)
+        self._metrics.count(
+            "peer_reports_total", result="heard" if since_previous is not None else "first"
+        )
+        is_continuous = since_previous is not None and peers.table.is_within_timeout(since_previous)
+        self.apply_sums(
+            report.process, report.consumed, is_continuous and peers.is_counting_directly()
+        )
+        self._apply_rollouts(report)
         self._reported.hub.guard.merge_update(report.quarantine)
         self._reported.hub.limits.merge(report.limits)
         self._reported.knowledge.endpoints.merge_leaving(report.leaving_endpoints)
         if report.usage is not None:
             usage.reported(report.usage, report.process, peers.cluster_time())
         self._reported.lease.heard(report)
-        self._parts.exchange.compare(report)
+        self._receivers.exchange.compare(report)
         if peers.is_relayed:
-            peers.relaying.reported(report, continuous, gap is None)
+            peers.relaying.receive_report(report, is_continuous, since_previous is None)
 
-    def take_sums(self, process: str, sums: Mapping[str, float], counts: bool) -> None:
-        """Take sums of a peer or a relay: of the quotas, and of the answers during roll-outs.
+    def apply_sums(self, process: str, totals: Mapping[str, float], is_counted: bool) -> None:
+        """Apply the running totals of a peer or relay: quota units and rollout responses.
 
         Parameters
         ----------
-        counts : bool
-            True if what they have grown was told by nobody else.
+        totals : mapping of str to float
+            Totals since the start of the sender.
+        is_counted : bool
+            True if the increase since the sender's last totals was not reported by another source.
         """
-        self._parts.quota.merge_consumed(process, sums, counts, self._timers.now())
-        self._reported.rollouts.hear_sums(process, sums, counts)
+        self._receivers.quota.merge_consumed(process, totals, is_counted, self._timers.now())
+        self._reported.rollouts.hear_sums(process, totals, is_counted)
 
-    def take_belief(self, relay: PeerReport, claim: Claim) -> None:
-        """Take what a relay knows, and its word on the duties' holder."""
+    def apply_relay_state(self, relay: PeerReport, claim: LeaseClaim) -> None:
+        """Apply the state of a relay and the lease advertisement that it forwards."""
         self._metrics.count("peer_digests_total")
-        self._take_rollouts(relay)
+        self._apply_rollouts(relay)
         self._reported.hub.guard.merge_update(relay.quarantine)
         self._reported.hub.limits.merge(relay.limits)
         self._reported.knowledge.endpoints.merge_leaving(relay.leaving_endpoints)
@@ -94,9 +104,9 @@
                 lease_version=claim.lease_version,
             )
         )
-        self._parts.exchange.compare(relay)
+        self._receivers.exchange.compare(relay)
 
-    def _take_rollouts(self, report: PeerReport) -> None:
-        """Take a peer's word of roll-outs; an order that it knows first is read from the store."""
+    def _apply_rollouts(self, report: PeerReport) -> None:
+        """Merge a peer's rollouts, and read those from the store that are newer there."""
         if self._reported.rollouts.hear(report.rollouts):
             self._reported.knowledge.read_rollouts()
--- a/flamingofront/process/forwarding/sums.py
+++ b/flamingofront/process/forwarding/sums.py
@@ -1,4 +1,4 @@
-"""Sums over entry processes: what a relay tells, and what a process reckons with."""
+"""Sums of the load of entry processes, for digests and for placement."""
 
 from collections import Counter
 from collections.abc import Iterable, Mapping
@@ -8,25 +8,32 @@
 from flamingofront.process.forwarding.digests import Digest
 from flamingofront.process.forwarding.reports import PeerReport
 
-__all__ = ["OthersLoad", "add_demand", "add_work", "load_of", "load_without", "total_loads"]
+__all__ = [
+    "PeerLoad",
+    "sum_demand",
+    "sum_work",
+    "load_from_report",
+    "load_from_digest",
+    "sum_loads",
+]
 
 
 @dataclass(frozen=True)
-class OthersLoad:
-    """What one or more other entry processes run.
+class PeerLoad:
+    """Load of one or more other entry processes.
 
     Parameters
     ----------
     age : float
-        Seconds since it was so.
+        Age of the data in seconds.
     in_flight : mapping of str to int
-        Attempts that run, by endpoint.
+        Attempts in flight, by endpoint.
     backlog : mapping of str to int
-        Prompt tokens that wait to be read, by endpoint.
+        Prompt tokens not yet read, by endpoint.
     demand : mapping of str to float
-        Requests that run, by service.
+        Requests in flight, by service.
     work : mapping of str to (float, float)
-        Fast and slow mean of the work placed, in busy endpoints, by service.
+        Fast and slow moving average of the load placed, in endpoint-seconds per second, by service.
     """
 
     age: float = 0.0
@@ -36,34 +43,34 @@
     work: Mapping[str, tuple[float, float]] = field(default_factory=dict)
 
 
-def load_of(report: PeerReport, age: float) -> OthersLoad:
-    """Return what one process runs."""
-    return OthersLoad(age, report.in_flight, report.backlog, report.demand or {}, report.work or {})
+def load_from_report(report: PeerReport, age: float) -> PeerLoad:
+    """Return the load of the process that sent a report."""
+    return PeerLoad(age, report.in_flight, report.backlog, report.demand or {}, report.work or {})
 
 
-def load_without(digest: Digest, own: PeerReport | None, age: float) -> OthersLoad:
-    """Return what the processes of a digest run, apart from what this one had told of itself."""
+def load_from_digest(digest: Digest, local: PeerReport | None, age: float) -> PeerLoad:
+    """Return the load of the processes of a digest, without the part of the local report."""
     in_flight = Counter({name: each[0] for name, each in digest.loads.items()})
     backlog = Counter({name: each[1] for name, each in digest.loads.items()})
     demand = Counter(digest.demand or {})
     work = {name: OfferedLoad(*each) for name, each in (digest.work or {}).items()}
-    if own is not None:
-        in_flight -= Counter(own.in_flight)
-        backlog -= Counter(own.backlog)
-        demand -= Counter(own.demand or {})
-        for name, each in (own.work or {}).items():
+    if local is not None:
+        in_flight -= Counter(local.in_flight)
+        backlog -= Counter(local.backlog)
+        demand -= Counter(local.demand or {})
+        for name, each in (local.work or {}).items():
             if name in work:
-                work[name] = _less(work[name], OfferedLoad(*each))
-    told = {name: (each.fast, each.slow) for name, each in work.items()}
-    return OthersLoad(age, in_flight, backlog, demand, told)
+                work[name] = _subtract_work(work[name], OfferedLoad(*each))
+    averages = {name: (each.fast, each.slow) for name, each in work.items()}
+    return PeerLoad(age, in_flight, backlog, demand, averages)
 
 
-def _less(work: OfferedLoad, part: OfferedLoad) -> OfferedLoad:
-    return OfferedLoad(max(0.0, work.fast - part.fast), max(0.0, work.slow - part.slow))
+def _subtract_work(work: OfferedLoad, other: OfferedLoad) -> OfferedLoad:
+    return OfferedLoad(max(0.0, work.fast - other.fast), max(0.0, work.slow - other.slow))
 
 
-def total_loads(loads: Iterable[OthersLoad]) -> dict[str, tuple[int, int]]:
-    """Return by endpoint the attempts that run and the prompt tokens that wait, where any do."""
+def sum_loads(loads: Iterable[PeerLoad]) -> dict[str, tuple[int, int]]:
+    """Return by endpoint the attempts in flight and unread prompt tokens, where nonzero."""
     in_flight: Counter[str] = Counter()
     backlog: Counter[str] = Counter()
     for each in loads:
@@ -74,16 +81,16 @@
     return {name: each for name, each in found.items() if any(each)}
 
 
-def add_demand(loads: Iterable[OthersLoad]) -> dict[str, float]:
-    """Return the requests that run, by service."""
+def sum_demand(loads: Iterable[PeerLoad]) -> dict[str, float]:
+    """Return the requests in flight, by service."""
     total: Counter[str] = Counter()
     for each in loads:
         total.update(each.demand)
     return dict(total)
 
 
-def add_work(loads: Iterable[OthersLoad]) -> dict[str, tuple[float, float]]:
-    """Return the work that is placed, by service, rounded to a thousandth of an endpoint."""
+def sum_work(loads: Iterable[PeerLoad]) -> dict[str, tuple[float, float]]:
+    """Return the load placed, in endpoint-seconds per second to 0.001, by service."""
     total: dict[str, OfferedLoad] = {}
     for each in loads:
         for name, means in each.work.items():
--- a/flamingofront/process/forwarding/whole_load.py
+++ b/flamingofront/process/forwarding/whole_load.py
@@ -1,10 +1,10 @@
-"""What all entry processes together run at the endpoints of a service."""
+"""Load of all entry processes together at the endpoints of a service."""
 
 from collections import Counter
 
 from flamingofront.decisions.demand import Demand, OfferedLoad
 from flamingofront.process.forwarding.peers import Peers
-from flamingofront.process.forwarding.sums import add_demand, add_work
+from flamingofront.process.forwarding.sums import sum_demand, sum_work
 from flamingofront.process.membership import FactTable
 from flamingofront.process.timers import TimerService
 from flamingofront.request.hub import RequestHub
@@ -14,7 +14,7 @@
 
 
 class ClusterLoad:
-    """Sums of this process's requests and of those that the others tell.
+    """Sums the requests of this process and those that its peers report.
 
     Parameters
     ----------
@@ -28,21 +28,21 @@
         self._facts = facts
         self._timers = timers
 
-    def demand(self, service: str) -> Demand:
-        """Return the requests that run at the endpoints of a service."""
+    def compute_demand(self, service: str) -> Demand:
+        """Return the demand of all processes for the endpoints of a service."""
         loads = self._peers.peer_loads()
-        running = self._hub.count_in_flight(service) + add_demand(loads).get(service, 0)
+        running = self._hub.count_in_flight(service) + sum_demand(loads).get(service, 0)
         work = self._hub.load_meter.get_loads(self._timers.now()).get(service, OfferedLoad())
-        work += OfferedLoad(*add_work(loads).get(service, (0.0, 0.0)))
+        work += OfferedLoad(*sum_work(loads).get(service, (0.0, 0.0)))
         return Demand(running, self._hub.directory.advertised_slots(service) or DEFAULT_SLOTS, work)
 
-    def at_other_versions(self, service: str, version: str) -> int | None:
-        """Return what runs at the endpoints of a service that have not a version.
+    def count_at_other_versions(self, service: str, version: str) -> int | None:
+        """Return the attempts in flight at endpoints of a service that run other versions.
 
         Returns
         -------
         int or None
-            None while some processes cannot be heard.
+            None while some processes are unreachable, because the count would be incomplete.
         """
         if self._peers.live_share() < 1.0:
             return None
