--- a/flamingofront/process/forwarding/operators.py
+++ b/flamingofront/process/forwarding/operators.py
@@ -231,7 +231,7 @@
 
     def _configuration(self) -> Rows:
         node = self._node
-        ages = (node.knowledge.configuration_age(), node.knowledge.endpoints_age())
+        ages = (node.store_view.configuration_age(), node.store_view.endpoints_age())
         return [
             {
                 "vm": node.settings.vm_id,
@@ -242,7 +242,7 @@
                 "age": None if age is None else round(age, 3),
                 "source": "others" if each.rests else "store",
             }
-            for each, age in zip(node.knowledge.followers, ages, strict=True)
+            for each, age in zip(node.store_view.watchers, ages, strict=True)
         ]
 
     def _requests(self) -> Rows:
--- a/flamingofront/process/forwarding/own_report.py
+++ b/flamingofront/process/forwarding/own_report.py
@@ -4,7 +4,7 @@
 from dataclasses import dataclass, replace
 
 from flamingofront.process.forwarding.duty import DutyLease
-from flamingofront.process.forwarding.knowledge import Knowledge
+from flamingofront.process.forwarding.knowledge import StoreView
 from flamingofront.process.forwarding.peers import MAX_PEERS_LISTED, Peers
 from flamingofront.process.forwarding.reports import PeerReport
 from flamingofront.process.forwarding.rollouts import Rollouts
@@ -20,7 +20,7 @@
     """Components of a process whose state goes into its report."""
 
     hub: RequestHub
-    knowledge: Knowledge
+    knowledge: StoreView
     lease: DutyLease
     peers: Peers
     rollouts: Rollouts
@@ -68,9 +68,9 @@
             sequence=self.sequence,
             wall=self._timers.wall(),
             configuration=knowledge.configuration.version,
-            endpoints=knowledge.endpoints_mark(),
-            store_unreachable=knowledge.cut_off,
-            watches_store=not knowledge.rests,
+            endpoints=knowledge.endpoints_change_number(),
+            store_unreachable=knowledge.is_store_unreachable,
+            watches_store=not knowledge.is_standby,
             leaving=self.leaving,
             fencing=lease.fencing if lease is not None else 0,
             released=sources.lease.released,
--- a/flamingofront/process/forwarding/peer_word.py
+++ b/flamingofront/process/forwarding/peer_word.py
@@ -5,7 +5,7 @@
 
 from flamingofront.decisions.quota import SharedQuota
 from flamingofront.process.forwarding.digests import LeaseClaim
-from flamingofront.process.forwarding.exchange import KnowledgeExchange
+from flamingofront.process.forwarding.exchange import PeerSync
 from flamingofront.process.forwarding.own_report import LocalReport, ReportSources
 from flamingofront.process.forwarding.reports import PeerReport
 from flamingofront.process.metrics import Metrics
@@ -26,7 +26,7 @@
 
     reported: ReportSources
     quota: SharedQuota
-    exchange: KnowledgeExchange
+    exchange: PeerSync
 
 
 class PeerDispatcher:
@@ -72,7 +72,7 @@
         if report.usage is not None:
             usage.reported(report.usage, report.process, peers.cluster_time())
         self._reported.lease.heard(report)
-        self._receivers.exchange.compare(report)
+        self._receivers.exchange.sync_with(report)
         if peers.is_relayed:
             peers.relaying.receive_report(report, is_continuous, since_previous is None)
 
@@ -104,9 +104,9 @@
                 lease_version=claim.lease_version,
             )
         )
-        self._receivers.exchange.compare(relay)
+        self._receivers.exchange.sync_with(relay)
 
     def _apply_rollouts(self, report: PeerReport) -> None:
         """Merge a peer's rollouts, and read those from the store that are newer there."""
         if self._reported.rollouts.hear(report.rollouts):
-            self._reported.knowledge.read_rollouts()
+            self._reported.knowledge.reload_rollouts()
--- a/flamingofront/process/forwarding/tests/test_digests.py
+++ b/flamingofront/process/forwarding/tests/test_digests.py
@@ -232,7 +232,7 @@
     def test_only_relays_watch_the_store_with_few_calls(self):
         world = large_world()
         world.run(6.0)
-        watching = {name for name, each in world.fronts.items() if not each.knowledge.rests}
+        watching = {name for name, each in world.fronts.items() if not each.store_view.is_standby}
         assert watching == relay_names(world)
         before = world.store.calls
         for step in range(50):
