--- a/bench/platform_mutations.py
+++ b/bench/platform_mutations.py
@@ -68,29 +68,29 @@
     Mutation(
         "P rows that lapsed in an outage have grace",
         "process/forwarding/endpoints.py",
-        "if not self._away and self._timers.now() >= self._grace_until:",
+        "if not self._store_unreachable and self._timers.now() >= self._grace_until:",
         "if True:",
         FORWARDING,
     ),
     Mutation(
         "P an old row revives nothing",
         "process/forwarding/endpoints.py",
-        "return row.position <= before.position",
+        "return row.order_key <= before.order_key",
         "return False",
         "process/forwarding/tests/test_endpoints.py",
     ),
     Mutation(
         "P peers tell a process that the store turns away",
         "process/forwarding/exchange.py",
-        "if cut_off or rests or waited >= CONFIGURATION_LEAD_SECONDS:",
+        "if is_unreachable or is_standby or waited >= CONFIGURATION_GRACE_SECONDS:",
         "if False:",
         FORWARDING,
     ),
     Mutation(
         "P the store's return is not hidden by a waiting call",
         "process/forwarding/follower.py",
-        "wait = 0.0 if self._failures or self._look_once else self._wait",
-        "wait = 0.0 if self._look_once else self._wait",
+        "wait = 0.0 if self._failures or self._poll_requested else self._wait",
+        "wait = 0.0 if self._poll_requested else self._wait",
         FORWARDING,
     ),
     Mutation(
@@ -168,22 +168,22 @@
     Mutation(
         "P nobody rests without hearing those that follow",
         "process/forwarding/readers.py",
-        "return sum(each.follows for each in able) >= HEARD_READERS",
+        "return sum(each.follows for each in candidates) >= MIN_LIVE_WATCHERS",
         "return True",
         READERS,
     ),
     Mutation(
         "P the end of grace is told to those that rest",
         "process/forwarding/knowledge.py",
-        "self._history.changed(endpoint_id, max(mark, self._history.mark))",
+        "self._history.record_change(endpoint_id, max(mark, self._history.change_number))",
         "pass",
         READERS,
     ),
     Mutation(
         "P the whole table is read after a peer's word",
         "process/forwarding/follower.py",
-        "self._told_by_peer, self._version = False, None",
-        "self._told_by_peer = False",
+        "self._needs_reload, self._version = False, None",
+        "self._needs_reload = False",
         READERS,
     ),
     Mutation(
@@ -252,8 +252,8 @@
     Mutation(
         "P a peer that knows no more does not reset the wait",
         "process/forwarding/version_word.py",
-        "        if self.newest <= known:\n",
-        "        if version <= known:\n",
+        "        if self.newest <= local_version:\n",
+        "        if version <= local_version:\n",
         DIGESTS,
     ),
     Mutation(
--- a/bench/restart_mutations.py
+++ b/bench/restart_mutations.py
@@ -34,7 +34,7 @@
     Mutation(
         "R a row that vanishes after the return has less grace",
         "process/forwarding/endpoints.py",
-        "if not self._away and not self._first_answer:",
+        "if not self._store_unreachable and not self._in_first_answer:",
         "if False:",
         ENDPOINTS,
     ),
--- a/flamingofront/process/forwarding/control.py
+++ b/flamingofront/process/forwarding/control.py
@@ -4,29 +4,29 @@
 
 from flamingofront.connection.interfaces import Exchange
 from flamingofront.messages import InboundRequest
-from flamingofront.process.forwarding.document_copies import CopyPacer
+from flamingofront.process.forwarding.document_copies import DeltaPacer
 from flamingofront.process.forwarding.exchange import CONFIGURATION_PATH, ENDPOINTS_PATH
-from flamingofront.process.forwarding.news import encode_news
-from flamingofront.process.forwarding.operators import ForwardingOperators
+from flamingofront.process.forwarding.news import encode_endpoint_update
+from flamingofront.process.forwarding.operators import OperatorQueries
 from flamingofront.process.membership import Role, VmState
 
 if TYPE_CHECKING:
     from flamingofront.process.forwarding.node import ForwardingNode
 
-__all__ = ["ControlCalls"]
+__all__ = ["ControlHandler"]
 
 
-class ControlCalls:
+class ControlHandler:
     """Answers what does not come from callers."""
 
     def __init__(self, node: "ForwardingNode"):
         self._node = node
-        self._operators = ForwardingOperators(node)
-        self._pacer = CopyPacer(node.timers.now)
+        self._operators = OperatorQueries(node)
+        self._pacer = DeltaPacer(node.timers.now)
 
     def handle(self, req: InboundRequest, exchange: Exchange) -> None:
         """Take a request of an operator or a peer."""
-        knowledge = self._node.knowledge
+        knowledge = self._node.store_view
         if req.path == "/metrics":
             self._respond_metrics(exchange)
         elif req.path == "/operate":
@@ -35,18 +35,18 @@
             self._respond_configuration(req, exchange)
         elif req.path == ENDPOINTS_PATH:
             after = req.query.get("after", "")
-            news = knowledge.endpoint_news(int(after) if after.isdigit() else -1)
-            exchange.respond(200, (), encode_news(news))
+            news = knowledge.build_endpoint_update(int(after) if after.isdigit() else -1)
+            exchange.respond(200, (), encode_endpoint_update(news))
         else:
             exchange.respond(404, (), b"")
 
     def _respond_configuration(self, req: InboundRequest, exchange: Exchange) -> None:
         """Answer with a copy for the version that the peer has, or with the whole document."""
-        knowledge, after = self._node.knowledge, req.query.get("after", "")
+        knowledge, after = self._node.store_view, req.query.get("after", "")
         if after.isdigit():
-            copy = knowledge.configuration_copy(int(after))
+            copy = knowledge.configuration_delta(int(after))
             # Nothing, if this process has no more or is busy: the peer asks another one.
-            exchange.respond(200, (), copy if self._pacer.takes(len(copy)) else b"")
+            exchange.respond(200, (), copy if self._pacer.try_admit(len(copy)) else b"")
         else:
             exchange.respond(200, (), knowledge.configuration_data)
 
@@ -69,11 +69,11 @@
         gauge("peers_heard", node.peers.heard_count())
         lease = node.lease.holding()
         gauge("duty_fencing", lease.fencing if lease is not None else 0)
-        for follower in node.knowledge.followers:
+        for follower in node.store_view.watchers:
             age = follower.age()
             if age is not None:
                 gauge("store_age_seconds", age, table=follower.table)
-        knowledge = node.knowledge
+        knowledge = node.store_view
         ages = {"configuration": knowledge.configuration_age()}
         ages["endpoints"] = knowledge.endpoints_age()
         for subject, age in ages.items():
--- a/flamingofront/process/forwarding/document_copies.py
+++ b/flamingofront/process/forwarding/document_copies.py
@@ -10,29 +10,29 @@
 
 import orjson
 
-__all__ = ["CopyPacer", "CopySource", "apply_copy", "encode_copy"]
+__all__ = ["DeltaPacer", "DeltaSource", "apply_delta", "encode_delta"]
 
 # Versions of which a sender remembers the document: those of some changes in quick succession.
-KEPT_VERSIONS = 4
+MAX_KEPT_VERSIONS = 4
 # Encoded copies that are kept, since all processes of a zone ask for the same one.
-KEPT_COPIES = 4
+MAX_CACHED_DELTAS = 4
 # What one process sends of copies, in bytes a second: two thirds of the smallest link of a VM.
-PACE_BYTES = 400_000.0
+SEND_BYTES_PER_SECOND = 400_000.0
 # Whoever asks while copies for a longer time are on their way is to ask another process.
-LONGEST_BUSY_SECONDS = 0.15
+MAX_BACKLOG_SECONDS = 0.15
 # Copies up to this size are not counted.
-FREE_BYTES = 4096
+MAX_UNPACED_BYTES = 4096
 # Longest document that is unpacked: many times one of 10,000 routes.
 MAX_DOCUMENT_BYTES = 64 * 1024 * 1024
-_COMPRESSION = 6
+_ZLIB_LEVEL = 6
 # Ends a part of a document; parts are compared as a whole.
 _PART_END = b"},"
 _HEAD_END = b"\n"
 # Begin of a document that a process of an earlier version tells as it is.
-_PLAIN = b"{"
+_UNCOMPRESSED_START = b"{"
 
 
-def encode_copy(document: bytes, base: bytes = b"") -> bytes:
+def encode_delta(document: bytes, base: bytes = b"") -> bytes:
     """Return a copy of a document.
 
     Parameters
@@ -41,17 +41,17 @@
         Document that the receiver has; empty if none is known.
     """
     known: dict[bytes, int] = {}
-    for number, part in enumerate(_parts(base)):
+    for number, part in enumerate(_split_parts(base)):
         known.setdefault(part, number)
     steps: list[list[int]] = []
     literal: list[bytes] = []
-    for part in _parts(document):
-        _append(steps, literal, part, known.get(part))
+    for part in _split_parts(document):
+        _append_step(steps, literal, part, known.get(part))
     head = {"base": zlib.crc32(base), "check": zlib.crc32(document), "steps": steps}
-    return zlib.compress(orjson.dumps(head) + _HEAD_END + b"".join(literal), _COMPRESSION)
+    return zlib.compress(orjson.dumps(head) + _HEAD_END + b"".join(literal), _ZLIB_LEVEL)
 
 
-def _append(steps: list[list[int]], literal: list[bytes], part: bytes, at: int | None) -> None:
+def _append_step(steps: list[list[int]], literal: list[bytes], part: bytes, at: int | None) -> None:
     """Add a part: as a step [number of a known part, how many], or [-1, bytes] for a literal."""
     if at is None:
         literal.append(part)
@@ -65,11 +65,11 @@
         steps.append([at, 1])
 
 
-def _parts(document: bytes) -> list[bytes]:
+def _split_parts(document: bytes) -> list[bytes]:
     return [part + _PART_END for part in document.split(_PART_END)] if document else []
 
 
-def apply_copy(data: bytes, base: bytes = b"") -> bytes:
+def apply_delta(data: bytes, base: bytes = b"") -> bytes:
     """Return the document of a copy.
 
     Parameters
@@ -82,7 +82,7 @@
     ValueError
         If the copy is malformed, or was made for another base.
     """
-    if data.startswith(_PLAIN):
+    if data.startswith(_UNCOMPRESSED_START):
         return data
     try:
         unpacked = zlib.decompressobj().decompress(data, MAX_DOCUMENT_BYTES)
@@ -90,7 +90,7 @@
         values = orjson.loads(head)
         if values["base"] not in (zlib.crc32(base), zlib.crc32(b"")):
             raise ValueError("it was made for another document")
-        document = b"".join(_assembled(values["steps"], literal, _parts(base)))
+        document = b"".join(_iter_parts(values["steps"], literal, _split_parts(base)))
         document = document.removesuffix(_PART_END)
         if zlib.crc32(document) != values["check"]:
             raise ValueError("its checksum differs")
@@ -99,7 +99,7 @@
     return document
 
 
-def _assembled(steps: list[list[int]], literal: bytes, known: list[bytes]) -> Iterator[bytes]:
+def _iter_parts(steps: list[list[int]], literal: bytes, known: list[bytes]) -> Iterator[bytes]:
     position = 0
     for at, count in steps:
         if at < 0:
@@ -109,7 +109,7 @@
             yield from known[at : at + count]
 
 
-class CopyPacer:
+class DeltaPacer:
     """Bounds the copies that a process sends, so that the first of them arrive soon.
 
     Copies that share a small link all end late, and none of their receivers can help the others.
@@ -124,37 +124,37 @@
         self._now = now
         self._busy_until = 0.0
 
-    def takes(self, size: int) -> bool:
+    def try_admit(self, size: int) -> bool:
         """Tell whether a copy of so many bytes may be sent now, and count it if so."""
-        if size <= FREE_BYTES:
+        if size <= MAX_UNPACED_BYTES:
             return True
         now = self._now()
-        if self._busy_until - now > LONGEST_BUSY_SECONDS:
+        if self._busy_until - now > MAX_BACKLOG_SECONDS:
             return False
-        self._busy_until = max(self._busy_until, now) + size / PACE_BYTES
+        self._busy_until = max(self._busy_until, now) + size / SEND_BYTES_PER_SECOND
         return True
 
 
-class CopySource:
+class DeltaSource:
     """The last versions of a document, and copies of the newest for those that have another."""
 
     def __init__(self):
         self._versions: OrderedDict[int, bytes] = OrderedDict()
-        self._copies: OrderedDict[int, bytes] = OrderedDict()
+        self._deltas: OrderedDict[int, bytes] = OrderedDict()
 
-    def put(self, version: int, document: bytes) -> None:
+    def add_version(self, version: int, document: bytes) -> None:
         """Take the newest version."""
         self._versions[version] = document
-        self._copies.clear()
-        while len(self._versions) > KEPT_VERSIONS:
+        self._deltas.clear()
+        while len(self._versions) > MAX_KEPT_VERSIONS:
             self._versions.popitem(last=False)
 
-    def copy(self, after: int) -> bytes:
+    def delta_from(self, after: int) -> bytes:
         """Return a copy of the newest version for a receiver that has version `after`."""
         base = after if after in self._versions else 0
-        if base not in self._copies:
+        if base not in self._deltas:
             newest = next(reversed(self._versions.values()), b"")
-            self._copies[base] = encode_copy(newest, self._versions.get(base, b""))
-            while len(self._copies) > KEPT_COPIES:
-                self._copies.popitem(last=False)
-        return self._copies[base]
+            self._deltas[base] = encode_delta(newest, self._versions.get(base, b""))
+            while len(self._deltas) > MAX_CACHED_DELTAS:
+                self._deltas.popitem(last=False)
+        return self._deltas[base]
--- a/flamingofront/process/forwarding/endpoint_row.py
+++ b/flamingofront/process/forwarding/endpoint_row.py
@@ -70,7 +70,7 @@
             _check_seconds("leaves_in", self.leaves_in)
 
     @property
-    def position(self) -> tuple[int, int]:
+    def order_key(self) -> tuple[int, int]:
         """Order of the rows of an endpoint: by its start, then by the writes since."""
         return self.born, self.sequence
 
--- a/flamingofront/process/forwarding/follower.py
+++ b/flamingofront/process/forwarding/follower.py
@@ -11,15 +11,15 @@
 from flamingofront.process.store import HistoryLostError, StoredRow, TableStore
 from flamingofront.process.tasks import Task
 
-__all__ = ["TableFollower", "TableListener"]
+__all__ = ["TableWatcher", "TableListener"]
 
 # A silent store swallows a waiting call. The wait bounds how long that goes unnoticed: with it, a
 # process that is in touch again learns of a change within the two seconds that are allowed.
 FEED_WAIT_SECONDS = 3.5
 # Answers up to this size, in bytes, pass the smallest link of a VM in a tenth of a second.
-QUICK_BYTES = 64 * 1024
+LARGE_ANSWER_BYTES = 64 * 1024
 # Pause between two looks at whether others still follow the store for this process.
-REST_SECONDS = 0.2
+STANDBY_CHECK_SECONDS = 0.2
 # First pause after a failed call and the longest one: quick enough to be back within a second of
 # the store's return, slow enough that 100 processes make 100 calls a second at most.
 BACKOFF = Backoff(0.1, 1.0)
@@ -39,18 +39,18 @@
         Called when the store stops answering, and when it answers again.
     """
 
-    replaced: Callable[[tuple[StoredRow, ...], int], None]
-    changed: Callable[[tuple[StoredRow, ...]], None]
-    lost: Callable[[], None] = lambda: None
-    regained: Callable[[], None] = lambda: None
+    on_reload: Callable[[tuple[StoredRow, ...], int], None]
+    on_changes: Callable[[tuple[StoredRow, ...]], None]
+    on_unreachable: Callable[[], None] = lambda: None
+    on_recovered: Callable[[], None] = lambda: None
 
 
-class TableFollower:
+class TableWatcher:
     """Keeps up with one table.
 
     Parameters
     ----------
-    may_rest : callable
+    can_stand_by : callable
         Returns whether other processes follow the table for this one.
     pause : callable
         Returns the seconds between an answer with changes and the next question.
@@ -70,18 +70,18 @@
         now: Callable[[], float],
         rng: random.Random,
         log: Log,
-        may_rest: Callable[[], bool] = lambda: False,
+        can_stand_by: Callable[[], bool] = lambda: False,
         pause: Callable[[], float] = lambda: 0.0,
         wait: float = FEED_WAIT_SECONDS,
-        known: Callable[[], int] = lambda: 0,
+        peer_version: Callable[[], int] = lambda: 0,
     ):
-        self._known = known
-        self._wait = wait
-        self._may_rest = may_rest
+        self._peer_version = peer_version
+        self._wait_seconds = wait
+        self._can_stand_by = can_stand_by
         self._pause = pause
-        self._look_once = False
-        self._told_by_peer = False
-        self.rests = False
+        self._poll_requested = False
+        self._needs_reload = False
+        self.is_standby = False
         self._store = store
         self.table = table
         self._listener = listener
@@ -90,7 +90,7 @@
         self._log = log
         self._failures = 0
         self._version: int | None = None
-        self.heard_at: float | None = None
+        self.answered_at: float | None = None
         # The table is known here as it was then.
         self.confirmed_at: float | None = None
         self.errors = 0
@@ -102,18 +102,18 @@
 
     def age(self) -> float | None:
         """Return the seconds since the store's last answer; None before the first."""
-        return None if self.heard_at is None else self._now() - self.heard_at
+        return None if self.answered_at is None else self._now() - self.answered_at
 
     @property
-    def is_cut_off(self) -> bool:
+    def is_unreachable(self) -> bool:
         """True while the store does not answer this process."""
         return self._failures > 0
 
-    def look_once(self) -> None:
+    def poll_once(self) -> None:
         """Ask for changes soon, also while others follow the table for this process."""
-        self._look_once = True
+        self._poll_requested = True
 
-    def read_anew(self) -> None:
+    def schedule_reload(self) -> None:
         """Read the whole table before its changes are followed again.
 
         Notes
@@ -121,27 +121,29 @@
         A peer has told of some changes, and not of rows that it holds only by the grace after an
         outage. Changes since this process's own version would undo what it has learned.
         """
-        self._told_by_peer = True
+        self._needs_reload = True
 
     def run(self) -> Task:
         """Follow the table; never returns."""
         while True:
-            rests = self._version is not None and not self._failures and self._may_rest()
-            if rests != self.rests:
-                self.rests = rests
-                self._log.info("store is followed by others" if rests else "store is followed here")
-            if rests and not self._look_once:
-                yield Sleep(REST_SECONDS, relaxed=True)
+            is_standby = self._version is not None and not self._failures and self._can_stand_by()
+            if is_standby != self.is_standby:
+                self.is_standby = is_standby
+                self._log.info(
+                    "store is followed by others" if is_standby else "store is followed here"
+                )
+            if is_standby and not self._poll_requested:
+                yield Sleep(STANDBY_CHECK_SECONDS, relaxed=True)
                 continue
-            if self._told_by_peer:
-                self._told_by_peer, self._version = False, None
+            if self._needs_reload:
+                self._needs_reload, self._version = False, None
             try:
                 yield from self.step()
             except HistoryLostError as exc:
                 self._log.warning("history lost", table=self.table, detail=str(exc))
                 self._version = None
             except PlatformError as exc:
-                self._note_failure(exc)
+                self._record_failure(exc)
                 yield Sleep(BACKOFF.delay(self._failures - 1, self._rng))
 
     def step(self) -> Task:
@@ -149,24 +151,24 @@
         asked_at = self._now()
         if self._version is None:
             rows, version = yield from self._read_all()
-            self._note_answer()
+            self._record_answer()
             self.confirmed_at = asked_at
             self._version = version
-            self._listener.replaced(rows, version)
+            self._listener.on_reload(rows, version)
             return
         # While the store is away a waiting call would hide its return: it is asked without a wait.
-        wait = 0.0 if self._failures or self._look_once else self._wait
-        self._look_once = False
-        after = max(self._version, self._known())
+        wait = 0.0 if self._failures or self._poll_requested else self._wait_seconds
+        self._poll_requested = False
+        after = max(self._version, self._peer_version())
         changes = yield from self._store.changes(self.table, after, wait)
-        self._note_answer()
+        self._record_answer()
         # A large answer may have been on its way for a while; any other is as of now.
-        is_large = sum(len(each.value or b"") for each in changes.rows) > QUICK_BYTES
-        self.confirmed_at = asked_at if is_large else self.heard_at
-        self._look_once |= is_large
+        is_large = sum(len(each.value or b"") for each in changes.rows) > LARGE_ANSWER_BYTES
+        self.confirmed_at = asked_at if is_large else self.answered_at
+        self._poll_requested |= is_large
         self._version = max(after, changes.version)
         if changes.rows:
-            self._listener.changed(changes.rows)
+            self._listener.on_changes(changes.rows)
             if self._pause():
                 yield Sleep(self._pause())
 
@@ -180,16 +182,16 @@
             rows += found.rows
         return rows, version
 
-    def _note_answer(self) -> None:
-        self.heard_at = self._now()
+    def _record_answer(self) -> None:
+        self.answered_at = self._now()
         if self._failures:
             self._log.info("store regained", table=self.table, failures=self._failures)
             self._failures = 0
-            self._listener.regained()
+            self._listener.on_recovered()
 
-    def _note_failure(self, exc: PlatformError) -> None:
+    def _record_failure(self, exc: PlatformError) -> None:
         self.errors += 1
         self._failures += 1
         if self._failures == 1:
             self._log.warning("store lost", table=self.table, detail=str(exc), age=self.age())
-            self._listener.lost()
+            self._listener.on_unreachable()
--- a/flamingofront/process/forwarding/held_requests.py
+++ b/flamingofront/process/forwarding/held_requests.py
@@ -7,7 +7,7 @@
 
 from collections.abc import Callable, Iterable
 
-from flamingofront.process.forwarding.follower import TableFollower, TableListener
+from flamingofront.process.forwarding.follower import TableListener, TableWatcher
 from flamingofront.process.forwarding.peers import Peers
 from flamingofront.process.holds import HOLD_TABLE, HoldKeeper, TableHolds
 from flamingofront.process.intent_rows import IntentRows, TableIntents
@@ -44,7 +44,7 @@
 
     Attributes
     ----------
-    follower : TableFollower
+    follower : TableWatcher
         Follows the table of holds.
     """
 
@@ -65,7 +65,7 @@
         store.on_return(self._keeper.write_again)
         self._recorder = recording(TableIntents(store), services)
         store.on_return(self._recorder.write_again)
-        self.follower = TableFollower(
+        self.follower = TableWatcher(
             store,
             HOLD_TABLE,
             TableListener(
--- a/flamingofront/process/forwarding/news.py
+++ b/flamingofront/process/forwarding/news.py
@@ -13,18 +13,18 @@
 
 __all__ = [
     "EndpointHistory",
-    "EndpointNews",
-    "decode_news",
-    "encode_news",
-    "mark_of",
+    "EndpointUpdate",
+    "decode_endpoint_update",
+    "encode_endpoint_update",
+    "to_change_number",
 ]
 
 # Changes that are remembered: several times the endpoints of a zone that is taken back at once.
-KEPT_CHANGES = 256
+MAX_KEPT_CHANGES = 256
 
 
 @dataclass(frozen=True)
-class EndpointNews:
+class EndpointUpdate:
     """Endpoints as one process knows them.
 
     Parameters
@@ -37,25 +37,25 @@
         Endpoints whose rows vanished; empty if all are told.
     """
 
-    mark: int
-    whole: bool
+    change_number: int
+    is_full: bool
     rows: tuple[EndpointRow, ...]
-    gone: tuple[str, ...] = ()
+    removed: tuple[str, ...] = ()
 
 
-def encode_news(news: EndpointNews) -> bytes:
+def encode_endpoint_update(news: EndpointUpdate) -> bytes:
     """Return the body that tells the news."""
     return orjson.dumps(
         {
-            "mark": news.mark,
-            "whole": news.whole,
+            "mark": news.change_number,
+            "whole": news.is_full,
             "rows": [asdict(each) for each in news.rows],
-            "gone": news.gone,
+            "gone": news.removed,
         }
     )
 
 
-def decode_news(data: bytes) -> EndpointNews:
+def decode_endpoint_update(data: bytes) -> EndpointUpdate:
     """Return the news in a body.
 
     Raises
@@ -66,10 +66,10 @@
     try:
         values = orjson.loads(data)
         rows = tuple(EndpointRow(**each) for each in values["rows"])
-        gone = tuple(values["gone"])
-        if not all(isinstance(each, str) for each in gone):
+        removed = tuple(values["gone"])
+        if not all(isinstance(each, str) for each in removed):
             raise ValueError("an endpoint that is gone has no name")
-        return EndpointNews(int(values["mark"]), bool(values["whole"]), rows, gone)
+        return EndpointUpdate(int(values["mark"]), bool(values["whole"]), rows, removed)
     except (KeyError, TypeError, ValueError) as exc:
         raise ValueError(f"malformed endpoints: {exc!r:.200}") from exc
 
@@ -84,34 +84,34 @@
     """
 
     def __init__(self):
-        self._changes: deque[tuple[int, str]] = deque(maxlen=KEPT_CHANGES)
+        self._changes: deque[tuple[int, str]] = deque(maxlen=MAX_KEPT_CHANGES)
         self._complete_since = 0
-        self.mark = 0
+        self.change_number = 0
 
-    def restart(self, mark: int) -> None:
+    def reset(self, change_number: int) -> None:
         """Forget the changes: all endpoints were told anew, up to a mark."""
         self._changes.clear()
-        self._complete_since = mark
-        self.mark = mark
+        self._complete_since = change_number
+        self.change_number = change_number
 
-    def changed(self, endpoint_id: str, mark: int) -> None:
+    def record_change(self, endpoint_id: str, change_number: int) -> None:
         """Note that the row of an endpoint changed or vanished."""
-        if len(self._changes) == KEPT_CHANGES:
+        if len(self._changes) == MAX_KEPT_CHANGES:
             self._complete_since = self._changes[0][0]
-        self._changes.append((mark, endpoint_id))
-        self.mark = max(self.mark, mark)
+        self._changes.append((change_number, endpoint_id))
+        self.change_number = max(self.change_number, change_number)
 
-    def told_up_to(self, mark: int) -> None:
+    def advance_to(self, change_number: int) -> None:
         """Note that no further change is known up to a mark."""
-        self.mark = max(self.mark, mark)
+        self.change_number = max(self.change_number, change_number)
 
-    def since(self, mark: int) -> frozenset[str] | None:
+    def changes_since(self, change_number: int) -> frozenset[str] | None:
         """Return the endpoints that changed after a mark; None if that is no longer known."""
-        if mark < self._complete_since:
+        if change_number < self._complete_since:
             return None
-        return frozenset(name for at, name in self._changes if at > mark)
+        return frozenset(name for at, name in self._changes if at > change_number)
 
 
-def mark_of(version: int) -> int:
+def to_change_number(version: int) -> int:
     """Return the mark of a change at a version of the store."""
     return 2 * version
--- a/flamingofront/process/forwarding/node.py
+++ b/flamingofront/process/forwarding/node.py
@@ -16,15 +16,15 @@
 from flamingofront.messages import InboundRequest
 from flamingofront.process.counted_store import CountedTableStore
 from flamingofront.process.former_sends import Sender
-from flamingofront.process.forwarding.control import ControlCalls
+from flamingofront.process.forwarding.control import ControlHandler
 from flamingofront.process.forwarding.duty import DutyLease
 from flamingofront.process.forwarding.endpoint_row import EndpointRow
 from flamingofront.process.forwarding.endpoints import EndpointView
-from flamingofront.process.forwarding.exchange import WATCH_SECONDS, KnowledgeExchange
-from flamingofront.process.forwarding.freshness import ConfigurationCheck
+from flamingofront.process.forwarding.exchange import STALENESS_CHECK_SECONDS, PeerSync
+from flamingofront.process.forwarding.freshness import FreshnessCheck
 from flamingofront.process.forwarding.held_requests import HeldRequests
 from flamingofront.process.forwarding.inquiries import Inquirer
-from flamingofront.process.forwarding.knowledge import Knowledge, SharedTables
+from flamingofront.process.forwarding.knowledge import SharedTables, StoreView
 from flamingofront.process.forwarding.limit_arbiter import LimitArbiters, LimitView
 from flamingofront.process.forwarding.limit_members import LimitMembers
 from flamingofront.process.forwarding.observations import Observations
@@ -33,14 +33,14 @@
 from flamingofront.process.forwarding.peers import Peers
 from flamingofront.process.forwarding.quota_arbiter import QuotaArbiters, QuotaView
 from flamingofront.process.forwarding.quota_members import QuotaMembers
-from flamingofront.process.forwarding.readers import StoreReaders
+from flamingofront.process.forwarding.readers import ZoneWatchers
 from flamingofront.process.forwarding.relaying import RelayListener
 from flamingofront.process.forwarding.reports import PeerReport
 from flamingofront.process.forwarding.rollouts import RolloutDuty, Rollouts
 from flamingofront.process.forwarding.scaling import ScalingDuty
 from flamingofront.process.forwarding.settings import DeploymentSettings
 from flamingofront.process.forwarding.usage import CountsHeard, UsageBook, UsageDuty
-from flamingofront.process.forwarding.vanished import VanishedEndpoints
+from flamingofront.process.forwarding.vanished import UnobservedRemovals
 from flamingofront.process.forwarding.whole_load import WholeLoad
 from flamingofront.process.intent_rows import IntentRows
 from flamingofront.process.intents import IntentRecorder
@@ -138,24 +138,24 @@
             needs.incarnation / 1000 if settings.first_start else None,
         )
         reported = ReportedParts(
-            self.hub, self.knowledge, self.lease, self.peers, self.rollouts, self.usage
+            self.hub, self.store_view, self.lease, self.peers, self.rollouts, self.usage
         )
         parts = WordParts(reported, self.quota, self.exchange)
         self._word = PeerWord(self._report, parts, self.timers, self.metrics)
-        self.handle_control = ControlCalls(self).handle
+        self.handle_control = ControlHandler(self).handle
 
     def _recorder(self, rows: IntentRows, services: Services) -> IntentRecorder:
         """Return what records requests before they are sent."""
         settings = self.settings
         sender = Sender(settings.vm_id, self._needs.incarnation, settings.first_start)
-        vanished = VanishedEndpoints(self.store, self._needs.tables)
+        vanished = UnobservedRemovals(self.store, self._needs.tables)
         return IntentRecorder(self.hub, rows, services, sender, self.member_share, vanished.read)
 
     def _build_requests(self) -> None:
         settings, needs = self.settings, self._needs
         self.facts = FactTable()
         self.directory = EndpointDirectory(self.facts, self._rng, settings.zone)
-        self.knowledge = Knowledge(
+        self.store_view = StoreView(
             needs.store,
             needs.tables,
             EndpointView(
@@ -164,7 +164,7 @@
                 self.metrics,
                 self.log,
                 on_leaving=self._row_leaves,
-                on_gone=self._endpoint_gone,
+                on_removed=self._endpoint_gone,
                 on_restarted=self._endpoint_restarted,
             ),
             self._configuration_changed,
@@ -192,7 +192,7 @@
             needs.protocol,
             self._retry_budget,
         )
-        self.knowledge.on_rollout = self.rollouts.take_order
+        self.store_view.on_rollout = self.rollouts.take_order
         self.hub.on_leaving = self._endpoint_leaves
         self.hub.on_outcome = self._outcome
         self.hub.cache_tokens = self._cache_tokens
@@ -223,11 +223,11 @@
         self.hub.limits.forget(row.endpoint_id)
         self.hub.pauses.forget(row.endpoint_id)
         self._needs.transport.drop_idle(row.address)
-        self.knowledge.endpoint_gone(row.endpoint_id)
+        self.store_view.record_removed_endpoint(row.endpoint_id)
 
     def _endpoint_leaves(self, endpoint_id: str, request: str) -> None:
         """Take word of an endpoint itself that it leaves."""
-        self.knowledge.endpoints.mark_leaving(endpoint_id, "answer", request)
+        self.store_view.endpoints.mark_leaving(endpoint_id, "answer", request)
 
     def _endpoint_restarted(self, row: EndpointRow, before: EndpointRow) -> None:
         """Forget the earlier start of an endpoint, and what ran there."""
@@ -316,20 +316,18 @@
         self.peers.on_question = self.arbiters.take_question
         self.peers.on_reply = self.arbiters.take_reply
         self._build_limits()
-        self.exchange = KnowledgeExchange(
-            self.knowledge, self.tasks, self.timers.now, self._rng, self.log
+        self.exchange = PeerSync(self.store_view, self.tasks, self.timers.now, self._rng, self.log)
+        self.exchange.remote_watchers = self._distant
+        self.exchange.zone_peers = self._near
+        self.gateway.unknown_gate = FreshnessCheck(
+            self.store_view, self.tasks, self.timers, self.log
         )
-        self.exchange.distant = self._distant
-        self.exchange.near = self._near
-        self.gateway.unknown_gate = ConfigurationCheck(
-            self.knowledge, self.tasks, self.timers, self.log
-        )
-        self.readers = StoreReaders(
+        self.readers = ZoneWatchers(
             self.settings.vm_id,
             self.settings.zone,
             lambda: self.peers.table.heard(self.timers.now()),
         )
-        self.knowledge.on_change = self._store_changed
+        self.store_view.on_change = self._store_changed
 
     def _distant(self) -> list[str]:
         """Return the control addresses of the other zones' relays, in random order."""
@@ -348,7 +346,7 @@
         """Let one process decide on each endpoint that names the rate that it takes from all."""
         limits, permits = self.hub.limits, self.hub.permits
         limits.wall = self.peers.true_time
-        limits.born_of = self.knowledge.endpoints.born
+        limits.born_of = self.store_view.endpoints.start_time_ms
         own_ip = self.settings.ip
         members = LimitMembers(own_ip, self.quota_members, self.peers, lambda: self.stopping)
         inquirer = Inquirer(own_ip, self._needs.incarnation, members.ranked)
@@ -373,7 +371,7 @@
         """Tell whether others follow the store for this process."""
         if self.peers.many:
             return self.peers.relaying.may_rest()
-        return self.readers.may_rest()
+        return self.readers.can_stand_by()
 
     def _store_changed(self) -> None:
         """Tell the zone, if others may rest because this process follows the store."""
@@ -428,7 +426,7 @@
                     settings.vm_id,
                     self.timers.now,
                     lambda: self.configuration,
-                    self.knowledge.endpoints.rows,
+                    self.store_view.endpoints.rows,
                     load.demand,
                     self.metrics,
                     self.log,
@@ -481,7 +479,7 @@
         processes grow in number. Half of it is left for connections in use.
         """
         row = next(
-            (each for each in self.knowledge.endpoints.rows() if each.address == address), None
+            (each for each in self.store_view.endpoints.rows() if each.address == address), None
         )
         service = self.configuration.services.get(row.service) if row is not None else None
         if service is None or not service.max_connections:
@@ -498,10 +496,15 @@
             self.tasks.start(self.lease.run())
         for duty in self.duties:
             self.tasks.start(duty.run())
-        for follower in self.knowledge.followers:
+        for follower in self.store_view.watchers:
             self.tasks.start(follower.run())
         self.tasks.start(self.held.run())
-        self.timers.every(WATCH_SECONDS, self.exchange.watch, WATCH_SECONDS, relaxed=True)
+        self.timers.every(
+            STALENESS_CHECK_SECONDS,
+            self.exchange.check_staleness,
+            STALENESS_CHECK_SECONDS,
+            relaxed=True,
+        )
         self.log.info("started", zone=self.settings.zone, first=self.settings.first_start)
 
     def fault(self, exc: BaseException) -> None:
@@ -512,7 +515,7 @@
     @property
     def configuration(self) -> ForwardingConfiguration:
         """Configuration in force."""
-        return self.knowledge.configuration
+        return self.store_view.configuration
 
     def _configuration_changed(self, cfg: ForwardingConfiguration) -> None:
         self.gateway.configuration = cfg
--- a/flamingofront/process/forwarding/operators.py
+++ b/flamingofront/process/forwarding/operators.py
@@ -21,7 +21,7 @@
 if TYPE_CHECKING:
     from flamingofront.process.forwarding.node import ForwardingNode
 
-__all__ = ["COLUMNS", "ForwardingOperators"]
+__all__ = ["COLUMNS", "OperatorQueries"]
 
 Rows = list[dict[str, Any]]
 
@@ -64,7 +64,7 @@
 }
 
 
-class ForwardingOperators:
+class OperatorQueries:
     """Answers the statements of operators."""
 
     def __init__(self, node: "ForwardingNode"):
@@ -114,15 +114,15 @@
                 "incarnation": each.incarnation,
                 "heard": round(node.peers.table.gap(each.vm_id, now) or 0.0, 2),
                 "configuration": each.configuration,
-                "configuration_age": self._age_now(each, each.ages[0]),
-                "endpoints_age": self._age_now(each, each.ages[1]),
-                "store": _store_word(each),
+                "configuration_age": self._current_age(each, each.ages[0]),
+                "endpoints_age": self._current_age(each, each.ages[1]),
+                "store": _describe_store_access(each),
                 "fencing": each.fencing,
             }
             for each in reports
         ]
 
-    def _age_now(self, report: PeerReport, age: float | None) -> float | None:
+    def _current_age(self, report: PeerReport, age: float | None) -> float | None:
         """Return how old a process's knowledge is now, by what it told."""
         gap = self._node.peers.table.gap(report.vm_id, self._node.timers.now()) or 0.0
         return None if age is None else round(age + gap, 2)
@@ -146,13 +146,13 @@
                 "load": directory.load_of(fact.vm_id),
                 "backlog": backlog.get(fact.vm_id, 0),
                 "rate_limit": self._node.hub.limits.rate(fact.vm_id),
-                **self._withheld(fact),
+                **self._describe_unavailability(fact),
             }
             for fact in self._node.facts.all()
             if fact.role is Role.ENDPOINT
         ]
 
-    def _withheld(self, fact: Fact) -> dict[str, Any]:
+    def _describe_unavailability(self, fact: Fact) -> dict[str, Any]:
         """Return why an endpoint gets nothing from this process now, and for how long."""
         hub = self._node.hub
         pause, permit = hub.pauses.remaining(fact.vm_id), hub.permits.wait((fact.vm_id,))
@@ -226,7 +226,7 @@
 
     def _configuration(self) -> Rows:
         node = self._node
-        ages = (node.knowledge.configuration_age(), node.knowledge.endpoints_age())
+        ages = (node.store_view.configuration_age(), node.store_view.endpoints_age())
         return [
             {
                 "vm": node.settings.vm_id,
@@ -235,9 +235,9 @@
                 "table": each.table,
                 "version": each.version,
                 "age": None if age is None else round(age, 3),
-                "source": "others" if each.rests else "store",
+                "source": "others" if each.is_standby else "store",
             }
-            for each, age in zip(node.knowledge.followers, ages, strict=True)
+            for each, age in zip(node.store_view.watchers, ages, strict=True)
         ]
 
     def _requests(self) -> Rows:
@@ -260,7 +260,7 @@
         return [{"vm": vm, **each} for each in self._node.metrics.rows()]
 
 
-def _store_word(report: PeerReport) -> str:
+def _describe_store_access(report: PeerReport) -> str:
     """Return how a process learns of the store's changes."""
     if report.cut_off:
         return "cut off"
--- a/flamingofront/process/forwarding/own_report.py
+++ b/flamingofront/process/forwarding/own_report.py
@@ -4,7 +4,7 @@
 from dataclasses import dataclass, replace
 
 from flamingofront.process.forwarding.duty import DutyLease
-from flamingofront.process.forwarding.knowledge import Knowledge
+from flamingofront.process.forwarding.knowledge import StoreView
 from flamingofront.process.forwarding.peers import MAX_PEERS_TOLD, Peers
 from flamingofront.process.forwarding.reports import PeerReport
 from flamingofront.process.forwarding.rollouts import Rollouts
@@ -20,7 +20,7 @@
     """Parts of a process whose state is reported."""
 
     hub: RequestHub
-    knowledge: Knowledge
+    knowledge: StoreView
     lease: DutyLease
     peers: Peers
     rollouts: Rollouts
@@ -68,9 +68,9 @@
             sequence=self.sequence,
             wall=self._timers.wall(),
             configuration=knowledge.configuration.version,
-            endpoints=knowledge.endpoints_mark(),
-            cut_off=knowledge.cut_off,
-            follows=not knowledge.rests,
+            endpoints=knowledge.endpoints_change_number(),
+            cut_off=knowledge.is_store_unreachable,
+            follows=not knowledge.is_standby,
             leaving=self.leaving,
             fencing=lease.fencing if lease is not None else 0,
             released=parts.lease.released,
--- a/flamingofront/process/forwarding/peer_word.py
+++ b/flamingofront/process/forwarding/peer_word.py
@@ -5,7 +5,7 @@
 
 from flamingofront.decisions.quota import SharedQuota
 from flamingofront.process.forwarding.digests import Claim
-from flamingofront.process.forwarding.exchange import KnowledgeExchange
+from flamingofront.process.forwarding.exchange import PeerSync
 from flamingofront.process.forwarding.own_report import OwnReport, ReportedParts
 from flamingofront.process.forwarding.reports import PeerReport
 from flamingofront.process.metrics import Metrics
@@ -26,7 +26,7 @@
 
     reported: ReportedParts
     quota: SharedQuota
-    exchange: KnowledgeExchange
+    exchange: PeerSync
 
 
 class PeerWord:
@@ -62,7 +62,7 @@
         if report.usage is not None:
             usage.reported(report.usage, report.process, peers.true_time())
         self._reported.lease.heard(report)
-        self._parts.exchange.compare(report)
+        self._parts.exchange.sync_with(report)
         if peers.many:
             peers.relaying.reported(report, continuous, gap is None)
 
@@ -92,9 +92,9 @@
                 lease_version=claim.lease_version,
             )
         )
-        self._parts.exchange.compare(relay)
+        self._parts.exchange.sync_with(relay)
 
     def _take_rollouts(self, report: PeerReport) -> None:
         """Take a peer's word of roll-outs; an order that it knows first is read from the store."""
         if self._reported.rollouts.hear(report.rollouts):
-            self._reported.knowledge.read_rollouts()
+            self._reported.knowledge.reload_rollouts()
--- a/flamingofront/process/forwarding/provenance.py
+++ b/flamingofront/process/forwarding/provenance.py
@@ -29,9 +29,9 @@
     """
 
     source: Source
-    teller: str = ""
-    seconds: float | None = None
-    size: int = 0
+    sender: str = ""
+    fetch_seconds: float | None = None
+    size_bytes: int = 0
 
 
 FROM_STORE = Provenance(Source.STORE)
--- a/flamingofront/process/forwarding/tests/test_digests.py
+++ b/flamingofront/process/forwarding/tests/test_digests.py
@@ -228,7 +228,7 @@
     def test_only_relays_follow_the_store_and_ask_once_a_second_at_most(self):
         world = many_world()
         world.run(6.0)
-        following = {name for name, each in world.fronts.items() if not each.knowledge.rests}
+        following = {name for name, each in world.fronts.items() if not each.store_view.is_standby}
         assert following == relays(world)
         before = world.store.calls
         for step in range(50):
--- a/flamingofront/process/forwarding/tests/test_endpoints.py
+++ b/flamingofront/process/forwarding/tests/test_endpoints.py
@@ -7,7 +7,7 @@
 from hypothesis import strategies as st
 
 from flamingofront.process.forwarding.endpoint_row import EndpointRow
-from flamingofront.process.forwarding.endpoints import LAPSE_GRACE_SECONDS, EndpointView
+from flamingofront.process.forwarding.endpoints import EXPIRY_GRACE_SECONDS, EndpointView
 from flamingofront.process.logs import Log
 from flamingofront.process.membership import FactTable, VmState
 from flamingofront.process.metrics import Metrics
@@ -32,7 +32,7 @@
             self.timers,
             Metrics(),
             Log("entry"),
-            on_gone=lambda row: self.gone.append(row.endpoint_id),
+            on_removed=lambda row: self.gone.append(row.endpoint_id),
             on_restarted=lambda row, before: self.restarted.append((row.born, before.address)),
         )
 
@@ -48,19 +48,19 @@
 @pytest.fixture
 def seen():
     started = View()
-    started.view.put(ROW)
+    started.view.merge_row(ROW)
     return started
 
 
 class TestRows:
     def test_leaving_is_final_for_one_start_of_an_endpoint(self, seen):
-        seen.view.put(replace(ROW, ready=False, sequence=6))
-        seen.view.put(replace(ROW, sequence=7))
+        seen.view.merge_row(replace(ROW, ready=False, sequence=6))
+        seen.view.merge_row(replace(ROW, sequence=7))
         assert seen.state() is VmState.LEAVING
         assert not seen.view.rows()[0].ready
 
     def test_older_row_changes_nothing(self, seen):
-        seen.view.put(replace(ROW, ready=False, sequence=4))
+        seen.view.merge_row(replace(ROW, ready=False, sequence=4))
         assert seen.state() is VmState.LIVE
         assert seen.view.rows() == (ROW,)
 
@@ -71,9 +71,9 @@
 
     def test_only_a_newer_row_brings_an_endpoint_back(self, seen):
         seen.view.remove("i-1")
-        seen.view.put(ROW)
+        seen.view.merge_row(ROW)
         assert seen.state() is VmState.GONE
-        seen.view.put(replace(ROW, sequence=6))
+        seen.view.merge_row(replace(ROW, sequence=6))
         assert seen.state() is VmState.LIVE
 
 
@@ -82,11 +82,11 @@
 
     def test_row_that_says_so_is_told_to_others(self, seen):
         """Others asked for each change: with a link of that chain lost they knew after 3.4 s."""
-        seen.view.put(self.LEAVING)
+        seen.view.merge_row(self.LEAVING)
         assert seen.view.recently_leaving() == (("i-1", 0),)
 
     def test_what_was_asked_for_is_not_told_on(self, seen):
-        seen.view.put(self.LEAVING, by_peer=True)
+        seen.view.merge_row(self.LEAVING, from_peer=True)
         assert seen.view.recently_leaving() == ()
 
     def test_word_of_it_goes_before_the_row(self, seen):
@@ -95,43 +95,43 @@
 
     def test_row_that_follows_the_word_tells_when_it_leaves(self, seen):
         seen.view.merge_leaving((("i-1", 0),))
-        seen.view.put(replace(self.LEAVING, leaves_in=2.0))
+        seen.view.merge_row(replace(self.LEAVING, leaves_in=2.0))
         assert seen.view.rows()[0].leaves_in == 2.0
 
 
 class TestOutage:
     def test_missing_row_has_grace_after_the_outage(self, seen):
-        seen.view.store_lost()
+        seen.view.mark_store_unreachable()
         seen.view.remove("i-1")
         seen.pass_time(60.0)
         assert seen.state() is VmState.LIVE
-        seen.view.store_back()
-        seen.pass_time(LAPSE_GRACE_SECONDS - 0.1)
+        seen.view.mark_store_reachable()
+        seen.pass_time(EXPIRY_GRACE_SECONDS - 0.1)
         assert seen.state() is VmState.LIVE
         seen.pass_time(0.2)
         assert seen.state() is VmState.GONE
 
     def test_row_that_comes_back_in_time_stays(self, seen):
-        seen.view.store_lost()
+        seen.view.mark_store_unreachable()
         seen.view.remove("i-1")
-        seen.view.store_back()
-        seen.view.put(replace(ROW, sequence=6))
+        seen.view.mark_store_reachable()
+        seen.view.merge_row(replace(ROW, sequence=6))
         seen.pass_time(60.0)
         assert seen.state() is VmState.LIVE
 
     def test_row_that_is_missing_in_the_first_answer_has_the_whole_grace(self, seen):
-        seen.view.store_lost()
-        seen.view.store_back()
+        seen.view.mark_store_unreachable()
+        seen.view.mark_store_reachable()
         seen.view.remove("i-1")
-        seen.pass_time(LAPSE_GRACE_SECONDS - 0.1)
-        seen.view.put(replace(ROW, sequence=6))
+        seen.pass_time(EXPIRY_GRACE_SECONDS - 0.1)
+        seen.view.merge_row(replace(ROW, sequence=6))
         seen.pass_time(60.0)
         assert seen.state() is VmState.LIVE
 
     def test_row_that_vanishes_after_the_return_is_bound_by_the_time_of_a_leaving(self, seen):
-        seen.view.store_lost()
+        seen.view.mark_store_unreachable()
         seen.pass_time(9.0)
-        seen.view.store_back()
+        seen.view.mark_store_reachable()
         seen.pass_time(0.024)
         seen.view.remove("i-1")
         seen.pass_time(1.0)
@@ -140,7 +140,7 @@
         assert seen.state() is VmState.GONE
 
     def test_peer_that_the_store_answers_is_believed_at_once(self, seen):
-        seen.view.store_lost()
+        seen.view.mark_store_unreachable()
         seen.view.replace_all((), confirmed=True)
         assert seen.state() is VmState.GONE
 
@@ -151,48 +151,48 @@
 
     def test_later_start_is_used_whatever_its_number(self):
         seen = View()
-        seen.view.put(self.FIRST)
-        seen.view.put(self.SECOND)
+        seen.view.merge_row(self.FIRST)
+        seen.view.merge_row(self.SECOND)
         assert seen.facts.get("i-1").address == "127.0.0.1:2"
         assert seen.restarted == [(9_000, "127.0.0.1:1")]
 
     def test_it_comes_back_after_its_row_had_vanished(self):
         seen = View()
-        seen.view.put(self.FIRST)
+        seen.view.merge_row(self.FIRST)
         seen.view.remove("i-1")
-        seen.view.put(self.SECOND)
+        seen.view.merge_row(self.SECOND)
         assert seen.state() is VmState.LIVE
         assert seen.restarted == [(9_000, "127.0.0.1:1")]
 
     def test_leaving_of_the_earlier_start_is_not_that_of_the_later_one(self):
         seen = View()
-        seen.view.put(replace(self.FIRST, ready=False))
-        seen.view.put(self.SECOND)
+        seen.view.merge_row(replace(self.FIRST, ready=False))
+        seen.view.merge_row(self.SECOND)
         assert seen.state() is VmState.LIVE
-        seen.view.put(replace(self.FIRST, ready=False, sequence=51))
+        seen.view.merge_row(replace(self.FIRST, ready=False, sequence=51))
         assert seen.state() is VmState.LIVE
         assert seen.facts.get("i-1").address == "127.0.0.1:2"
 
     def test_address_that_another_endpoint_has_says_nothing_of_a_later_start(self):
         seen = View()
-        seen.view.put(self.FIRST)
+        seen.view.merge_row(self.FIRST)
         seen.facts.mark("i-1", VmState.GONE)
-        seen.view.put(self.SECOND)
+        seen.view.merge_row(self.SECOND)
         assert seen.state() is VmState.LIVE
 
 
 class TestUnreadableRows:
     def test_endpoint_is_left_out_until_its_next_good_row(self, seen):
-        seen.view.put_unreadable("i-1")
+        seen.view.mark_unreadable("i-1")
         assert seen.state() is VmState.GONE and not seen.view.rows()
-        seen.view.put(replace(ROW, sequence=4))
+        seen.view.merge_row(replace(ROW, sequence=4))
         assert seen.state() is VmState.GONE
-        seen.view.put(ROW)
+        seen.view.merge_row(ROW)
         assert seen.state() is VmState.LIVE
 
     def test_grace_after_an_outage_is_for_missing_rows_only(self, seen):
-        seen.view.store_lost()
-        seen.view.put_unreadable("i-1")
+        seen.view.mark_store_unreachable()
+        seen.view.mark_unreadable("i-1")
         assert seen.state() is VmState.GONE
 
 
@@ -236,9 +236,9 @@
         for step, index in steps:
             if step in ("put", "peer"):
                 row = rows[index]
-                seen.view.put(row, by_peer=step == "peer")
-                is_newer = newest is None or row.position > newest.position
-                same = newest is not None and row.position == newest.position
+                seen.view.merge_row(row, from_peer=step == "peer")
+                is_newer = newest is None or row.order_key > newest.order_key
+                same = newest is not None and row.order_key == newest.order_key
                 if newest is not None and row.born > newest.born:
                     left = False
                 if is_newer and not left or (same and unreadable and standing is None):
@@ -248,7 +248,7 @@
                 seen.view.remove("i-1")
                 standing, left = None, False
             else:
-                seen.view.put_unreadable("i-1")
+                seen.view.mark_unreadable("i-1")
                 standing, unreadable, left = None, newest is not None, False
             self.compare(seen, standing, newest)
 
--- a/flamingofront/process/forwarding/tests/test_freshness.py
+++ b/flamingofront/process/forwarding/tests/test_freshness.py
@@ -6,9 +6,9 @@
 from flamingofront.messages import InboundRequest
 from flamingofront.platform.config import CONFIG_KEY, CONFIG_TABLE
 from flamingofront.process.forwarding.freshness import (
-    CURRENT_SECONDS,
-    FAILED_PAUSE_SECONDS,
-    LONGEST_WAIT_SECONDS,
+    FAILED_POLL_PAUSE_SECONDS,
+    MAX_CURRENT_AGE_SECONDS,
+    MAX_WAIT_SECONDS,
 )
 from flamingofront.standins.table_store import StoreFault
 from flamingofront.tests.forwarding_world import ForwardingWorld, configuration, ready_world
@@ -33,7 +33,7 @@
 
 def settle(world, caller):
     """Return the status of a request, which waits for a look at most."""
-    world.finish(caller, limit=LONGEST_WAIT_SECONDS + 0.5)
+    world.finish(caller, limit=MAX_WAIT_SECONDS + 0.5)
     return caller.status
 
 
@@ -57,7 +57,7 @@
     def test_refusal_is_503_while_a_newer_configuration_is_known_of(self, key):
         world = many_world()
         front = world.fronts["front-0"]
-        front.knowledge.hear_of_configuration(2, "front-1")
+        front.store_view.record_peer_version(2, "front-1")
         world.cut("front-0", "store")
         path = "/write/x" if key == "key-1" else "/read/x"
         caller = world.ask("front-0", path, key=key)
@@ -70,17 +70,17 @@
 
     def test_many_unknown_routes_cost_one_look_a_second(self):
         world = many_world()
-        name = next(name for name, each in world.fronts.items() if each.knowledge.rests)
+        name = next(name for name, each in world.fronts.items() if each.store_view.is_standby)
         before = looks(world, name)
         for _ in range(60):
             world.finish(world.ask(name, "/nowhere/x"))
             world.run(0.05)
-        assert looks(world, name) - before <= 3.0 / CURRENT_SECONDS + 1
+        assert looks(world, name) - before <= 3.0 / MAX_CURRENT_AGE_SECONDS + 1
 
     def test_many_unknown_routes_are_few_looks_at_a_store_that_turns_the_process_away(self):
         """Each refusal of the store would bring the next question."""
         world = many_world()
-        name = next(name for name, each in world.fronts.items() if each.knowledge.rests)
+        name = next(name for name, each in world.fronts.items() if each.store_view.is_standby)
         world.store.fault = StoreFault.BUSY
         world.run(3.0)
         before = looks(world, name)
@@ -90,7 +90,7 @@
             world.run(0.05)
         assert {each.status for each in callers} == {503}
         # Those of the process itself, a second apart at a store that does not answer, besides.
-        assert looks(world, name) - before <= 3.0 / FAILED_PAUSE_SECONDS + 3.0 + 2
+        assert looks(world, name) - before <= 3.0 / FAILED_POLL_PAUSE_SECONDS + 3.0 + 2
 
     def test_looks_do_not_read_again_what_a_peer_has_told(self):
         """Each process that rests would read the whole configuration for each look."""
@@ -98,7 +98,7 @@
         written_at = world.store.put(CONFIG_TABLE, CONFIG_KEY, configuration(version=2))
         world.run(2.0)
         for front in world.fronts.values():
-            assert front.knowledge.configuration_position() >= written_at
+            assert front.store_view.configuration_position() >= written_at
 
     def test_caller_that_has_left_is_not_answered(self):
         world = many_world()
@@ -114,8 +114,8 @@
         for _ in range(20):
             world.run(0.3)
             for front in world.fronts.values():
-                assert front.knowledge.configuration_age() < 4.0
-                assert front.knowledge.endpoints_age() < 4.0
+                assert front.store_view.configuration_age() < 4.0
+                assert front.store_view.endpoints_age() < 4.0
 
     def test_operators_see_them_for_each_process(self):
         world = many_world()
--- a/flamingofront/process/forwarding/tests/test_readers.py
+++ b/flamingofront/process/forwarding/tests/test_readers.py
@@ -8,16 +8,16 @@
 from hypothesis.stateful import RuleBasedStateMachine, initialize, rule
 
 from flamingofront.process.forwarding.news import (
-    KEPT_CHANGES,
+    MAX_KEPT_CHANGES,
     EndpointHistory,
-    EndpointNews,
-    decode_news,
-    encode_news,
+    EndpointUpdate,
+    decode_endpoint_update,
+    encode_endpoint_update,
 )
 from flamingofront.process.forwarding.readers import (
-    HEARD_READERS,
-    READERS_PER_ZONE,
-    StoreReaders,
+    MIN_LIVE_WATCHERS,
+    WATCHERS_PER_ZONE,
+    ZoneWatchers,
 )
 from flamingofront.process.forwarding.reports import PeerReport
 from flamingofront.process.membership import Role, VmState
@@ -50,7 +50,7 @@
     return [
         name
         for name, each in alive(world).items()
-        if each.settings.zone == zone and not each.knowledge.rests
+        if each.settings.zone == zone and not each.store_view.is_standby
     ]
 
 
@@ -65,21 +65,21 @@
 class TestReaders:
     def test_some_of_each_zone_follow_and_the_others_rest(self):
         world = zones_world()
-        assert [len(readers(world, zone)) for zone in ZONES] == [READERS_PER_ZONE] * 2
+        assert [len(readers(world, zone)) for zone in ZONES] == [WATCHERS_PER_ZONE] * 2
         before = world.store.calls
         world.run(20.0)
         # Two feeds of at most 3.5 s each for each reader, and the duties of one holder.
-        feeds = 2 * READERS_PER_ZONE * len(ZONES) * 20.0 / 3.5
+        feeds = 2 * WATCHERS_PER_ZONE * len(ZONES) * 20.0 / 3.5
         assert world.store.calls - before <= 1.2 * feeds + 3 * 20.0
 
     def test_small_zones_follow_all_by_themselves(self):
         world = ForwardingWorld()
         world.configure_routes()
         world.endpoint("plain-1", "records")
-        for number in range(READERS_PER_ZONE):
+        for number in range(WATCHERS_PER_ZONE):
             world.front(f"front-{number}")
         world.run(5.0)
-        assert len(readers(world)) == READERS_PER_ZONE
+        assert len(readers(world)) == WATCHERS_PER_ZONE
 
     def test_changes_reach_all_at_once(self):
         world = zones_world()
@@ -116,14 +116,14 @@
             PeerReport(f"vm-{number}", 1, 1, "zone-a", "1.2.3.4", "1.2.3.4:5", follows=False)
             for number in range(8)
         ]
-        follow = [replace(each, follows=True) for each in peers[:HEARD_READERS]]
+        follow = [replace(each, follows=True) for each in peers[:MIN_LIVE_WATCHERS]]
 
-        def may_rest(heard):
+        def can_stand_by(heard):
             names = [f"vm-{number}" for number in range(20, 40)]
-            return [StoreReaders(name, "zone-a", lambda: heard).may_rest() for name in names]
+            return [ZoneWatchers(name, "zone-a", lambda: heard).can_stand_by() for name in names]
 
-        assert not any(may_rest(peers))
-        assert any(may_rest([*follow, *peers[HEARD_READERS:]]))
+        assert not any(can_stand_by(peers))
+        assert any(can_stand_by([*follow, *peers[MIN_LIVE_WATCHERS:]]))
 
     def test_endpoint_that_went_and_came_back_is_kept_by_those_that_take_over(self):
         """They heard of both from a peer; the store's feed would tell them of the end again."""
@@ -189,7 +189,7 @@
         world.store.drop("servers", "plain-1")
         went_at = world.clock.now()
         front = world.fronts["front-0"]
-        world.run_until(lambda: not front.knowledge.cut_off)
+        world.run_until(lambda: not front.store_view.is_store_unreachable)
         world.run(0.5)
         world.heal()
         world.run(went_at + self.DRAIN_SECONDS - world.clock.now())
@@ -297,21 +297,21 @@
 
 class TestNews:
     def test_it_is_decoded_as_it_was_encoded(self):
-        news = EndpointNews(7, False, (), ("a", "b"))
-        assert decode_news(encode_news(news)) == news
+        news = EndpointUpdate(7, False, (), ("a", "b"))
+        assert decode_endpoint_update(encode_endpoint_update(news)) == news
 
     @pytest.mark.parametrize("data", [b"", b"[]", b"{}", b'{"mark":1,"whole":true}'])
     def test_malformed_news_is_refused(self, data):
         with pytest.raises(ValueError):
-            decode_news(data)
+            decode_endpoint_update(data)
 
     def test_what_is_no_longer_remembered_is_told_whole(self):
         history = EndpointHistory()
-        history.restart(10)
-        assert history.since(9) is None
-        for mark in range(11, 11 + KEPT_CHANGES + 5):
-            history.changed(f"e{mark}", mark)
-        assert history.since(12) is None
-        newest = 10 + KEPT_CHANGES + 5
-        assert history.since(newest - 1) == {f"e{newest}"}
-        assert history.since(newest) == frozenset()
+        history.reset(10)
+        assert history.changes_since(9) is None
+        for mark in range(11, 11 + MAX_KEPT_CHANGES + 5):
+            history.record_change(f"e{mark}", mark)
+        assert history.changes_since(12) is None
+        newest = 10 + MAX_KEPT_CHANGES + 5
+        assert history.changes_since(newest - 1) == {f"e{newest}"}
+        assert history.changes_since(newest) == frozenset()
--- a/flamingofront/process/forwarding/vanished.py
+++ b/flamingofront/process/forwarding/vanished.py
@@ -7,10 +7,10 @@
 from flamingofront.process.store import StoredRow, TableStore
 from flamingofront.process.tasks import Task
 
-__all__ = ["VanishedEndpoints"]
+__all__ = ["UnobservedRemovals"]
 
 
-class VanishedEndpoints:
+class UnobservedRemovals:
     """Asks the store for the rows of endpoints that went since an entry process last wrote there.
 
     Notes
@@ -30,20 +30,20 @@
         if row is None:
             return ()
         changes = yield from self._store.changes(self._tables.endpoints, row.version, 0.0)
-        return self._vanished(changes.rows)
+        return self._find_removals(changes.rows)
 
-    def _vanished(self, rows: tuple[StoredRow, ...]) -> tuple[str, ...]:
+    def _find_removals(self, rows: tuple[StoredRow, ...]) -> tuple[str, ...]:
         is_ready: dict[str, bool] = {}
         vanished: dict[str, None] = {}
         for row in rows:
             if row.value is not None:
-                is_ready[row.key] = self._decoded_ready(row)
+                is_ready[row.key] = self._is_ready(row)
                 vanished.pop(row.key, None)
             elif is_ready.get(row.key, True):
                 vanished[row.key] = None
         return tuple(vanished)
 
-    def _decoded_ready(self, row: StoredRow) -> bool:
+    def _is_ready(self, row: StoredRow) -> bool:
         """Tell whether a row is that of an endpoint in use; one that cannot be read is not."""
         try:
             found: EndpointRow = self._tables.decode_endpoint(row.key, row.value)
--- a/flamingofront/process/forwarding/version_word.py
+++ b/flamingofront/process/forwarding/version_word.py
@@ -1,9 +1,9 @@
 """Word of others about versions that this process does not have yet."""
 
-__all__ = ["VersionWord"]
+__all__ = ["VersionTracker"]
 
 
-class VersionWord:
+class VersionTracker:
     """The newest version that others have told of, and since when one is missing here.
 
     Attributes
@@ -16,10 +16,10 @@
 
     def __init__(self):
         self.newest = 0
-        self.teller = ""
-        self._since: float | None = None
+        self.sender = ""
+        self._missing_since: float | None = None
 
-    def told(self, version: int, teller: str, known: int, now: float) -> bool:
+    def record_report(self, version: int, sender: str, local_version: int, now: float) -> bool:
         """Take word of a version; return whether it is the first of a version that is missing.
 
         Parameters
@@ -29,16 +29,16 @@
         now : float
             Time of the timer service.
         """
-        is_news = version > max(self.newest, known)
-        if is_news:
-            self.newest, self.teller = version, teller
-        if self.newest <= known:
-            self._since = None
-        elif self._since is None:
-            self._since = now
-        return is_news
-
-    def missing_for(self, known: int, now: float) -> float | None:
+        is_new = version > max(self.newest, local_version)
+        if is_new:
+            self.newest, self.sender = version, sender
+        if self.newest <= local_version:
+            self._missing_since = None
+        elif self._missing_since is None:
+            self._missing_since = now
+        return is_new
+
+    def missing_seconds(self, local_version: int, now: float) -> float | None:
         """Return the seconds since a version was missing first; None if none is.
 
         Parameters
@@ -46,6 +46,6 @@
         known : int
             Version that this process has.
         """
-        if self.newest <= known or self._since is None:
+        if self.newest <= local_version or self._missing_since is None:
             return None
-        return now - self._since
+        return now - self._missing_since
