--- a/flamingofront/process/forwarding/peers.py
+++ b/flamingofront/process/forwarding/peers.py
@@ -76,7 +76,7 @@
 HEARING_LOG_SECONDS = 1.0
 MAX_NAMED = 8
 # Senders whose refused datagrams are told of in a line.
-MAX_REJECTED_ROWS_LOGGED = 64
+MAX_REFUSED_TOLD = 64
 
 
 def _kind_of(data: bytes) -> str:
@@ -437,7 +437,7 @@
     def _refuse(self, ip: str, detail: str) -> None:
         """Count a datagram that is not taken, and tell the first one of each sender."""
         self._metrics.count("peer_datagrams_refused_total")
-        if ip not in self._refused and len(self._refused) < MAX_REJECTED_ROWS_LOGGED:
+        if ip not in self._refused and len(self._refused) < MAX_REFUSED_TOLD:
             self._refused.add(ip)
             self._log.warning("datagram refused", sender=ip, detail=detail)
 
