--- a/bench/platform_mutations.py
+++ b/bench/platform_mutations.py
@@ -168,7 +168,7 @@
     Mutation(
         "P nobody rests without hearing those that follow",
         "process/forwarding/readers.py",
-        "return sum(each.follows for each in candidates) >= MIN_LIVE_WATCHERS",
+        "return sum(each.watches_store for each in candidates) >= MIN_LIVE_WATCHERS",
         "return True",
         READERS,
     ),
@@ -245,7 +245,7 @@
     Mutation(
         "P placements are told to peers at once",
         "process/forwarding/observations.py",
-        "        self._hub.directory.on_load = self._load_changed\n",
+        "        self._hub.directory.on_load_change = self._record_load_change\n",
         "",
         REPORTS,
     ),
@@ -259,21 +259,21 @@
     Mutation(
         "P two tellers of one sum count once",
         "process/forwarding/streams.py",
-        "                return Step.MARK\n",
-        "                return Step.COUNT\n",
+        "                return SumAction.RECORD\n",
+        "                return SumAction.COUNT\n",
         DIGESTS,
     ),
     Mutation(
         "P a late teller's place is not taken at once",
         "process/forwarding/streams.py",
-        "return Step.HOLD if is_known else Step.MARK",
-        "return Step.MARK",
+        "return SumAction.IGNORE if is_known else SumAction.RECORD",
+        "return SumAction.RECORD",
         DIGESTS,
     ),
     Mutation(
         "P silent relays are passed over",
         "process/forwarding/zone_relays.py",
-        "if vm_id != self._own_id and now - quiet_since > PATIENCE_SECONDS:",
+        "if vm_id != self._own_id and now - quiet_since > RELAY_TIMEOUT_SECONDS:",
         "if False:",
         DIGESTS,
     ),
@@ -287,15 +287,15 @@
     Mutation(
         "P what a process runs itself is not taken for others' work",
         "process/forwarding/relay_hearing.py",
-        "own = self._told.get(best.digest.acknowledged)",
+        "own = self._sent_reports.get(best.digest.acknowledged)",
         "own = None",
         REPORTS,
     ),
     Mutation(
         "P a new holder is told all windows",
         "process/forwarding/relaying.py",
-        "windows = KEPT_WINDOWS if self._whole_left > 0 else NEWEST_WINDOWS",
-        "windows = NEWEST_WINDOWS",
+        "windows = KEPT_WINDOWS if self._full_usage_left > 0 else RECENT_WINDOWS",
+        "windows = RECENT_WINDOWS",
         REPORTS,
     ),
     Mutation(
@@ -322,15 +322,15 @@
     Mutation(
         "P late work stands back",
         "decisions/lateness.py",
-        "    return LOOK_SECONDS if waited < LONGEST_PART * deadline else 0.0\n",
+        "    return RECHECK_SECONDS if waited < MAX_YIELD_FRACTION * deadline else 0.0\n",
         "    return 0.0\n",
         "decisions/tests/test_lateness.py",
     ),
     Mutation(
         "P work that stands back goes before its deadline is lost",
         "decisions/lateness.py",
-        "    return LOOK_SECONDS if waited < LONGEST_PART * deadline else 0.0\n",
-        "    return LOOK_SECONDS\n",
+        "    return RECHECK_SECONDS if waited < MAX_YIELD_FRACTION * deadline else 0.0\n",
+        "    return RECHECK_SECONDS\n",
         "decisions/tests/test_lateness.py",
     ),
     Mutation(
--- a/flamingofront/process/forwarding/control.py
+++ b/flamingofront/process/forwarding/control.py
@@ -59,14 +59,14 @@
     def _set_gauges(self) -> None:
         node, gauge = self._node, self._node.metrics.gauge
         gauge("requests_in_flight", len(node.hub.active))
-        gauge("requests_waiting", node.hub.waiting())
+        gauge("requests_waiting", node.hub.count_queued())
         gauge("requests_suspected", len(node.hub.guard.suspects()))
-        gauge("requests_held", len(node.hub.guard.quarantine.holds()))
-        gauge("endpoints_limited", len(node.hub.limits.limited()))
+        gauge("requests_held", len(node.hub.guard.quarantine.list_entries()))
+        gauge("endpoints_limited", len(node.hub.limits.rates_by_endpoint()))
         gauge("configuration_revision", node.configuration.version)
         gauge("store_era", node.store.era)
         gauge("ready", int(node.ready))
-        gauge("peers_heard", node.peers.heard_count())
+        gauge("peers_heard", node.peers.live_count())
         lease = node.lease.holding()
         gauge("duty_fencing", lease.fencing if lease is not None else 0)
         for follower in node.store_view.watchers:
--- a/flamingofront/process/forwarding/exchange.py
+++ b/flamingofront/process/forwarding/exchange.py
@@ -87,7 +87,7 @@
         self._store_view.record_peer_version(report.configuration, report.vm_id)
         self._store_view.merge_peer_ages(report)
         waited = self._store_view.configuration_lag() or 0.0
-        can_reach_store = report.follows and not report.cut_off
+        can_reach_store = report.watches_store and not report.store_unreachable
         if can_reach_store:
             self._watcher_report_at = now
         change_number = self._store_view.endpoints_change_number()
--- a/flamingofront/process/forwarding/freshness.py
+++ b/flamingofront/process/forwarding/freshness.py
@@ -7,7 +7,7 @@
 from flamingofront.process.logs import Log
 from flamingofront.process.tasks import Task, TaskRunner
 from flamingofront.process.timers import Timer, TimerService
-from flamingofront.request.unknown_gate import UnknownGate
+from flamingofront.request.unknown_gate import ConfigFreshness
 
 __all__ = ["FreshnessCheck"]
 
@@ -20,7 +20,7 @@
 FAILED_POLL_PAUSE_SECONDS = 0.5
 
 
-class FreshnessCheck(UnknownGate):
+class FreshnessCheck(ConfigFreshness):
     """Polls the store before a request is rejected because of a possibly outdated configuration.
 
     All waiting requests share one poll, which limits a process to one poll per second.
--- a/flamingofront/process/forwarding/held_requests.py
+++ b/flamingofront/process/forwarding/held_requests.py
@@ -58,9 +58,9 @@
         recording: Callable[[IntentRows, Services], IntentRecorder],
         first_start: float | None = None,
     ):
-        guard.wall = peers.true_time
-        guard.on_news = peers.tell_now
-        guard.restarts = lambda: _restarts(peers.starts(), first_start)
+        guard.wall = peers.cluster_time
+        guard.on_update = peers.broadcast_report
+        guard.entry_start_times = lambda: _restarts(peers.start_times(), first_start)
         self._keeper = HoldKeeper(guard, TableHolds(store), services, FEED_SEEN_SECONDS, may_rest)
         store.on_return(self._keeper.write_again)
         self._recorder = recording(TableIntents(store), services)
--- a/flamingofront/process/forwarding/knowledge.py
+++ b/flamingofront/process/forwarding/knowledge.py
@@ -4,7 +4,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from flamingofront.decisions.rollout import RolloutOrder
+from flamingofront.decisions.rollout import RolloutSpec
 from flamingofront.errors import ConfigurationError, PlatformError
 from flamingofront.process.forwarding.document_copies import DeltaSource
 from flamingofront.process.forwarding.endpoint_row import EndpointRow
@@ -84,7 +84,7 @@
         pause: Callable[[], float] = lambda: 0.0,
     ):
         self.on_change: Callable[[], None] = lambda: None
-        self.on_rollout: Callable[[RolloutOrder], None] = lambda spec: None
+        self.on_rollout: Callable[[RolloutSpec], None] = lambda spec: None
         self._history = EndpointHistory()
         self._rejected_rows: set[str] = set()
         self.configuration = ForwardingConfiguration()
--- a/flamingofront/process/forwarding/limit_arbiter.py
+++ b/flamingofront/process/forwarding/limit_arbiter.py
@@ -114,7 +114,7 @@
     def question(self, number: int, request: _PermitRequest) -> bytes:
         """Return the datagram that asks for a permit."""
         claim = request.claim
-        known = self._limits.limit(claim.endpoint_id)
+        known = self._limits.limit_of(claim.endpoint_id)
         limit = known or EndpointLimit(claim.endpoint_id, 0, claim.rate, 0.0)
         return encode_permit_question(PermitQuestion(number, limit, claim.priority, claim.patience))
 
@@ -151,10 +151,10 @@
         if decision.arbiter:
             self._give_back(endpoint_id, decision.arbiter)
         elif decision.arbiter is not None:
-            self._for_all.give_back(endpoint_id)
+            self._for_all.return_permit(endpoint_id)
 
     def _give_back(self, endpoint_id: str, ip: str) -> None:
-        limit = self._limits.limit(endpoint_id) or EndpointLimit(endpoint_id, 0, None, 0.0)
+        limit = self._limits.limit_of(endpoint_id) or EndpointLimit(endpoint_id, 0, None, 0.0)
         question = PermitQuestion(self._inquiries.next_number(), limit, GIVEN_BACK)
         self._send(encode_permit_question(question), ip)
 
@@ -198,7 +198,7 @@
         """
         question = decode_permit_question(data)
         if question.priority == GIVEN_BACK:
-            self._for_all.give_back(question.limit.endpoint_id)
+            self._for_all.return_permit(question.limit.endpoint_id)
             return
         reply = self._sent.once(ip, question.number, lambda: self._reply(question, ip))
         self._metrics.count("limit_replies_total", verdict=reply.verdict.name.lower())
@@ -210,10 +210,10 @@
         part = self._part(endpoint_id)
         if part <= 0:
             return PermitReply(question.number, Verdict.NOT_HERE)
-        known = self._limits.limit(endpoint_id) or question.limit
+        known = self._limits.limit_of(endpoint_id) or question.limit
         if known.rate is None:
             return PermitReply(question.number, Verdict.ALLOWED)
         claim = RateClaim(endpoint_id, known.rate, question.priority, question.patience, ip)
         decided = self._for_all.decide(claim, part, self._timers.now())
-        verdict = Verdict.ALLOWED if decided.given else Verdict.REFUSED
+        verdict = Verdict.ALLOWED if decided.is_granted else Verdict.REFUSED
         return PermitReply(question.number, verdict, decided.delay, decided.wait)
--- a/flamingofront/process/forwarding/limit_members.py
+++ b/flamingofront/process/forwarding/limit_members.py
@@ -40,4 +40,4 @@
 
     def heard_part(self) -> float:
         """Return the part of the processes that is heard, if a zone is silent; else 1."""
-        return self._peers.heard_share() if self._peers.silent_zones() else 1.0
+        return self._peers.live_share() if self._peers.unreachable_zones() else 1.0
--- a/flamingofront/process/forwarding/node.py
+++ b/flamingofront/process/forwarding/node.py
@@ -10,7 +10,7 @@
 from flamingofront.decisions.choice import BacklogChoice
 from flamingofront.decisions.fleet_plan import CheapestSafeFleet
 from flamingofront.decisions.quota import SharedQuota
-from flamingofront.decisions.quota_facts import QuotaRules
+from flamingofront.decisions.quota_facts import QuotaLimits
 from flamingofront.decisions.retry import RetryBudget
 from flamingofront.decisions.shared_retry import SharedRetryBudget
 from flamingofront.messages import InboundRequest
@@ -28,8 +28,8 @@
 from flamingofront.process.forwarding.limit_arbiter import LimitArbiters, LimitView
 from flamingofront.process.forwarding.limit_members import LimitMembers
 from flamingofront.process.forwarding.observations import Observations
-from flamingofront.process.forwarding.own_report import OwnReport, ReportedParts
-from flamingofront.process.forwarding.peer_word import PeerWord, WordParts
+from flamingofront.process.forwarding.own_report import LocalReport, ReportSources
+from flamingofront.process.forwarding.peer_word import PeerDispatcher, UpdateReceivers
 from flamingofront.process.forwarding.peers import Peers
 from flamingofront.process.forwarding.quota_arbiter import QuotaArbiters, QuotaView
 from flamingofront.process.forwarding.quota_members import QuotaMembers
@@ -41,7 +41,7 @@
 from flamingofront.process.forwarding.settings import DeploymentSettings
 from flamingofront.process.forwarding.usage import CountsHeard, UsageBook, UsageDuty
 from flamingofront.process.forwarding.vanished import UnobservedRemovals
-from flamingofront.process.forwarding.whole_load import WholeLoad
+from flamingofront.process.forwarding.whole_load import ClusterLoad
 from flamingofront.process.intent_rows import IntentRows
 from flamingofront.process.intents import IntentRecorder
 from flamingofront.process.logs import Log
@@ -120,7 +120,7 @@
             settings.ip,
             str(settings.control_bind or settings.ready_bind),
         )
-        self._report = OwnReport(own, needs.timers, rng)
+        self._report = LocalReport(own, needs.timers, rng)
         self.usage = UsageBook(own.process, settings.rules.usage_window)
         self.rollouts = Rollouts(settings.rules.expose_share, self.timers.now, rng, log)
         self._build_requests()
@@ -137,11 +137,11 @@
             self._recorder,
             needs.incarnation / 1000 if settings.first_start else None,
         )
-        reported = ReportedParts(
+        reported = ReportSources(
             self.hub, self.store_view, self.lease, self.peers, self.rollouts, self.usage
         )
-        parts = WordParts(reported, self.quota, self.exchange)
-        self._word = PeerWord(self._report, parts, self.timers, self.metrics)
+        parts = UpdateReceivers(reported, self.quota, self.exchange)
+        self._word = PeerDispatcher(self._report, parts, self.timers, self.metrics)
         self.handle_control = ControlHandler(self).handle
 
     def _recorder(self, rows: IntentRows, services: Services) -> IntentRecorder:
@@ -173,14 +173,14 @@
             self.metrics,
             self.log,
             self._may_rest,
-            lambda: FEED_PAUSE_SECONDS if self.peers.many else 0.0,
+            lambda: FEED_PAUSE_SECONDS if self.peers.is_relayed else 0.0,
         )
         self.hub = RequestHub(
             HubSettings(
                 settings.vm_id,
                 settings.zone,
-                queue_patience=REFUSE_WITHIN,
-                choice_patience=REFUSE_WITHIN,
+                queue_wait_fraction=REFUSE_WITHIN,
+                choice_wait_fraction=REFUSE_WITHIN,
             ),
             needs.transport,
             self.timers,
@@ -193,15 +193,15 @@
             self._retry_budget,
         )
         self.store_view.on_rollout = self.rollouts.take_order
-        self.hub.on_leaving = self._endpoint_leaves
+        self.hub.on_endpoint_leaving = self._endpoint_leaves
         self.hub.on_outcome = self._outcome
         self.hub.cache_tokens = self._cache_tokens
         self.directory.sample_size = self._sample_size
         rules = settings.rules
         self.quota = SharedQuota(
-            lambda: self.peers.heard_share(),
-            QuotaRules(rules.quota_window, rules.quota_over, rules.quota_allowance),
-            lambda: self.peers.lag(),
+            lambda: self.peers.live_share(),
+            QuotaLimits(rules.quota_window, rules.quota_over, rules.quota_allowance),
+            lambda: self.peers.propagation_delay(),
             self._rng,
             lambda: self.peers.member_count(),
         )
@@ -215,13 +215,15 @@
         self.rollouts.answered(service, self.directory.version_of(endpoint_id), is_bad)
 
     def _sample_size(self) -> int:
-        return FEW_CANDIDATES if self.peers.lag() > LATE_WORD_SECONDS else MAX_CANDIDATES
+        return (
+            FEW_CANDIDATES if self.peers.propagation_delay() > LATE_WORD_SECONDS else MAX_CANDIDATES
+        )
 
     def _endpoint_gone(self, row: EndpointRow) -> None:
-        self.hub.guard.ends.gone(row.endpoint_id, announced=not row.ready)
+        self.hub.guard.crash_detector.record_row_removal(row.endpoint_id, announced=not row.ready)
         self.directory.forget(row.endpoint_id)
         self.hub.limits.forget(row.endpoint_id)
-        self.hub.pauses.forget(row.endpoint_id)
+        self.hub.backoffs.forget(row.endpoint_id)
         self._needs.transport.drop_idle(row.address)
         self.store_view.record_removed_endpoint(row.endpoint_id)
 
@@ -233,15 +235,15 @@
         """Forget the earlier start of an endpoint, and what ran there."""
         self.directory.forget(row.endpoint_id)
         self.hub.limits.forget(row.endpoint_id)
-        self.hub.pauses.forget(row.endpoint_id)
-        self.observations.endpoint_restarted(row.endpoint_id)
+        self.hub.backoffs.forget(row.endpoint_id)
+        self.observations.discard_earlier_loads(row.endpoint_id)
         for address in {row.address, before.address}:
             self._needs.transport.drop_idle(address)
-        ago = self.peers.true_time() - row.born / 1000
+        ago = self.peers.cluster_time() - row.born / 1000
         at = self.timers.now() - ago
         # What has arrived of its last answers is read first.
         self.timers.once(
-            LAST_ANSWERS_SECONDS, lambda: self.hub.endpoint_restarted(row.endpoint_id, at)
+            LAST_ANSWERS_SECONDS, lambda: self.hub.handle_endpoint_restart(row.endpoint_id, at)
         )
 
     def _retry_budget(self, service: Service) -> RetryBudget:
@@ -261,19 +263,19 @@
             self.settings.seeds,
             self.own_report,
             self._needs.send,
-            lambda report, gap: self._word.take_report(report, gap),
-            lambda note: self.observations.noted(note),
+            lambda report, gap: self._word.apply_report(report, gap),
+            lambda note: self.observations.apply_load_delta(note),
             RelayListener(
                 self.own_report,
-                lambda relay, claim: self._word.take_belief(relay, claim),
-                lambda process, sums, counts: self._word.take_sums(process, sums, counts),
-                lambda: self.observations.loads_told(),
+                lambda relay, claim: self._word.apply_relay_state(relay, claim),
+                lambda process, sums, counts: self._word.apply_sums(process, sums, counts),
+                lambda: self.observations.mark_loads_stale(),
                 lambda counts, told_until: self.usage.heard(counts, told_until),
                 lambda processes, windows: self.usage.counts_of(
-                    processes, self.peers.true_time(), windows
+                    processes, self.peers.cluster_time(), windows
                 ),
                 lambda processes: self.usage.told_until(processes),
-                lambda: self.peers.true_time(),
+                lambda: self.peers.cluster_time(),
             ),
             self._needs.store,
             self.tasks,
@@ -313,8 +315,8 @@
             self.log,
         )
         self.gateway.quota_gate = self.arbiters
-        self.peers.on_question = self.arbiters.take_question
-        self.peers.on_reply = self.arbiters.take_reply
+        self.peers.on_quota_request = self.arbiters.take_question
+        self.peers.on_quota_reply = self.arbiters.take_reply
         self._build_limits()
         self.exchange = PeerSync(self.store_view, self.tasks, self.timers.now, self._rng, self.log)
         self.exchange.remote_watchers = self._distant
@@ -325,17 +327,17 @@
         self.readers = ZoneWatchers(
             self.settings.vm_id,
             self.settings.zone,
-            lambda: self.peers.table.heard(self.timers.now()),
+            lambda: self.peers.table.live_reports(self.timers.now()),
         )
         self.store_view.on_change = self._store_changed
 
     def _distant(self) -> list[str]:
         """Return the control addresses of the other zones' relays, in random order."""
-        return self._addresses(self.peers.relaying.relays_elsewhere() if self.peers.many else [])
+        return self._addresses(self.peers.relaying.remote_relays() if self.peers.is_relayed else [])
 
     def _near(self) -> list[str]:
         """Return the control addresses of the other processes of the zone, in random order."""
-        near = self.peers.relaying.near() if self.peers.many else {}
+        near = self.peers.relaying.zone_members() if self.peers.is_relayed else {}
         return self._addresses(sorted({*near.values()} - {self._report.identity.ip}))
 
     def _addresses(self, ips: list[str]) -> list[str]:
@@ -345,8 +347,8 @@
     def _build_limits(self) -> None:
         """Let one process decide on each endpoint that names the rate that it takes from all."""
         limits, permits = self.hub.limits, self.hub.permits
-        limits.wall = self.peers.true_time
-        limits.born_of = self.store_view.endpoints.start_time_ms
+        limits.wall = self.peers.cluster_time
+        limits.start_ms_of = self.store_view.endpoints.start_time_ms
         own_ip = self.settings.ip
         members = LimitMembers(own_ip, self.quota_members, self.peers, lambda: self.stopping)
         inquirer = Inquirer(own_ip, self._needs.incarnation, members.ranked)
@@ -359,8 +361,8 @@
             self.log,
         )
         permits.gate = self.limit_arbiters
-        permits.own_name = own_ip
-        self.peers.on_permit_question = self.limit_arbiters.take_question
+        permits.process_name = own_ip
+        self.peers.on_permit_request = self.limit_arbiters.take_question
         self.peers.on_permit_reply = self.limit_arbiters.take_reply
 
     def _knows_less_of_quotas(self) -> bool:
@@ -369,16 +371,16 @@
 
     def _may_rest(self) -> bool:
         """Tell whether others follow the store for this process."""
-        if self.peers.many:
-            return self.peers.relaying.may_rest()
+        if self.peers.is_relayed:
+            return self.peers.relaying.has_watching_relay()
         return self.readers.can_stand_by()
 
     def _store_changed(self) -> None:
         """Tell the zone, if others may rest because this process follows the store."""
-        self.peers.tell_zone()
+        self.peers.notify_zone()
         if self._leaving_untold:
             self._leaving_untold = False
-            self.peers.tell_leaving()
+            self.peers.broadcast_leaving()
 
     def _row_leaves(self, row: EndpointRow) -> None:
         """Tell of a leaving endpoint once all that came with its row is taken in."""
@@ -395,7 +397,7 @@
             self._rng,
             self.log,
         )
-        load = WholeLoad(self.hub, self.peers, self.facts, self.timers)
+        load = ClusterLoad(self.hub, self.peers, self.facts, self.timers)
         self.duties: list[UsageDuty | ScalingDuty | RolloutDuty] = []
         if needs.cloud is None:
             return
@@ -408,9 +410,9 @@
                     settings.rules,
                     settings.vm_id,
                     CountsHeard(
-                        self.peers.true_time,
-                        self.peers.counts_wait,
-                        lambda: self.peers.heard_count() + 1,
+                        self.peers.cluster_time,
+                        self.peers.usage_sync_delay,
+                        lambda: self.peers.live_count() + 1,
                     ),
                     self.timers.now,
                     self.metrics,
@@ -427,21 +429,21 @@
                     self.timers.now,
                     lambda: self.configuration,
                     self.store_view.endpoints.rows,
-                    load.demand,
+                    load.compute_demand,
                     self.metrics,
                     self.log,
                     settings.first_start,
                 )
             )
-        self.rollouts.on_verdict = self.peers.tell_now
+        self.rollouts.on_verdict = self.peers.broadcast_report
         rollout_duty = RolloutDuty(
             self.lease,
             needs.store,
             needs.tables.rollouts,
             self.rollouts,
-            load.at_other_versions,
+            load.count_at_other_versions,
             self.timers.now,
-            self.peers.true_time,
+            self.peers.cluster_time,
             self.log,
         )
         self.store.on_return(rollout_duty.read_again)
@@ -461,14 +463,14 @@
         if not request.work.workspace:
             return
         ago = self.timers.now() - request.began_at()
-        self.usage.began(request.work.workspace, self.peers.true_time() - ago)
+        self.usage.began(request.work.workspace, self.peers.cluster_time() - ago)
 
     # Peers
 
     def own_report(self) -> PeerReport:
         """Return this process's report as it is now."""
         self._report.leaving = self.stopping
-        return self._word.own_report()
+        return self._word.build_report()
 
     def max_idle(self, address: str) -> int:
         """Return how many idle connections to an address this process may keep.
@@ -519,7 +521,7 @@
 
     def _configuration_changed(self, cfg: ForwardingConfiguration) -> None:
         self.gateway.configuration = cfg
-        self.quota.prepare(cfg.workspaces, self.timers.now())
+        self.quota.start_buckets(cfg.workspaces, self.timers.now())
         self.on_configuration(cfg)
 
     @property
--- a/flamingofront/process/forwarding/operators.py
+++ b/flamingofront/process/forwarding/operators.py
@@ -112,7 +112,7 @@
                 "zone": each.zone,
                 "ip": each.ip,
                 "incarnation": each.incarnation,
-                "heard": round(node.peers.table.gap(each.vm_id, now) or 0.0, 2),
+                "heard": round(node.peers.table.seconds_since_report(each.vm_id, now) or 0.0, 2),
                 "configuration": each.configuration,
                 "configuration_age": self._current_age(each, each.ages[0]),
                 "endpoints_age": self._current_age(each, each.ages[1]),
@@ -124,7 +124,10 @@
 
     def _current_age(self, report: PeerReport, reported_age: float | None) -> float | None:
         """Return a staleness from a report plus the time since that report, in seconds."""
-        gap = self._node.peers.table.gap(report.vm_id, self._node.timers.now()) or 0.0
+        gap = (
+            self._node.peers.table.seconds_since_report(report.vm_id, self._node.timers.now())
+            or 0.0
+        )
         return None if reported_age is None else round(reported_age + gap, 2)
 
     def _held(self) -> Rows:
@@ -132,7 +135,7 @@
 
     def _endpoints(self) -> Rows:
         directory = self._node.directory
-        backlog = directory.all_backlog()
+        backlog = directory.backlog_by_endpoint()
         return [
             {
                 "endpoint": fact.vm_id,
@@ -142,10 +145,10 @@
                 "address": fact.address,
                 "slots": fact.slots,
                 "reclaimable": fact.reclaimable,
-                "in_flight": directory.in_flight(fact.vm_id),
+                "in_flight": directory.in_flight_at(fact.vm_id),
                 "load": directory.load_of(fact.vm_id),
                 "backlog": backlog.get(fact.vm_id, 0),
-                "rate_limit": self._node.hub.limits.rate(fact.vm_id),
+                "rate_limit": self._node.hub.limits.rate_of(fact.vm_id),
                 **self._describe_unavailability(fact),
             }
             for fact in self._node.facts.all()
@@ -155,9 +158,11 @@
     def _describe_unavailability(self, fact: Fact) -> dict[str, Any]:
         """Return why this process sends no requests to an endpoint, and for how many seconds."""
         hub = self._node.hub
-        pause, permit = hub.pauses.remaining(fact.vm_id), hub.permits.wait((fact.vm_id,))
+        pause, permit = hub.backoffs.remaining_seconds(fact.vm_id), hub.permits.wait_seconds(
+            (fact.vm_id,)
+        )
         reason = None
-        if hub.directory.leaving(fact.vm_id):
+        if hub.directory.is_unavailable(fact.vm_id):
             reason = "leaves" if fact.state is VmState.LEAVING else "gone"
         elif pause > 0:
             reason = "requested a pause"
@@ -165,7 +170,7 @@
             reason = "no permit"
         elif not hub.directory.is_reachable(fact.vm_id, hub.now()):
             reason = "not reached"
-        elif hub.directory.health.ejected((fact.vm_id,), hub.now()):
+        elif hub.directory.health.list_ejected((fact.vm_id,), hub.now()):
             reason = "errors"
         return {"closed_for": round(max(pause, permit), 3) or None, "withheld": reason}
 
@@ -175,7 +180,7 @@
                 "name": each.name,
                 "kind": "model" if each.is_model else "plain",
                 "max_connections": each.max_connections,
-                "slots": each.slots or self._node.directory.slots(each.name),
+                "slots": each.slots or self._node.directory.advertised_slots(each.name),
                 "least": each.scaling.least if each.scaling else None,
                 "most": each.scaling.most if each.scaling else None,
             }
@@ -198,7 +203,7 @@
         ]
 
     def _workspaces(self) -> Rows:
-        spent = self._node.quota.spent()
+        spent = self._node.quota.get_consumed()
         return [
             {
                 "name": each.name,
@@ -262,6 +267,6 @@
 
 def _describe_store_access(report: PeerReport) -> str:
     """Return how a process receives changes of the store, as shown to operators."""
-    if report.cut_off:
+    if report.store_unreachable:
         return "cut off"
-    return "reached" if report.follows else "by others"
+    return "reached" if report.watches_store else "by others"
--- a/flamingofront/process/forwarding/own_report.py
+++ b/flamingofront/process/forwarding/own_report.py
@@ -12,11 +12,11 @@
 from flamingofront.process.timers import TimerService
 from flamingofront.request.hub import RequestHub
 
-__all__ = ["OwnReport", "ReportedParts"]
+__all__ = ["LocalReport", "ReportSources"]
 
 
 @dataclass(frozen=True)
-class ReportedParts:
+class ReportSources:
     """Parts of a process whose state is reported."""
 
     hub: RequestHub
@@ -27,7 +27,7 @@
     usage: UsageBook
 
 
-class OwnReport:
+class LocalReport:
     """Makes this process's reports.
 
     Parameters
@@ -50,7 +50,7 @@
         self._timers = timers
         self._rng = rng
 
-    def make(self, parts: ReportedParts, spent: dict[str, float]) -> PeerReport:
+    def make(self, parts: ReportSources, spent: dict[str, float]) -> PeerReport:
         """Return the report as it is now.
 
         Parameters
@@ -60,7 +60,7 @@
         """
         self.sequence += 1
         lease, knowledge, peers = parts.lease.holding(), parts.knowledge, parts.peers
-        heard = peers.table.heard(self._timers.now())
+        heard = peers.table.live_reports(self._timers.now())
         directory = parts.hub.directory
         told = {name: round(units) for name, units in spent.items()}
         return replace(
@@ -76,14 +76,14 @@
             released=parts.lease.released,
             lease_version=parts.lease.version if lease is not None else 0,
             spent={**told, **parts.rollouts.sums()},
-            in_flight=directory.all_in_flight(),
-            backlog=directory.all_backlog(),
+            in_flight=directory.in_flight_by_endpoint(),
+            backlog=directory.backlog_by_endpoint(),
             peers=self._some_peers(heard),
-            usage=parts.usage.to_tell({each.process for each in heard}, peers.true_time()),
+            usage=parts.usage.to_tell({each.process for each in heard}, peers.cluster_time()),
             demand=parts.hub.in_flight_by_service(),
             work=self._work(parts.hub),
             rollouts=parts.rollouts.word(),
-            quarantine=parts.hub.guard.word(),
+            quarantine=parts.hub.guard.build_update(),
             limits=parts.hub.limits.recent_changes(),
             leaving_endpoints=knowledge.endpoints.recently_leaving(),
             position=knowledge.configuration_position(),
@@ -92,7 +92,7 @@
 
     def _work(self, hub: RequestHub) -> dict[str, tuple[float, float]]:
         """Return the work that this process places, rounded to a thousandth of an endpoint."""
-        found = hub.work.work(self._timers.now())
+        found = hub.load_meter.get_loads(self._timers.now())
         return {name: (round(each.fast, 3), round(each.slow, 3)) for name, each in found.items()}
 
     def _some_peers(self, heard: list[PeerReport]) -> tuple[str, ...]:
--- a/flamingofront/process/forwarding/quota_arbiter.py
+++ b/flamingofront/process/forwarding/quota_arbiter.py
@@ -142,7 +142,7 @@
         workspaces = self._view.workspaces()
         if self._view.lost_memory():
             for name in settled - self._settled:
-                self._quota.begin_as_arbiter(workspaces[name], now)
+                self._quota.start_as_arbiter(workspaces[name], now)
         self._settled = settled
 
     # Asking
@@ -173,7 +173,7 @@
     def decide_alone(self, request: _QuotaRequest) -> None:
         """Decide by the own part of what is left, since nobody who decides for all is reached."""
         is_newcomer = self._view.knows_less()
-        wait_of = self._quota.wait_as_newcomer if is_newcomer else self._quota.wait
+        wait_of = self._quota.get_wait_as_newcomer if is_newcomer else self._quota.get_wait
         request.then(QuotaDecision(wait_of(request.workspace, request.units, self._timers.now())))
 
     def unused(self, workspace: ForwardedWorkspace, units: float, decision: QuotaDecision) -> None:
@@ -223,7 +223,7 @@
         workspace = self._view.workspaces().get(question.workspace)
         if question.units < 0:
             if workspace is not None:
-                self._quota.give_back(workspace, -question.units, self._timers.now())
+                self._quota.refund_grant(workspace, -question.units, self._timers.now())
             return
         reply = self._sent.once(ip, question.number, lambda: self._reply(question, workspace))
         self._metrics.count("quota_replies_total", verdict=reply.verdict.name.lower())
@@ -236,9 +236,9 @@
         wait = self._wait(workspace, question.units)
         if wait <= 0:
             is_alone = workspace.name in self._settled or not self._view.lost_memory()
-            self._quota.charge_ahead(workspace, question.units, is_alone, now)
+            self._quota.charge_grant(workspace, question.units, is_alone, now)
         verdict = Verdict.REFUSED if wait > 0 else Verdict.ALLOWED
-        state = self._quota.state(workspace, now)
+        state = self._quota.get_state(workspace, now)
         return QuotaReply(question.number, verdict, max(0.0, wait), state)
 
     def _may_decide(self, name: str) -> bool:
@@ -248,6 +248,6 @@
     def _wait(self, workspace: ForwardedWorkspace, units: float) -> float:
         now = self._timers.now()
         if workspace.name in self._settled:
-            return self._quota.wait_as_arbiter(workspace, units, now)
+            return self._quota.get_wait_as_arbiter(workspace, units, now)
         sides = self._view.sides(workspace.name)
-        return self._quota.wait_as_new_arbiter(workspace, units, sides, now)
+        return self._quota.get_wait_as_new_arbiter(workspace, units, sides, now)
--- a/flamingofront/process/forwarding/quota_members.py
+++ b/flamingofront/process/forwarding/quota_members.py
@@ -38,8 +38,8 @@
         -----
         Among many processes these are the relays: they alone hear all the others.
         """
-        if self._peers.many:
-            return self._peers.relaying.ranked_relays(key)
+        if self._peers.is_relayed:
+            return self._peers.relaying.rank_relays(key)
         ips = {each.vm_id: each.ip for each in self._heard()} | {self._own.vm_id: self._own.ip}
         return [ips[name] for name in rank(key, ips)]
 
@@ -56,11 +56,11 @@
         return sorted(self.by_hash(workspace), key=lambda ip: ip in new)
 
     def _heard(self) -> list[PeerReport]:
-        heard = self._peers.table.heard(self._timers.now())
+        heard = self._peers.table.live_reports(self._timers.now())
         return [each for each in heard if not each.leaving]
 
     def _relays(self) -> list[PeerReport]:
-        return self._peers.relaying.relays_heard() if self._peers.many else []
+        return self._peers.relaying.live_relays() if self._peers.is_relayed else []
 
     def _own_now(self) -> PeerReport:
         return replace(self._own, wall=self._timers.wall())
@@ -71,7 +71,7 @@
     def any_is_new(self) -> bool:
         """Tell whether a process that is heard, or this one, began within the quotas' window."""
         wall = self._timers.wall()
-        return any(wall - began < self._window for began in self._peers.starts())
+        return any(wall - began < self._window for began in self._peers.start_times())
 
     def is_new_among_older(self) -> bool:
         """Tell whether others may know what was taken of the quotas before this process began."""
@@ -99,23 +99,27 @@
         return 1 + sum(now - at > late for zone, at in zones.items() if zone != self._own.zone)
 
     def _late(self) -> float:
-        return UNHEARD_REPORTS * self._peers.period()
+        return UNHEARD_REPORTS * self._peers.report_period()
 
     def _last_heard_by_zone(self, now: float) -> dict[str, float]:
         """Return when any process of each zone was heard last; never counts as long ago."""
         table, relaying = self._peers.table, self._peers.relaying
-        found = dict.fromkeys((self._own.zone, *relaying.zones()), -math.inf)
+        found = dict.fromkeys((self._own.zone, *relaying.known_zones()), -math.inf)
         for each in table.members(now):
-            at = now - (table.gap(each.vm_id, now) or 0.0)
+            at = now - (table.seconds_since_report(each.vm_id, now) or 0.0)
             found[each.zone] = max(at, found.get(each.zone, -math.inf))
-        if self._peers.many:
-            for zone, at in relaying.last_told().items():
+        if self._peers.is_relayed:
+            for zone, at in relaying.last_digest_times().items():
                 found[zone] = max(at, found.get(zone, -math.inf))
         return found
 
     def _heard_lately(self, ip: str, now: float) -> bool:
         table = self._peers.table
-        gaps = [table.gap(each.vm_id, now) for each in table.heard(now) if each.ip == ip]
-        if self._peers.many:
-            gaps += [now - at for at in self._peers.relaying.heard_at(ip)]
+        gaps = [
+            table.seconds_since_report(each.vm_id, now)
+            for each in table.live_reports(now)
+            if each.ip == ip
+        ]
+        if self._peers.is_relayed:
+            gaps += [now - at for at in self._peers.relaying.digest_times(ip)]
         return any(gap <= self._late() for gap in gaps)
--- a/flamingofront/process/forwarding/readers.py
+++ b/flamingofront/process/forwarding/readers.py
@@ -41,11 +41,11 @@
         candidates = [
             each
             for each in self._live_reports()
-            if each.zone == self._zone and not each.cut_off and not each.leaving
+            if each.zone == self._zone and not each.store_unreachable and not each.leaving
         ]
         if len(candidates) < WATCHERS_PER_ZONE:
             return False
         members = {self._vm_id, *(each.vm_id for each in candidates)}
         if self._vm_id in rank(_KEY, members)[:WATCHERS_PER_ZONE]:
             return False
-        return sum(each.follows for each in candidates) >= MIN_LIVE_WATCHERS
+        return sum(each.watches_store for each in candidates) >= MIN_LIVE_WATCHERS
--- a/flamingofront/process/forwarding/scaling.py
+++ b/flamingofront/process/forwarding/scaling.py
@@ -154,7 +154,7 @@
                 self._found[service.name],
             )
             plan = self._policy.plan(service.scaling, self._known_demand(service.name), state)
-            for reclaimable, counts in ((True, plan.reclaimable), (False, plan.firm)):
+            for reclaimable, counts in ((True, plan.reclaimable), (False, plan.on_demand)):
                 for zone, count in counts.items():
                     order = EndpointOrder(service.name, zone, count, reclaimable)
                     if self._is_needed(order, service.scaling.start_seconds, now):
--- a/flamingofront/process/forwarding/tests/test_quota_arbiter.py
+++ b/flamingofront/process/forwarding/tests/test_quota_arbiter.py
@@ -13,7 +13,7 @@
 from hypothesis import strategies as st
 
 from flamingofront.decisions.quota import SharedQuota
-from flamingofront.decisions.quota_facts import QuotaRule, QuotaRules, QuotaState
+from flamingofront.decisions.quota_facts import QuotaLimits, QuotaRejectReason, QuotaState
 from flamingofront.process.forwarding.quota_arbiter import QuotaArbiters, QuotaView
 from flamingofront.process.forwarding.quota_messages import (
     QuotaQuestion,
@@ -35,7 +35,9 @@
 RATE, BURST = 20.0, 40.0
 TENANT = {"name": "desk", "api_keys": ["key-1"], "rate_per_s": RATE, "burst": BURST}
 QUOTA_RULES = replace(RULES, quota_over=0.1, quota_allowance=10.0)
-LIMIT = QuotaRules(8.0, 0.1, 10.0).limit(ForwardedWorkspace("desk", ("k",), rate=RATE, burst=BURST))
+LIMIT = QuotaLimits(8.0, 0.1, 10.0).limit(
+    ForwardedWorkspace("desk", ("k",), rate=RATE, burst=BURST)
+)
 ZONES = ("zone-a", "zone-b", "zone-c")
 
 
@@ -179,7 +181,7 @@
         relays = set(front.quota_members.ranked("desk"))
         asked = next(each for each in world.fronts if world.host(each).address not in relays)
         replies = []
-        front.peers.on_reply = lambda data, ip: replies.append(decode_reply(data))
+        front.peers.on_quota_reply = lambda data, ip: replies.append(decode_reply(data))
         front.peers.send(encode_question(QuotaQuestion(1, "desk", 1.0)), world.host(asked).address)
         world.run(0.1)
         assert [each.verdict for each in replies] == [Verdict.NOT_HERE]
@@ -232,7 +234,7 @@
             each for name, each in world.fronts.items() if world.host(name).address == arbiter
         )
         workspace = owner.configuration.workspaces[0]
-        assert owner.quota.state(workspace, owner.timers.now()).taken == 0
+        assert owner.quota.get_state(workspace, owner.timers.now()).taken == 0
 
 
 class TestStop:
@@ -241,7 +243,7 @@
         world = QuotaWorld()
         arbiter = world.fronts["front-0"].quota_members.ranked("desk")[0]
         asked = next(each for each in world.fronts if world.host(each).address != arbiter)
-        world.fronts[asked].hub.stop_left = lambda: 0.05
+        world.fronts[asked].hub.shutdown_seconds_left = lambda: 0.05
         caller = world.ask(asked, "/read/x", "GET")
         assert caller.done and caller.status == 503
 
@@ -263,7 +265,7 @@
         self.pass_time(5.0)
 
     def _process(self, ip):
-        self.quotas[ip].prepare((self.WORKSPACE,), 0.0)
+        self.quotas[ip].start_buckets((self.WORKSPACE,), 0.0)
         view = QuotaView(
             ip,
             int(self.clock.time * 1000),
@@ -301,7 +303,7 @@
         self.processes["1"].decide(self.WORKSPACE, units, self.decisions.append)
 
     def taken(self, ip="2"):
-        return self.quotas[ip].state(self.WORKSPACE, self.timers.now()).taken
+        return self.quotas[ip].get_state(self.WORKSPACE, self.timers.now()).taken
 
 
 class TestArbitration:
@@ -312,9 +314,9 @@
         joined.deliver()
         assert [each.wait for each in joined.decisions] == [0.0]
         assert joined.taken() == 5
-        joined.quotas["2"].heard("1", {"desk": 5.0}, True, joined.timers.now())
+        joined.quotas["2"].merge_consumed("1", {"desk": 5.0}, True, joined.timers.now())
         assert joined.taken() == 5
-        joined.quotas["2"].heard("1", {"desk": 7.0}, True, joined.timers.now())
+        joined.quotas["2"].merge_consumed("1", {"desk": 7.0}, True, joined.timers.now())
         assert joined.taken() == 7
 
     def test_question_that_is_repeated_is_charged_once(self):
@@ -338,7 +340,7 @@
         joined.ask(5.0)
         joined.deliver()
         joined.deliver()
-        joined.quotas["2"].spend(joined.WORKSPACE, 100.0, joined.timers.now())
+        joined.quotas["2"].consume(joined.WORKSPACE, 100.0, joined.timers.now())
         joined.processes["1"] = joined._process("1")
         joined.ask(5.0)
         joined.deliver()
@@ -410,7 +412,7 @@
 
     @given(st.integers(0, 1 << 50), st.sampled_from(Verdict), st.floats(0, 1e6))
     def test_reply_reads_as_it_was_written(self, number, verdict, wait):
-        state = QuotaState(1.0, 2.0, 3.0, 0.5, 0.0, QuotaRule.START, 4.0)
+        state = QuotaState(1.0, 2.0, 3.0, 0.5, 0.0, QuotaRejectReason.START, 4.0)
         data = encode_reply(QuotaReply(number, verdict, wait, state))
         read = decode_reply(data)
         assert is_reply(data) and not is_question(data)
--- a/flamingofront/process/forwarding/tests/test_readers.py
+++ b/flamingofront/process/forwarding/tests/test_readers.py
@@ -113,10 +113,10 @@
     def test_no_standby_while_all_peers_are_in_standby(self):
         """After a loss of all watchers, standby peers alone must not keep a process in standby."""
         peers = [
-            PeerReport(f"vm-{number}", 1, 1, "zone-a", "1.2.3.4", "1.2.3.4:5", follows=False)
+            PeerReport(f"vm-{number}", 1, 1, "zone-a", "1.2.3.4", "1.2.3.4:5", watches_store=False)
             for number in range(8)
         ]
-        watching = [replace(each, follows=True) for each in peers[:MIN_LIVE_WATCHERS]]
+        watching = [replace(each, watches_store=True) for each in peers[:MIN_LIVE_WATCHERS]]
 
         def can_any_stand_by(reports):
             names = [f"vm-{number}" for number in range(20, 40)]
--- a/flamingofront/process/forwarding/tests/test_stopping.py
+++ b/flamingofront/process/forwarding/tests/test_stopping.py
@@ -8,7 +8,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from flamingofront.decisions.stopping import StreamBound, StreamTimes, ends_in_time
+from flamingofront.decisions.stopping import StreamBound, StreamTimes, can_complete
 from flamingofront.errors import ErrorKind
 from flamingofront.process.forwarding.shutdown import GracefulStop
 from flamingofront.standins.forward_endpoint import ForwardFault
@@ -36,7 +36,7 @@
         ],
     )
     def test_it_is_ended_by_its_deadline_or_by_its_own_size(self, deadline_left, bound, left, ends):
-        assert ends_in_time(deadline_left, bound, left) is ends
+        assert can_complete(deadline_left, bound, left) is ends
 
 
 class TestStreamBound:
@@ -44,30 +44,32 @@
 
     def test_nothing_is_said_of_a_stream_that_names_no_tokens(self):
         """Any number of short ones says nothing of the next."""
-        assert seen(*[self.short] * 100).seconds(0) == math.inf
+        assert seen(*[self.short] * 100).estimate_max_seconds(0) == math.inf
 
     def test_few_answers_say_nothing_of_the_next(self):
-        assert seen(*[self.short] * 19).seconds(24) == math.inf
-        assert seen(*[self.short] * 20).seconds(24) < math.inf
+        assert seen(*[self.short] * 19).estimate_max_seconds(24) == math.inf
+        assert seen(*[self.short] * 20).estimate_max_seconds(24) < math.inf
 
     def test_streams_without_named_tokens_are_not_counted(self):
-        assert seen(*[(0.1, 5.0, 0)] * 100).seconds(24) == math.inf
+        assert seen(*[(0.1, 5.0, 0)] * 100).estimate_max_seconds(24) == math.inf
 
     def test_long_stream_is_expected_after_short_ones_alone(self):
         """At the same pace it takes a hundred times as long."""
-        assert seen(*[self.short] * 100).seconds(2400) > 10.0
+        assert seen(*[self.short] * 100).estimate_max_seconds(2400) > 10.0
 
     @given(st.lists(st.tuples(st.floats(0, 2), st.floats(0, 9), st.integers(1, 900)), min_size=20))
     def test_hardly_any_stream_that_was_seen_lately_is_longer(self, streams):
         bound, lately = seen(*streams), streams[-128:]
-        longer = [each for each in lately if bound.seconds(each[2]) < each[0] + each[1]]
+        longer = [
+            each for each in lately if bound.estimate_max_seconds(each[2]) < each[0] + each[1]
+        ]
         assert len(longer) <= len(lately) // 100
 
     def test_slower_pace_shows_at_the_second_of_a_hundred(self):
-        assert seen(*[self.short] * 100, *[(0.1, 4.0, 100)] * 2).seconds(200) > 7.0
+        assert seen(*[self.short] * 100, *[(0.1, 4.0, 100)] * 2).estimate_max_seconds(200) > 7.0
 
     def test_change_of_the_endpoints_is_forgotten(self):
-        assert seen((5.0, 9.0, 10), *[self.short] * 128).seconds(24) < 2.0
+        assert seen((5.0, 9.0, 10), *[self.short] * 128).estimate_max_seconds(24) < 2.0
 
 
 class TestGracefulStop:
