--- a/bench/platform_mutations.py
+++ b/bench/platform_mutations.py
@@ -82,7 +82,7 @@
     Mutation(
         "P peers tell a process that the store turns away",
         "process/forwarding/exchange.py",
-        "if is_unreachable or rests or waited >= CONFIGURATION_GRACE_SECONDS:",
+        "if is_unreachable or is_standby or waited >= CONFIGURATION_GRACE_SECONDS:",
         "if False:",
         FORWARDING,
     ),
@@ -252,8 +252,8 @@
     Mutation(
         "P a peer that knows no more does not reset the wait",
         "process/forwarding/version_word.py",
-        "        if self.newest <= known:\n",
-        "        if version <= known:\n",
+        "        if self.newest <= local_version:\n",
+        "        if version <= local_version:\n",
         DIGESTS,
     ),
     Mutation(
--- a/flamingofront/process/forwarding/news.py
+++ b/flamingofront/process/forwarding/news.py
@@ -1,7 +1,7 @@
-"""What one entry process tells another about the endpoints: all of them, or what has changed.
+"""Updates on the endpoints that one entry process sends to another: all of them, or the changes.
 
-A change has a mark: twice the version of the store, and one more if an endpoint was given up
-between two versions, as at the end of the grace after an outage.
+Changes are numbered: twice the version of the store, plus one if an endpoint was removed between
+two versions, as at the end of the grace period after an outage.
 """
 
 from collections import deque
@@ -13,105 +13,105 @@
 
 __all__ = [
     "EndpointHistory",
-    "EndpointNews",
-    "decode_news",
-    "encode_news",
-    "mark_of",
+    "EndpointUpdate",
+    "decode_endpoint_update",
+    "encode_endpoint_update",
+    "to_change_number",
 ]
 
-# Changes that are remembered: several times the endpoints of a zone that is taken back at once.
-KEPT_CHANGES = 256
+# Several times the endpoints of a zone that is reclaimed at once.
+MAX_KEPT_CHANGES = 256
 
 
 @dataclass(frozen=True)
-class EndpointNews:
-    """Endpoints as one process knows them.
+class EndpointUpdate:
+    """Endpoints of one process: all of them, or those changed since a change number.
 
     Parameters
     ----------
-    mark : int
-        Mark of the last change that is told.
-    whole : bool
-        True if `rows` are all endpoints; False if they are those that changed.
-    gone : tuple of str
-        Endpoints whose rows vanished; empty if all are told.
+    change_number : int
+        Number of the last change that is included.
+    is_full : bool
+        True if `rows` has all endpoints; False if only those that changed.
+    removed : tuple of str
+        Ids of removed endpoints; empty in a full update.
     """
 
-    mark: int
-    whole: bool
+    change_number: int
+    is_full: bool
     rows: tuple[EndpointRow, ...]
-    gone: tuple[str, ...] = ()
+    removed: tuple[str, ...] = ()
 
 
-def encode_news(news: EndpointNews) -> bytes:
-    """Return the body that tells the news."""
+def encode_endpoint_update(update: EndpointUpdate) -> bytes:
+    """Encode an update as a response body."""
     return orjson.dumps(
         {
-            "mark": news.mark,
-            "whole": news.whole,
-            "rows": [asdict(each) for each in news.rows],
-            "gone": news.gone,
+            "mark": update.change_number,
+            "whole": update.is_full,
+            "rows": [asdict(each) for each in update.rows],
+            "gone": update.removed,
         }
     )
 
 
-def decode_news(data: bytes) -> EndpointNews:
-    """Return the news in a body.
+def decode_endpoint_update(data: bytes) -> EndpointUpdate:
+    """Decode an update from a response body.
 
     Raises
     ------
     ValueError
-        If it is malformed.
+        If the body is malformed.
     """
     try:
         values = orjson.loads(data)
         rows = tuple(EndpointRow(**each) for each in values["rows"])
-        gone = tuple(values["gone"])
-        if not all(isinstance(each, str) for each in gone):
-            raise ValueError("an endpoint that is gone has no name")
-        return EndpointNews(int(values["mark"]), bool(values["whole"]), rows, gone)
+        removed = tuple(values["gone"])
+        if not all(isinstance(each, str) for each in removed):
+            raise ValueError("id of a removed endpoint is not a string")
+        return EndpointUpdate(int(values["mark"]), bool(values["whole"]), rows, removed)
     except (KeyError, TypeError, ValueError) as exc:
-        raise ValueError(f"malformed endpoints: {exc!r:.200}") from exc
+        raise ValueError(f"malformed endpoint update: {exc!r:.200}") from exc
 
 
 class EndpointHistory:
-    """The last changes of endpoints, by mark.
+    """The last changes of endpoints, by change number.
 
     Attributes
     ----------
-    mark : int
-        Mark of the last change.
+    change_number : int
+        Number of the last change.
     """
 
     def __init__(self):
-        self._changes: deque[tuple[int, str]] = deque(maxlen=KEPT_CHANGES)
+        self._changes: deque[tuple[int, str]] = deque(maxlen=MAX_KEPT_CHANGES)
         self._complete_since = 0
-        self.mark = 0
+        self.change_number = 0
 
-    def restart(self, mark: int) -> None:
-        """Forget the changes: all endpoints were told anew, up to a mark."""
+    def reset(self, change_number: int) -> None:
+        """Clear the changes after a full reload that includes all changes up to a number."""
         self._changes.clear()
-        self._complete_since = mark
-        self.mark = mark
+        self._complete_since = change_number
+        self.change_number = change_number
 
-    def changed(self, endpoint_id: str, mark: int) -> None:
-        """Note that the row of an endpoint changed or vanished."""
-        if len(self._changes) == KEPT_CHANGES:
+    def record_change(self, endpoint_id: str, change_number: int) -> None:
+        """Record that the row of an endpoint changed or was removed."""
+        if len(self._changes) == MAX_KEPT_CHANGES:
             self._complete_since = self._changes[0][0]
-        self._changes.append((mark, endpoint_id))
-        self.mark = max(self.mark, mark)
+        self._changes.append((change_number, endpoint_id))
+        self.change_number = max(self.change_number, change_number)
 
-    def told_up_to(self, mark: int) -> None:
-        """Note that no further change is known up to a mark."""
-        self.mark = max(self.mark, mark)
+    def advance_to(self, change_number: int) -> None:
+        """Raise the number of the last change without a change of an endpoint."""
+        self.change_number = max(self.change_number, change_number)
 
-    def since(self, mark: int) -> frozenset[str] | None:
-        """Return the endpoints that changed after a mark; None if that is no longer known."""
-        if mark < self._complete_since:
+    def changes_since(self, change_number: int) -> frozenset[str] | None:
+        """Return the ids of endpoints changed after a number; None if the history is too short."""
+        if change_number < self._complete_since:
             return None
-        return frozenset(name for at, name in self._changes if at > mark)
+        return frozenset(name for number, name in self._changes if number > change_number)
 
 
-def mark_of(version: int) -> int:
-    """Return the mark of a change at a version of the store."""
+def to_change_number(version: int) -> int:
+    """Return the change number of a version of the store."""
     return 2 * version
--- a/flamingofront/process/forwarding/version_word.py
+++ b/flamingofront/process/forwarding/version_word.py
@@ -1,51 +1,51 @@
-"""Word of others about versions that this process does not have yet."""
+"""Tracking of versions that peers reported and this process does not have yet."""
 
 __all__ = ["VersionTracker"]
 
 
 class VersionTracker:
-    """The newest version that others have told of, and since when one is missing here.
+    """The newest version that peers reported, and since when a newer version is missing here.
 
     Attributes
     ----------
     newest : int
-        Newest version that was told; 0 before the first word.
-    teller : str
-        VM that told it first.
+        Newest version that was reported; 0 before the first report.
+    sender : str
+        VM that reported it first.
     """
 
     def __init__(self):
         self.newest = 0
-        self.teller = ""
-        self._since: float | None = None
+        self.sender = ""
+        self._missing_since: float | None = None
 
-    def told(self, version: int, teller: str, known: int, now: float) -> bool:
-        """Take word of a version; return whether it is the first of a version that is missing.
+    def record_report(self, version: int, sender: str, local_version: int, now: float) -> bool:
+        """Record a reported version; return True if it is the first report of a missing version.
 
         Parameters
         ----------
-        known : int
+        local_version : int
             Version that this process has.
         now : float
             Time of the timer service.
         """
-        is_news = version > max(self.newest, known)
-        if is_news:
-            self.newest, self.teller = version, teller
-        if self.newest <= known:
-            self._since = None
-        elif self._since is None:
-            self._since = now
-        return is_news
-
-    def missing_for(self, known: int, now: float) -> float | None:
-        """Return the seconds since a version was missing first; None if none is.
+        is_new = version > max(self.newest, local_version)
+        if is_new:
+            self.newest, self.sender = version, sender
+        if self.newest <= local_version:
+            self._missing_since = None
+        elif self._missing_since is None:
+            self._missing_since = now
+        return is_new
+
+    def missing_seconds(self, local_version: int, now: float) -> float | None:
+        """Return the seconds since a newer version was first missing; None if none is.
 
         Parameters
         ----------
-        known : int
+        local_version : int
             Version that this process has.
         """
-        if self.newest <= known or self._since is None:
+        if self.newest <= local_version or self._missing_since is None:
             return None
-        return now - self._since
+        return now - self._missing_since
