--- a/flamingofront/process/forwarding/held_requests.py
+++ b/flamingofront/process/forwarding/held_requests.py
@@ -17,7 +17,7 @@
 from flamingofront.process.tasks import Task
 from flamingofront.request.guard import RequestGuard
 
-__all__ = ["HeldRequests"]
+__all__ = ["QuarantineSync"]
 
 # Processes that began so close to the first start of a deployment began with it.
 FIRST_START_SECONDS = 2.0
@@ -30,7 +30,7 @@
 FEED_SEEN_SECONDS = 0.5
 
 
-class HeldRequests:
+class QuarantineSync:
     """Joins the guard of a process with its peers and the store.
 
     Parameters
--- a/flamingofront/process/forwarding/node.py
+++ b/flamingofront/process/forwarding/node.py
@@ -17,29 +17,29 @@
 from flamingofront.process.counted_store import CountedTableStore
 from flamingofront.process.former_sends import Sender
 from flamingofront.process.forwarding.control import ControlHandler
-from flamingofront.process.forwarding.duty import DutyLease
+from flamingofront.process.forwarding.duty import LeaderLease
 from flamingofront.process.forwarding.endpoint_row import EndpointRow
 from flamingofront.process.forwarding.endpoints import EndpointView
 from flamingofront.process.forwarding.exchange import STALENESS_CHECK_SECONDS, PeerSync
 from flamingofront.process.forwarding.freshness import FreshnessCheck
-from flamingofront.process.forwarding.held_requests import HeldRequests
-from flamingofront.process.forwarding.inquiries import Inquirer
+from flamingofront.process.forwarding.held_requests import QuarantineSync
+from flamingofront.process.forwarding.inquiries import ArbiterContext
 from flamingofront.process.forwarding.knowledge import SharedTables, StoreView
-from flamingofront.process.forwarding.limit_arbiter import LimitArbiters, LimitView
+from flamingofront.process.forwarding.limit_arbiter import LimitArbiters, LimitContext
 from flamingofront.process.forwarding.limit_members import LimitMembers
 from flamingofront.process.forwarding.observations import Observations
 from flamingofront.process.forwarding.own_report import LocalReport, ReportSources
 from flamingofront.process.forwarding.peer_word import PeerDispatcher, UpdateReceivers
 from flamingofront.process.forwarding.peers import Peers
-from flamingofront.process.forwarding.quota_arbiter import QuotaArbiters, QuotaView
+from flamingofront.process.forwarding.quota_arbiter import QuotaArbiters, QuotaContext
 from flamingofront.process.forwarding.quota_members import QuotaMembers
 from flamingofront.process.forwarding.readers import ZoneWatchers
 from flamingofront.process.forwarding.relaying import RelayListener
 from flamingofront.process.forwarding.reports import PeerReport
-from flamingofront.process.forwarding.rollouts import RolloutDuty, Rollouts
-from flamingofront.process.forwarding.scaling import ScalingDuty
+from flamingofront.process.forwarding.rollouts import RolloutController, Rollouts
+from flamingofront.process.forwarding.scaling import ScalingController
 from flamingofront.process.forwarding.settings import DeploymentSettings
-from flamingofront.process.forwarding.usage import CountsHeard, UsageBook, UsageDuty
+from flamingofront.process.forwarding.usage import UsageBook, UsageCoverage, UsageReporter
 from flamingofront.process.forwarding.vanished import UnobservedRemovals
 from flamingofront.process.forwarding.whole_load import ClusterLoad
 from flamingofront.process.intent_rows import IntentRows
@@ -128,7 +128,7 @@
         self._build_duties()
         self.store.on_return(self.peers.register_again)
         services = Services(self.tasks, self.timers, rng, self.metrics, log)
-        self.held = HeldRequests(
+        self.held = QuarantineSync(
             self.hub.guard,
             self.peers,
             self.store,
@@ -192,7 +192,7 @@
             needs.protocol,
             self._retry_budget,
         )
-        self.store_view.on_rollout = self.rollouts.take_order
+        self.store_view.on_rollout = self.rollouts.apply_order
         self.hub.on_endpoint_leaving = self._endpoint_leaves
         self.hub.on_outcome = self._outcome
         self.hub.cache_tokens = self._cache_tokens
@@ -208,11 +208,11 @@
         self.gateway = ForwardGateway(
             self.hub, needs.protocol, self.quota, self.log, self._began_to_run
         )
-        self.gateway.version_rule = self.rollouts.rule
+        self.gateway.version_rule = self.rollouts.version_rule
 
     def _outcome(self, service: str, endpoint_id: str, is_bad: bool) -> None:
         """Count an answer for the roll-out of a service, if there is one."""
-        self.rollouts.answered(service, self.directory.version_of(endpoint_id), is_bad)
+        self.rollouts.record_response(service, self.directory.version_of(endpoint_id), is_bad)
 
     def _sample_size(self) -> int:
         return (
@@ -270,11 +270,11 @@
                 lambda relay, claim: self._word.apply_relay_state(relay, claim),
                 lambda process, sums, counts: self._word.apply_sums(process, sums, counts),
                 lambda: self.observations.mark_loads_stale(),
-                lambda counts, told_until: self.usage.heard(counts, told_until),
-                lambda processes, windows: self.usage.counts_of(
+                lambda counts, told_until: self.usage.merge_counts(counts, told_until),
+                lambda processes, windows: self.usage.collect_recent_counts(
                     processes, self.peers.cluster_time(), windows
                 ),
-                lambda processes: self.usage.told_until(processes),
+                lambda processes: self.usage.received_until(processes),
                 lambda: self.peers.cluster_time(),
             ),
             self._needs.store,
@@ -300,14 +300,14 @@
         )
         self.arbiters = QuotaArbiters(
             self.quota,
-            QuotaView(
+            QuotaContext(
                 self.settings.ip,
                 self._needs.incarnation,
-                self.quota_members.ranked,
+                self.quota_members.rank_arbiters,
                 lambda: self.configuration.workspaces_by_name,
                 self._knows_less_of_quotas,
-                self.quota_members.any_is_new,
-                self.quota_members.sides,
+                self.quota_members.has_recent_restart,
+                self.quota_members.partition_count,
             ),
             self.peers.send,
             self.timers,
@@ -349,25 +349,25 @@
         limits, permits = self.hub.limits, self.hub.permits
         limits.wall = self.peers.cluster_time
         limits.start_ms_of = self.store_view.endpoints.start_time_ms
-        own_ip = self.settings.ip
-        members = LimitMembers(own_ip, self.quota_members, self.peers, lambda: self.stopping)
-        inquirer = Inquirer(own_ip, self._needs.incarnation, members.ranked)
+        local_ip = self.settings.ip
+        members = LimitMembers(local_ip, self.quota_members, self.peers, lambda: self.stopping)
+        inquirer = ArbiterContext(local_ip, self._needs.incarnation, members.rank_arbiters)
         self.limit_arbiters = LimitArbiters(
             limits,
-            LimitView(inquirer, members.heard_part, self.member_share),
+            LimitContext(inquirer, members.live_share, self.member_share),
             self.peers.send,
             self.timers,
             self.metrics,
             self.log,
         )
         permits.gate = self.limit_arbiters
-        permits.process_name = own_ip
+        permits.process_name = local_ip
         self.peers.on_permit_request = self.limit_arbiters.take_question
         self.peers.on_permit_reply = self.limit_arbiters.take_reply
 
     def _knows_less_of_quotas(self) -> bool:
         """Tell whether others are to decide on quotas: they know more, or stay longer."""
-        return self.stopping or self.quota_members.is_new_among_older()
+        return self.stopping or self.quota_members.is_newcomer()
 
     def _may_rest(self) -> bool:
         """Tell whether others follow the store for this process."""
@@ -388,7 +388,7 @@
 
     def _build_duties(self) -> None:
         settings, needs = self.settings, self._needs
-        self.lease = DutyLease(
+        self.lease = LeaderLease(
             needs.store,
             settings.vm_id,
             needs.incarnation,
@@ -398,18 +398,18 @@
             self.log,
         )
         load = ClusterLoad(self.hub, self.peers, self.facts, self.timers)
-        self.duties: list[UsageDuty | ScalingDuty | RolloutDuty] = []
+        self.duties: list[UsageReporter | ScalingController | RolloutController] = []
         if needs.cloud is None:
             return
         if USAGE in settings.duties:
             self.duties.append(
-                UsageDuty(
+                UsageReporter(
                     self.lease,
                     needs.cloud,
                     self.usage,
                     settings.rules,
                     settings.vm_id,
-                    CountsHeard(
+                    UsageCoverage(
                         self.peers.cluster_time,
                         self.peers.usage_sync_delay,
                         lambda: self.peers.live_count() + 1,
@@ -421,7 +421,7 @@
             )
         if SCALING in settings.duties:
             self.duties.append(
-                ScalingDuty(
+                ScalingController(
                     self.lease,
                     needs.cloud,
                     CheapestSafeFleet(),
@@ -436,7 +436,7 @@
                 )
             )
         self.rollouts.on_verdict = self.peers.broadcast_report
-        rollout_duty = RolloutDuty(
+        rollout_controller = RolloutController(
             self.lease,
             needs.store,
             needs.tables.rollouts,
@@ -446,9 +446,9 @@
             self.peers.cluster_time,
             self.log,
         )
-        self.store.on_return(rollout_duty.read_again)
-        self.rollouts.on_order = lambda: self.tasks.start(rollout_duty.look_up())
-        self.duties.append(rollout_duty)
+        self.store.on_return(rollout_controller.invalidate_rows)
+        self.rollouts.on_order = lambda: self.tasks.start(rollout_controller.load_status())
+        self.duties.append(rollout_controller)
 
     def _cache_tokens(self, service: str) -> float:
         known = self.configuration.services.get(service)
@@ -463,7 +463,7 @@
         if not request.work.workspace:
             return
         ago = self.timers.now() - request.began_at()
-        self.usage.began(request.work.workspace, self.peers.cluster_time() - ago)
+        self.usage.count_started(request.work.workspace, self.peers.cluster_time() - ago)
 
     # Peers
 
--- a/flamingofront/process/forwarding/own_report.py
+++ b/flamingofront/process/forwarding/own_report.py
@@ -3,7 +3,7 @@
 import random
 from dataclasses import dataclass, replace
 
-from flamingofront.process.forwarding.duty import DutyLease
+from flamingofront.process.forwarding.duty import LeaderLease
 from flamingofront.process.forwarding.knowledge import StoreView
 from flamingofront.process.forwarding.peers import MAX_PEERS_LISTED, Peers
 from flamingofront.process.forwarding.reports import PeerReport
@@ -21,7 +21,7 @@
 
     hub: RequestHub
     knowledge: StoreView
-    lease: DutyLease
+    lease: LeaderLease
     peers: Peers
     rollouts: Rollouts
     usage: UsageBook
@@ -59,7 +59,7 @@
             Quota units consumed by this process since its start, by workspace.
         """
         self.sequence += 1
-        lease, knowledge, peers = sources.lease.holding(), sources.knowledge, sources.peers
+        lease, knowledge, peers = sources.lease.valid_lease(), sources.knowledge, sources.peers
         live = peers.table.live_reports(self._timers.now())
         directory = sources.hub.directory
         rounded_units = {name: round(units) for name, units in consumed.items()}
@@ -73,16 +73,18 @@
             watches_store=not knowledge.is_standby,
             leaving=self.leaving,
             fencing=lease.fencing if lease is not None else 0,
-            released=sources.lease.released,
+            released=sources.lease.released_fencing,
             lease_version=sources.lease.version if lease is not None else 0,
-            consumed={**rounded_units, **sources.rollouts.sums()},
+            consumed={**rounded_units, **sources.rollouts.local_counts()},
             in_flight=directory.in_flight_by_endpoint(),
             backlog=directory.backlog_by_endpoint(),
             peers=self._sample_peers(live),
-            usage=sources.usage.to_tell({each.process for each in live}, peers.cluster_time()),
+            usage=sources.usage.collect_counts(
+                {each.process for each in live}, peers.cluster_time()
+            ),
             demand=sources.hub.in_flight_by_service(),
             work=self._round_work(sources.hub),
-            rollouts=sources.rollouts.word(),
+            rollouts=sources.rollouts.phase_update(),
             quarantine=sources.hub.guard.build_update(),
             limits=sources.hub.limits.recent_changes(),
             leaving_endpoints=knowledge.endpoints.recently_leaving(),
--- a/flamingofront/process/forwarding/peer_word.py
+++ b/flamingofront/process/forwarding/peer_word.py
@@ -70,8 +70,8 @@
         self._reported.hub.limits.merge(report.limits)
         self._reported.knowledge.endpoints.merge_leaving(report.leaving_endpoints)
         if report.usage is not None:
-            usage.reported(report.usage, report.process, peers.cluster_time())
-        self._reported.lease.heard(report)
+            usage.merge_report(report.usage, report.process, peers.cluster_time())
+        self._reported.lease.observe_report(report)
         self._receivers.exchange.sync_with(report)
         if peers.is_relayed:
             peers.relaying.receive_report(report, is_continuous, since_previous is None)
@@ -87,7 +87,7 @@
             True if the increase since the sender's last totals was not reported by another source.
         """
         self._receivers.quota.merge_consumed(process, totals, is_counted, self._timers.now())
-        self._reported.rollouts.hear_sums(process, totals, is_counted)
+        self._reported.rollouts.merge_counts(process, totals, is_counted)
 
     def apply_relay_state(self, relay: PeerReport, claim: LeaseClaim) -> None:
         """Apply the state of a relay and the lease advertisement that it forwards."""
@@ -96,7 +96,7 @@
         self._reported.hub.guard.merge_update(relay.quarantine)
         self._reported.hub.limits.merge(relay.limits)
         self._reported.knowledge.endpoints.merge_leaving(relay.leaving_endpoints)
-        self._reported.lease.heard(
+        self._reported.lease.observe_report(
             replace(
                 relay,
                 fencing=claim.fencing,
@@ -108,5 +108,5 @@
 
     def _apply_rollouts(self, report: PeerReport) -> None:
         """Merge a peer's rollouts, and read those from the store that are newer there."""
-        if self._reported.rollouts.hear(report.rollouts):
+        if self._reported.rollouts.merge_update(report.rollouts):
             self._reported.knowledge.reload_rollouts()
--- a/flamingofront/process/forwarding/quota_members.py
+++ b/flamingofront/process/forwarding/quota_members.py
@@ -31,7 +31,7 @@
         self._window = window
         self._timers = timers
 
-    def by_hash(self, key: str) -> list[str]:
+    def rank_by_hash(self, key: str) -> list[str]:
         """Return the IP numbers of the processes that may decide on something, the first one first.
 
         Notes
@@ -53,7 +53,7 @@
         """
         heard = self._heard()
         new = {each.ip for each in (*heard, *self._relays(), self._own_now()) if self._is_new(each)}
-        return sorted(self.by_hash(workspace), key=lambda ip: ip in new)
+        return sorted(self.rank_by_hash(workspace), key=lambda ip: ip in new)
 
     def _heard(self) -> list[PeerReport]:
         heard = self._peers.table.live_reports(self._timers.now())
@@ -68,12 +68,12 @@
     def _is_new(self, report: PeerReport) -> bool:
         return report.wall - report.incarnation / 1000 < self._window
 
-    def any_is_new(self) -> bool:
+    def has_recent_restart(self) -> bool:
         """Tell whether a process that is heard, or this one, began within the quotas' window."""
         wall = self._timers.wall()
         return any(wall - began < self._window for began in self._peers.start_times())
 
-    def is_new_among_older(self) -> bool:
+    def is_newcomer(self) -> bool:
         """Tell whether others may know what was taken of the quotas before this process began."""
         if not self._is_new(self._own_now()):
             return False
--- a/flamingofront/process/forwarding/rollouts.py
+++ b/flamingofront/process/forwarding/rollouts.py
@@ -18,12 +18,12 @@
 )
 from flamingofront.errors import PlatformError
 from flamingofront.messages import Sleep
-from flamingofront.process.forwarding.duty import DutyLease
+from flamingofront.process.forwarding.duty import LeaderLease
 from flamingofront.process.logs import Log
 from flamingofront.process.store import RowCondition, RowWrite, TableStore, era_of
 from flamingofront.process.tasks import Task
 
-__all__ = ["RolloutDuty", "RolloutRows", "Rollouts"]
+__all__ = ["RolloutController", "RolloutRows", "Rollouts"]
 
 STEP_SECONDS = 0.5
 # An order is begun so long after it was seen: others may know it as one that is over, of which the
@@ -280,7 +280,7 @@
     decode_status: Callable[[bytes], RolloutStatus]
 
 
-class RolloutDuty:
+class RolloutController:
     """Gives the verdicts, as holder of the duty lease.
 
     Each step is one conditional write of the row that tells it: of two holders one fails, and a
@@ -297,7 +297,7 @@
 
     def __init__(
         self,
-        lease: DutyLease,
+        lease: LeaderLease,
         store: TableStore,
         rows: RolloutRows,
         rollouts: Rollouts,
@@ -352,7 +352,7 @@
 
     def step(self) -> Task:
         """Take each roll-out one phase further, if what is known says so."""
-        lease = self._lease.held()
+        lease = self._lease.usable_lease()
         if lease is None:
             return
         if lease.fencing != self._fencing:
@@ -368,7 +368,7 @@
             follows = next_phase(phase, order, evidence)
             # A row that a copy has set back is written again.
             is_behind = self._told.get(order.service, Phase.ORDERED) < phase
-            if (follows is not phase or is_behind) and self._lease.held() is not None:
+            if (follows is not phase or is_behind) and self._lease.usable_lease() is not None:
                 yield from self._write(order, follows)
 
     def _evidence(self, order: RolloutSpec, phase: Phase) -> RolloutEvidence:
--- a/flamingofront/process/forwarding/shutdown.py
+++ b/flamingofront/process/forwarding/shutdown.py
@@ -6,7 +6,7 @@
 from flamingofront.errors import ErrorKind, RequestError
 from flamingofront.process.forwarding.node import ForwardingNode
 
-__all__ = ["GracefulStop"]
+__all__ = ["GracefulShutdown"]
 
 # The balancer asks once a second and turns away after two misses; until then new connections still
 # come here, and kept ones carry new requests.
@@ -19,7 +19,7 @@
 EXIT_MARGIN_SECONDS = 0.05
 
 
-class GracefulStop:
+class GracefulShutdown:
     """Stops being ready, goes on serving, and exits once nothing is left to answer.
 
     Parameters
--- a/flamingofront/process/forwarding/tests/test_duties.py
+++ b/flamingofront/process/forwarding/tests/test_duties.py
@@ -5,7 +5,7 @@
 from flamingofront.decisions.demand import Demand, OfferedLoad
 from flamingofront.decisions.fleet_plan import CheapestSafeFleet, FleetState
 from flamingofront.platform.endpoints import ENDPOINT_TABLE
-from flamingofront.process.forwarding.duty import DUTY_KEY, DUTY_PART, DUTY_TABLE
+from flamingofront.process.forwarding.duty import LEADER_KEY, LEADER_PARTITION, LEADER_TABLE
 from flamingofront.standins.table_store import StoreFault
 from flamingofront.tests.forwarding_world import ForwardingWorld, ready_world
 from flamingofront.version.forwarding import ScalingLimits
@@ -27,7 +27,7 @@
 
 
 def holder(world):
-    return next(name for name, each in world.fronts.items() if each.lease.holding() is not None)
+    return next(name for name, each in world.fronts.items() if each.lease.valid_lease() is not None)
 
 
 def assert_one_holder_at_a_time(world):
@@ -163,7 +163,7 @@
     def test_state_is_kept_in_one_row(self):
         world = ready_world()
         world.run(8.0)
-        row = world.store.value(DUTY_TABLE, DUTY_KEY, DUTY_PART)
+        row = world.store.value(LEADER_TABLE, LEADER_KEY, LEADER_PARTITION)
         assert row["holder"] == "front-1" and row["reports"]
 
 
@@ -220,7 +220,7 @@
             world.run(0.9)
         assert not calls(world, "/scale")
         world.run(3.0)
-        assert world.fronts["front-1"].duties[1]._found["engines"].total() == 6
+        assert world.fronts["front-1"].duties[1]._initial_counts["engines"].total() == 6
         assert calls(world, "/scale")
 
     def test_one_reclaimable_endpoint_a_zone_while_calm(self):
@@ -318,8 +318,8 @@
             world.ask(f"front-{1 + number % 3}", "/stream/again/x")
             world.run(0.1)
         scaling = {name: front.duties[1] for name, front in world.fronts.items()}
-        assert all(each._known_demand("engines").known for each in scaling.values())
-        assert all(each._known_demand("engines").work.slow > 0 for each in scaling.values())
+        assert all(each._estimate_demand("engines").known for each in scaling.values())
+        assert all(each._estimate_demand("engines").work.slow > 0 for each in scaling.values())
 
     def test_orders_are_sent_once_and_an_unfilled_one_is_repeated_after_a_while(self):
         world = ready_world(fronts=2, engines=0)
--- a/flamingofront/process/forwarding/tests/test_quota_arbiter.py
+++ b/flamingofront/process/forwarding/tests/test_quota_arbiter.py
@@ -14,17 +14,17 @@
 
 from flamingofront.decisions.quota import SharedQuota
 from flamingofront.decisions.quota_facts import QuotaLimits, QuotaRejectReason, QuotaState
-from flamingofront.process.forwarding.quota_arbiter import QuotaArbiters, QuotaView
+from flamingofront.process.forwarding.quota_arbiter import QuotaArbiters, QuotaContext
 from flamingofront.process.forwarding.quota_messages import (
-    QuotaQuestion,
     QuotaReply,
+    QuotaRequest,
     Verdict,
-    decode_question,
-    decode_reply,
-    encode_question,
-    encode_reply,
-    is_question,
-    is_reply,
+    decode_quota_reply,
+    decode_quota_request,
+    encode_quota_reply,
+    encode_quota_request,
+    is_quota_reply,
+    is_quota_request,
 )
 from flamingofront.process.logs import Log
 from flamingofront.process.metrics import Metrics
@@ -119,7 +119,7 @@
     def test_arbiter_is_killed_in_the_middle(self, seed):
         world = QuotaWorld(seed=seed)
         world.press(12, 1.0 + world.rng.random())
-        first = world.fronts["front-0"].quota_members.ranked("desk")[0]
+        first = world.fronts["front-0"].quota_members.rank_arbiters("desk")[0]
         world.restart(*[each.name for each in world.hosts.values() if each.address == first])
         world.press(12, 6.0)
         assert world.most_in_window() <= LIMIT
@@ -178,11 +178,13 @@
         """Among many only relays hear all others; a new process may take anyone for a relay."""
         world = QuotaWorld(24)
         front = world.fronts["front-0"]
-        relays = set(front.quota_members.ranked("desk"))
+        relays = set(front.quota_members.rank_arbiters("desk"))
         asked = next(each for each in world.fronts if world.host(each).address not in relays)
         replies = []
-        front.peers.on_quota_reply = lambda data, ip: replies.append(decode_reply(data))
-        front.peers.send(encode_question(QuotaQuestion(1, "desk", 1.0)), world.host(asked).address)
+        front.peers.on_quota_reply = lambda data, ip: replies.append(decode_quota_reply(data))
+        front.peers.send(
+            encode_quota_request(QuotaRequest(1, "desk", 1.0)), world.host(asked).address
+        )
         world.run(0.1)
         assert [each.verdict for each in replies] == [Verdict.NOT_HERE]
 
@@ -205,7 +207,7 @@
     def test_restart_of_the_arbiter_refuses_nothing(self):
         world = QuotaWorld()
         callers = world.press(0.7, 3.0)
-        first = world.fronts["front-0"].quota_members.ranked("desk")[0]
+        first = world.fronts["front-0"].quota_members.rank_arbiters("desk")[0]
         world.restart(*[each.name for each in world.hosts.values() if each.address == first])
         callers += world.press(0.7, 12.0)
         world.run(1.0)
@@ -224,7 +226,7 @@
 
     def test_caller_that_leaves_while_it_is_decided_on_runs_nothing(self):
         world = QuotaWorld()
-        arbiter = world.fronts["front-0"].quota_members.ranked("desk")[0]
+        arbiter = world.fronts["front-0"].quota_members.rank_arbiters("desk")[0]
         asked = next(each for each in world.fronts if world.host(each).address != arbiter)
         caller = world.ask(asked, "/read/x", "GET")
         caller.leave()
@@ -241,7 +243,7 @@
     def test_process_that_ends_asks_nobody_about_what_it_refuses(self):
         """The reply came after its end, and the caller's connection was closed unanswered."""
         world = QuotaWorld()
-        arbiter = world.fronts["front-0"].quota_members.ranked("desk")[0]
+        arbiter = world.fronts["front-0"].quota_members.rank_arbiters("desk")[0]
         asked = next(each for each in world.fronts if world.host(each).address != arbiter)
         world.fronts[asked].hub.shutdown_seconds_left = lambda: 0.05
         caller = world.ask(asked, "/read/x", "GET")
@@ -257,7 +259,7 @@
         self.clock = ManualClock()
         self.timers = TimerService(self.clock)
         self.sent = []
-        self.knows_less = {"1": False, "2": False}
+        self.should_defer = {"1": False, "2": False}
         self.ranked = ["2", "1"]
         self.quotas = {ip: SharedQuota(lambda: 1.0, rng=random.Random(1)) for ip in "12"}
         self.processes = {ip: self._process(ip) for ip in "12"}
@@ -266,12 +268,12 @@
 
     def _process(self, ip):
         self.quotas[ip].start_buckets((self.WORKSPACE,), 0.0)
-        view = QuotaView(
+        view = QuotaContext(
             ip,
             int(self.clock.time * 1000),
             lambda name: list(self.ranked),
             lambda: {"desk": self.WORKSPACE},
-            lambda: self.knows_less[ip],
+            lambda: self.should_defer[ip],
             lambda: False,
             lambda name: 1,
         )
@@ -297,7 +299,7 @@
         sent, self.sent[:] = self.sent[lose:], []
         for source, target, data in sent:
             process = self.processes[target]
-            (process.take_question if is_question(data) else process.take_reply)(data, source)
+            (process.take_question if is_quota_request(data) else process.take_reply)(data, source)
 
     def ask(self, units=1.0):
         self.processes["1"].decide(self.WORKSPACE, units, self.decisions.append)
@@ -369,7 +371,7 @@
 
     def test_one_that_knows_less_passes_the_question_on(self):
         joined = Arbitration()
-        joined.knows_less["2"] = True
+        joined.should_defer["2"] = True
         joined.ask()
         joined.deliver()
         joined.deliver()
@@ -404,28 +406,28 @@
 class TestMessages:
     @given(st.integers(0, 1 << 50), st.text(max_size=30), st.floats(-1e9, 1e9))
     def test_question_reads_as_it_was_written(self, number, workspace, units):
-        data = encode_question(QuotaQuestion(number, workspace, units))
-        read = decode_question(data)
-        assert is_question(data) and not is_reply(data)
+        data = encode_quota_request(QuotaRequest(number, workspace, units))
+        read = decode_quota_request(data)
+        assert is_quota_request(data) and not is_quota_reply(data)
         assert (read.number, read.workspace) == (number, workspace)
         assert read.units == pytest.approx(units, abs=1e-3)
 
     @given(st.integers(0, 1 << 50), st.sampled_from(Verdict), st.floats(0, 1e6))
     def test_reply_reads_as_it_was_written(self, number, verdict, wait):
         state = QuotaState(1.0, 2.0, 3.0, 0.5, 0.0, QuotaRejectReason.START, 4.0)
-        data = encode_reply(QuotaReply(number, verdict, wait, state))
-        read = decode_reply(data)
-        assert is_reply(data) and not is_question(data)
+        data = encode_quota_reply(QuotaReply(number, verdict, wait, state))
+        read = decode_quota_reply(data)
+        assert is_quota_reply(data) and not is_quota_request(data)
         assert (read.number, read.verdict, read.state) == (number, verdict, state)
         assert read.wait == pytest.approx(wait, abs=1e-3)
 
     def test_reply_of_an_earlier_version_is_understood(self):
-        read = decode_reply(b"![7,1,0.5,1,2,3]")
+        read = decode_quota_reply(b"![7,1,0.5,1,2,3]")
         assert read.state == QuotaState(1.0, 2.0, 3.0)
 
     @given(st.binary(max_size=40))
     def test_anything_else_is_refused(self, data):
-        for mark, decode in ((b"?", decode_question), (b"!", decode_reply)):
+        for mark, decode in ((b"?", decode_quota_request), (b"!", decode_quota_reply)):
             try:
                 decode(mark + data)
             except ValueError:
--- a/flamingofront/process/forwarding/tests/test_rollouts.py
+++ b/flamingofront/process/forwarding/tests/test_rollouts.py
@@ -301,4 +301,4 @@
         world.store.put("op", "rollout/records", {"to": "v2"})
         world.run(5.0)
         assert world.store.value("status", "rollout/records") is None
-        assert not any(each.rollouts.orders() for each in world.fronts.values())
+        assert not any(each.rollouts.list_orders() for each in world.fronts.values())
--- a/flamingofront/process/forwarding/tests/test_stopping.py
+++ b/flamingofront/process/forwarding/tests/test_stopping.py
@@ -10,7 +10,7 @@
 
 from flamingofront.decisions.stopping import StreamBound, StreamTimes, can_complete
 from flamingofront.errors import ErrorKind
-from flamingofront.process.forwarding.shutdown import GracefulStop
+from flamingofront.process.forwarding.shutdown import GracefulShutdown
 from flamingofront.standins.forward_endpoint import ForwardFault
 from flamingofront.tests.forwarding_world import ready_world
 
@@ -84,7 +84,9 @@
         front = world.fronts["front-1"]
         left_at_exit = []
         callers = SimpleNamespace(closing=False, connections=1, close_idle=lambda: 0)
-        stop = GracefulStop(front, callers, 8.0, lambda: left_at_exit.append(len(front.hub.active)))
+        stop = GracefulShutdown(
+            front, callers, 8.0, lambda: left_at_exit.append(len(front.hub.active))
+        )
         stop.begin()
         asked = []
         while not left_at_exit:
@@ -110,7 +112,9 @@
         front = world.fronts["front-1"]
         left_at_exit = []
         callers = SimpleNamespace(closing=False, connections=1, close_idle=lambda: 0)
-        stop = GracefulStop(front, callers, 8.0, lambda: left_at_exit.append(len(front.hub.active)))
+        stop = GracefulShutdown(
+            front, callers, 8.0, lambda: left_at_exit.append(len(front.hub.active))
+        )
         stop.begin()
         # One that runs all the while keeps the process until its end.
         engine.events = 400
@@ -145,7 +149,7 @@
         self.left_at_exit = []
         self.asked = []
         callers = SimpleNamespace(closing=False, connections=1, close_idle=lambda: 0)
-        self.stop = GracefulStop(self.front, callers, self.GRACE, self._exited)
+        self.stop = GracefulShutdown(self.front, callers, self.GRACE, self._exited)
 
     def _exited(self):
         self.left_at_exit.append(len(self.front.hub.active))
@@ -260,7 +264,7 @@
         world.run(0.1)
         callers = SimpleNamespace(closing=False, connections=1, close_idle=lambda: 0)
         exits = []
-        GracefulStop(world.fronts["front-1"], callers, 1.0, lambda: exits.append(1)).begin()
+        GracefulShutdown(world.fronts["front-1"], callers, 1.0, lambda: exits.append(1)).begin()
         world.run_until(lambda: exits)
         assert caller.done and caller.status == 502
         assert (caller.error["kind"], caller.error["ran"]) == (kind, "unknown")
@@ -273,7 +277,7 @@
         front = world.fronts["front-1"]
         callers = SimpleNamespace(closing=False, connections=1, close_idle=lambda: 0)
         refused, exits = [], []
-        stop = GracefulStop(front, callers, 8.0, lambda: exits.append(1), refused.append)
+        stop = GracefulShutdown(front, callers, 8.0, lambda: exits.append(1), refused.append)
         began = world.clock.now()
         stop.begin()
         world.run_until(lambda: exits)
--- a/flamingofront/process/forwarding/vanished.py
+++ b/flamingofront/process/forwarding/vanished.py
@@ -1,7 +1,7 @@
 """Endpoints that crashed while no entry process ran to observe the removal of their rows."""
 
 from flamingofront.errors import PlatformError
-from flamingofront.process.forwarding.duty import DUTY_KEY, DUTY_PART, DUTY_TABLE
+from flamingofront.process.forwarding.duty import LEADER_KEY, LEADER_PARTITION, LEADER_TABLE
 from flamingofront.process.forwarding.endpoint_row import EndpointRow
 from flamingofront.process.forwarding.knowledge import SharedTables
 from flamingofront.process.store import StoredRow, TableStore
@@ -31,8 +31,8 @@
         PlatformError
             If the store does not answer, or its change history does not reach back far enough.
         """
-        found = yield from self._store.read(DUTY_TABLE, DUTY_PART)
-        row = next((each for each in found.rows if each.key == DUTY_KEY), None)
+        found = yield from self._store.read(LEADER_TABLE, LEADER_PARTITION)
+        row = next((each for each in found.rows if each.key == LEADER_KEY), None)
         if row is None:
             return ()
         changes = yield from self._store.changes(self._tables.endpoints, row.version, 0.0)
