--- a/bench/answer_mutations.py
+++ b/bench/answer_mutations.py
@@ -43,14 +43,14 @@
     Mutation(
         "Limit: the own part only after silence",
         "process/forwarding/limit_arbiter.py",
-        "-math.inf) < SILENCE_SECONDS:",
+        "-math.inf) < RECENT_REPLY_SECONDS:",
         "-math.inf) < 0:",
         LIMITS,
     ),
     Mutation(
         "Limit: a process that stops does not decide",
         "process/forwarding/limit_members.py",
-        "if not (self._is_stopping() and ip == self._own_ip)]",
+        "if not (self._is_stopping() and ip == self._local_ip)]",
         "if ip]",
         LIMITS,
     ),
--- a/bench/known_failure_mutations.py
+++ b/bench/known_failure_mutations.py
@@ -56,14 +56,14 @@
     Mutation(
         "S one process is asked",
         "process/forwarding/inquiries.py",
-        "        left = self._candidates(request.key)",
-        "        left = []",
+        "        candidates = self._candidates(request.key)",
+        "        candidates = []",
         ARBITER,
     ),
     Mutation(
         "S what is allowed is charged at once",
         "process/forwarding/quota_arbiter.py",
-        "            self._quota.charge_ahead(workspace, question.units, is_alone, now)",
+        "            self._quota.charge_ahead(workspace, request.units, is_alone, now)",
         "            pass",
         ARBITER,
     ),
@@ -77,14 +77,15 @@
     Mutation(
         "S numbers go on in the next life",
         "process/forwarding/inquiries.py",
-        "inquirer.incarnation * NUMBERS_A_MILLISECOND + 1",
+        "context.incarnation * NUMBERS_PER_MILLISECOND + 1",
         "1",
         ARBITER,
     ),
     Mutation(
         "S only who would be asked decides",
         "process/forwarding/quota_arbiter.py",
-        "return self._view.own_ip in self._view.ranked(name) and not self._view.knows_less()",
+        "return (\n            self._context.local_ip in self._context.rank_arbiters(name)\n"
+        "            and not self._context.should_defer()\n        )",
         "return True",
         ARBITER,
     ),
--- a/bench/platform_mutations.py
+++ b/bench/platform_mutations.py
@@ -103,17 +103,17 @@
     Mutation(
         "P the wait is looked at again behind the read",
         "process/forwarding/duty.py",
-        "if not self.state.holder or self._is_own_row() or self._has_waited():",
-        "if not self.state.holder or self._is_own_row() or known is not None:",
+        "if not self.state.holder or self._is_held_by_vm() or self._has_expired():",
+        "if not self.state.holder or self._is_held_by_vm() or previous is not None:",
         FUZZ,
     ),
     Mutation(
         "P the lease is written on condition of its version",
         "process/forwarding/duty.py",
-        "outcome = yield from self._store.transact(DUTY_PART, (condition,), (write,))",
-        "condition = RowCondition(DUTY_TABLE, DUTY_KEY, (yield from self._store.read(DUTY_TABLE,"
-        " DUTY_PART)).version)\n        "
-        "outcome = yield from self._store.transact(DUTY_PART, (condition,), (write,))",
+        "outcome = yield from self._store.transact(LEADER_PARTITION, (condition,), (write,))",
+        "condition = RowCondition(LEADER_TABLE, LEADER_KEY, (yield from self._store.read("
+        "LEADER_TABLE, LEADER_PARTITION)).version)\n        "
+        "outcome = yield from self._store.transact(LEADER_PARTITION, (condition,), (write,))",
         FUZZ,
     ),
     Mutation(
@@ -133,7 +133,7 @@
     Mutation(
         "P counts of processes that are gone are told on",
         "process/forwarding/usage.py",
-        "if process not in alive and (process in found or len(found) < MAX_TOLD):",
+        "if process not in live and (process in found or len(found) < MAX_DEPARTED):",
         "if process == self._process:",
         DUTIES,
     ),
@@ -154,8 +154,8 @@
     Mutation(
         "P a new holder waits for the counts of all",
         "process/forwarding/usage.py",
-        "window = self._due() if knows_counts else None",
-        "window = self._due()",
+        "window = self._next_due_window() if has_all_counts else None",
+        "window = self._next_due_window()",
         REPORTS,
     ),
     Mutation(
--- a/bench/restart_mutations.py
+++ b/bench/restart_mutations.py
@@ -111,7 +111,7 @@
     Mutation(
         "R a process that starts looks up how far a roll-out is",
         "process/forwarding/node.py",
-        "self.rollouts.on_order = lambda: self.tasks.start(rollout_duty.look_up())",
+        "self.rollouts.on_order = lambda: self.tasks.start(rollout_controller.load_status())",
         "pass",
         ROLLOUTS,
     ),
--- a/flamingofront/process/forwarding/control.py
+++ b/flamingofront/process/forwarding/control.py
@@ -67,7 +67,7 @@
         gauge("store_era", node.store.era)
         gauge("ready", int(node.ready))
         gauge("peers_heard", node.peers.heard_count())
-        lease = node.lease.holding()
+        lease = node.lease.valid_lease()
         gauge("duty_fencing", lease.fencing if lease is not None else 0)
         for follower in node.knowledge.followers:
             age = follower.age()
--- a/flamingofront/process/forwarding/duty.py
+++ b/flamingofront/process/forwarding/duty.py
@@ -23,11 +23,11 @@
 from flamingofront.process.store import RowCondition, RowWrite, StoredRow, TableStore, era_of
 from flamingofront.process.tasks import Task
 
-__all__ = ["DutyLease", "DutyState", "HeldLease"]
+__all__ = ["LeaderLease", "LeaseState", "HeldLease"]
 
-DUTY_TABLE = "duties"
-DUTY_PART = "duties"
-DUTY_KEY = "all"
+LEADER_TABLE = "duties"
+LEADER_PARTITION = "duties"
+LEADER_KEY = "all"
 RENEWALS_PER_LEASE = 3
 # A call of the last holder may still be on its way for as long as it waits for an answer (1 s).
 TAKEOVER_MARGIN_SECONDS = 1.2
@@ -35,18 +35,18 @@
 ACT_MARGIN_SECONDS = 0.3
 RETRY_SECONDS = 0.3
 # The longest call of this holder that may be in flight when it gives the lease up.
-LONGEST_ACT_SECONDS = 1.1
+MAX_CALL_SECONDS = 1.1
 # Holders that the row remembers. With a second or so a holder, as in a rolling restart, they cover
 # several leases.
-PAST_HOLDERS = 8
+MAX_PAST_HOLDERS = 8
 # Fencing numbers that are left out by the first holder after the store's return from a copy: more
 # than the changes of holder that such a copy can lack. One takes a second at least, a copy is some
 # seconds old.
-ERA_GAP = 100
+ERA_FENCING_GAP = 100
 
 
 @dataclass(frozen=True)
-class DutyState:
+class LeaseState:
     """The row: who holds the duties and what was reported.
 
     Parameters
@@ -78,12 +78,12 @@
     """A lease held here; times on the own clock."""
 
     fencing: int
-    taken_at: float
+    acquired_at: float
     acts_from: float
     valid_until: float
 
 
-class DutyLease:
+class LeaderLease:
     """Takes, keeps and gives up the duty lease.
 
     Parameters
@@ -93,7 +93,7 @@
 
     Attributes
     ----------
-    state : DutyState
+    state : LeaseState
         The row as it was seen last.
     released : int
         Fencing number of the lease that this process has given up; 0 if it has not.
@@ -109,7 +109,7 @@
         rng: random.Random,
         log: Log,
     ):
-        self.state = DutyState()
+        self.state = LeaseState()
         self._store = store
         self._vm_id = vm_id
         self._incarnation = incarnation
@@ -119,25 +119,25 @@
         self._log = log
         self._version: int | None = None
         self._lease: HeldLease | None = None
-        self._evidence_at = now()
-        self._announced = 0
-        self._heard_fencing = 0
+        self._last_seen_at = now()
+        self._announced_version = 0
+        self._reported_fencing = 0
         self._stopped = False
         self._writing = False
-        self.released = 0
+        self.released_fencing = 0
         self._era = 0
         self._highest_fencing = 0
-        self._known_reports: dict[str, Mapping[str, int]] = {}
+        self._cached_reports: dict[str, Mapping[str, int]] = {}
         # Called when the lease is taken after the store's return from a copy: what the holders
         # before have reported since then is not known.
-        self.on_gap: Callable[[], None] = lambda: None
+        self.on_restore: Callable[[], None] = lambda: None
 
     @property
     def version(self) -> int:
         """Version of the row after the last renewal."""
         return self._version or 0
 
-    def held(self) -> HeldLease | None:
+    def usable_lease(self) -> HeldLease | None:
         """Return the lease if this process may act on it now; to be called before each act."""
         lease = self._lease
         if lease is None or self._stopped:
@@ -147,21 +147,21 @@
             return None
         return lease
 
-    def holding(self) -> HeldLease | None:
+    def valid_lease(self) -> HeldLease | None:
         """Return the lease if it is valid, also while this process may not yet act on it."""
         lease = self._lease
         return lease if lease is not None and self._now() < lease.valid_until else None
 
-    def heard(self, report: PeerReport) -> None:
+    def observe_report(self, report: PeerReport) -> None:
         """Take word of a peer that holds the lease, or has given it up."""
-        if report.released and report.released >= max(self.state.fencing, self._heard_fencing):
-            self._evidence_at = -math.inf
+        if report.released and report.released >= max(self.state.fencing, self._reported_fencing):
+            self._last_seen_at = -math.inf
             return
         self._highest_fencing = max(self._highest_fencing, report.fencing, report.released)
         if report.fencing and report.fencing >= self.state.fencing:
-            self._evidence_at = self._now()
-            self._heard_fencing = report.fencing
-            self._announced = max(self._announced, report.lease_version)
+            self._last_seen_at = self._now()
+            self._reported_fencing = report.fencing
+            self._announced_version = max(self._announced_version, report.lease_version)
 
     def run(self) -> Task:
         """Keep the lease, or watch it until it is free; ends after `release`."""
@@ -172,22 +172,22 @@
                 self._log.warning("duty lease not reached", detail=str(exc))
                 yield Sleep(RETRY_SECONDS * (0.5 + self._rng.random()))
                 continue
-            yield Sleep(self._pause(), relaxed=True)
+            yield Sleep(self._next_delay(), relaxed=True)
 
-    def _pause(self) -> float:
+    def _next_delay(self) -> float:
         if self._lease is not None:
             return self._duration / RENEWALS_PER_LEASE
         return RETRY_SECONDS * (0.5 + self._rng.random())
 
     def _step(self) -> Task:
         if self._lease is not None:
-            if self._now() < self._lease.valid_until or not (yield from self._lost_in_a_copy()):
+            if self._now() < self._lease.valid_until or not (yield from self._lost_in_restore()):
                 yield from self.renew()
             return
-        if self._version is None or self._has_waited():
-            yield from self._look()
+        if self._version is None or self._has_expired():
+            yield from self._poll_row()
 
-    def _lost_in_a_copy(self) -> Task:
+    def _lost_in_restore(self) -> Task:
         """Tell whether a lease that has lapsed must be taken anew, and not just renewed.
 
         Notes
@@ -197,34 +197,34 @@
         successor.
         """
         era = self._era
-        found = yield from self._store.read(DUTY_TABLE, DUTY_PART)
+        found = yield from self._store.read(LEADER_TABLE, LEADER_PARTITION)
         if era_of(found.version) == era:
             return False
         self._log.warning("duty lease lost", fencing=self._lease.fencing, era=era)
         self._lease = None
-        row = next((each for each in found.rows if each.key == DUTY_KEY), None)
-        self._saw(row, found.version)
-        self._evidence_at = self._now()
+        row = next((each for each in found.rows if each.key == LEADER_KEY), None)
+        self._merge_row(row, found.version)
+        self._last_seen_at = self._now()
         return True
 
-    def _has_waited(self) -> bool:
+    def _has_expired(self) -> bool:
         """Tell whether the last sign of the holder is older than its lease can be."""
-        waited = self._now() - self._evidence_at
+        waited = self._now() - self._last_seen_at
         return waited >= self._duration + TAKEOVER_MARGIN_SECONDS
 
-    def _look(self) -> Task:
+    def _poll_row(self) -> Task:
         """Read the row and take the lease if it is free."""
-        known, self._version = self._version, None
-        found = yield from self._store.read(DUTY_TABLE, DUTY_PART)
-        row = next((each for each in found.rows if each.key == DUTY_KEY), None)
-        self._saw(row, found.version)
-        if known is None or self._version not in (known, self._announced):
-            self._evidence_at = self._now()
+        previous, self._version = self._version, None
+        found = yield from self._store.read(LEADER_TABLE, LEADER_PARTITION)
+        row = next((each for each in found.rows if each.key == LEADER_KEY), None)
+        self._merge_row(row, found.version)
+        if previous is None or self._version not in (previous, self._announced_version):
+            self._last_seen_at = self._now()
         # Word of a new holder may have come while the row was read, so the wait is looked at again.
-        if not self.state.holder or self._is_own_row() or self._has_waited():
-            yield from self._take()
+        if not self.state.holder or self._is_held_by_vm() or self._has_expired():
+            yield from self._acquire()
 
-    def _saw(self, row: StoredRow | None, version: int) -> None:
+    def _merge_row(self, row: StoredRow | None, version: int) -> None:
         """Take in what the row holds now, with what is known of it from before.
 
         Notes
@@ -236,18 +236,18 @@
         self._version = row.version if row is not None else 0
         state = _decode(row)
         self._highest_fencing = max(self._highest_fencing, state.fencing)
-        for window in [each for each in self._known_reports if each not in state.reports]:
+        for window in [each for each in self._cached_reports if each not in state.reports]:
             if state.era >= self._era:
                 # A holder of this era has dropped it: it is long reported.
-                del self._known_reports[window]
-        self._known_reports = {**state.reports, **self._known_reports}
-        self.state = replace(state, reports=dict(self._known_reports))
+                del self._cached_reports[window]
+        self._cached_reports = {**state.reports, **self._cached_reports}
+        self.state = replace(state, reports=dict(self._cached_reports))
 
-    def _is_own_row(self) -> bool:
+    def _is_held_by_vm(self) -> bool:
         """Tell whether an earlier process of this VM held the lease: it is gone for sure."""
         return self.state.holder == self._vm_id
 
-    def _take(self) -> Task:
+    def _acquire(self) -> Task:
         last = self.state.holder
         past = ((last,) if last else ()) + tuple(self.state.past)
         is_behind = self.state.era < self._era
@@ -255,20 +255,20 @@
             self.state,
             holder=self._vm_id,
             incarnation=self._incarnation,
-            fencing=self._highest_fencing + (ERA_GAP if is_behind else 1),
-            past=past[:PAST_HOLDERS],
+            fencing=self._highest_fencing + (ERA_FENCING_GAP if is_behind else 1),
+            past=past[:MAX_PAST_HOLDERS],
         )
         sent_at = self._now()
         if not (yield from self._write(state)):
             # Somebody else has just taken it: its lease begins now.
-            self._evidence_at = self._now()
+            self._last_seen_at = self._now()
             self._log.info("duty lease not taken", fencing=state.fencing)
             return
         if is_behind:
-            self.on_gap()
+            self.on_restore()
         # Who held the lease since the copy is not known, so that this one may have, too.
-        returned = is_behind or (self._vm_id in past and past[0] != self._vm_id)
-        acts_from = self._now() + self._duration if returned else sent_at
+        held_before = is_behind or (self._vm_id in past and past[0] != self._vm_id)
+        acts_from = self._now() + self._duration if held_before else sent_at
         self._lease = HeldLease(state.fencing, sent_at, acts_from, sent_at + self._duration)
         self._log.info("duty lease taken", fencing=state.fencing, last_holder=last)
 
@@ -305,39 +305,39 @@
                 if self._lease is not None:
                     self._lease = replace(self._lease, valid_until=sent_at + self._duration)
                 return self._lease is not None
-            if self._is_older_copy(fencing):
+            if self._is_older_snapshot(fencing):
                 # The row is from before this lease: nobody has taken it in this era.
                 continue
-            if not self._is_mine(self.state, fencing):
+            if not self._is_held_here(self.state, fencing):
                 self._log.warning("duty lease lost", fencing=fencing)
                 self._lease = None
-                self._evidence_at = self._now()
+                self._last_seen_at = self._now()
                 return False
             # A write whose answer was lost has taken effect: what it stored stays as it is.
             reports = None
         return False
 
-    def _write(self, state: DutyState) -> Task:
+    def _write(self, state: LeaseState) -> Task:
         """Write the row if it is as it was seen last; if not, take over what it holds now."""
         state = replace(state, era=self._era)
-        condition = RowCondition(DUTY_TABLE, DUTY_KEY, self._version or 0)
-        write = RowWrite(DUTY_TABLE, DUTY_KEY, _encode(state))
-        outcome = yield from self._store.transact(DUTY_PART, (condition,), (write,))
+        condition = RowCondition(LEADER_TABLE, LEADER_KEY, self._version or 0)
+        write = RowWrite(LEADER_TABLE, LEADER_KEY, _encode(state))
+        outcome = yield from self._store.transact(LEADER_PARTITION, (condition,), (write,))
         if outcome.ok:
             self._era = max(self._era, era_of(outcome.version))
             self._version, self.state = outcome.version, state
             self._highest_fencing = max(self._highest_fencing, state.fencing)
-            self._known_reports = dict(state.reports)
+            self._cached_reports = dict(state.reports)
             return True
-        row = next((each for each in outcome.rows if each.key == DUTY_KEY), None)
-        self._saw(row, outcome.version)
+        row = next((each for each in outcome.rows if each.key == LEADER_KEY), None)
+        self._merge_row(row, outcome.version)
         return False
 
-    def _is_older_copy(self, fencing: int) -> bool:
+    def _is_older_snapshot(self, fencing: int) -> bool:
         """Tell whether the row is what a copy had before this process took its lease."""
         return self.state.era < self._era and self.state.fencing < fencing
 
-    def _is_mine(self, found: DutyState, fencing: int) -> bool:
+    def _is_held_here(self, found: LeaseState, fencing: int) -> bool:
         own = (self._vm_id, self._incarnation, fencing)
         return (found.holder, found.incarnation, found.fencing) == own
 
@@ -352,27 +352,27 @@
         lease = self._lease
         if lease is None:
             return
-        yield Sleep(LONGEST_ACT_SECONDS)
+        yield Sleep(MAX_CALL_SECONDS)
         self._lease = None
-        past = (self._vm_id, *self.state.past)[:PAST_HOLDERS]
+        past = (self._vm_id, *self.state.past)[:MAX_PAST_HOLDERS]
         try:
             yield from self._write(replace(self.state, holder="", past=past))
-            self.released = lease.fencing
+            self.released_fencing = lease.fencing
             self._log.info("duty lease released", fencing=lease.fencing)
         except PlatformError as exc:
             self._log.info("duty lease runs out by itself", detail=str(exc))
 
 
-def _encode(state: DutyState) -> bytes:
+def _encode(state: LeaseState) -> bytes:
     return orjson.dumps(state)
 
 
-def _decode(row: StoredRow | None) -> DutyState:
+def _decode(row: StoredRow | None) -> LeaseState:
     """Return the state in a row; a malformed one counts as held by nobody known."""
     if row is None or row.value is None:
-        return DutyState()
+        return LeaseState()
     try:
         values = orjson.loads(row.value)
-        return DutyState(**{**values, "past": tuple(values.get("past", ()))})
+        return LeaseState(**{**values, "past": tuple(values.get("past", ()))})
     except (TypeError, orjson.JSONDecodeError) as exc:
         raise PlatformError(f"malformed duty row: {exc}") from exc
--- a/flamingofront/process/forwarding/held_requests.py
+++ b/flamingofront/process/forwarding/held_requests.py
@@ -17,7 +17,7 @@
 from flamingofront.process.tasks import Task
 from flamingofront.request.guard import RequestGuard
 
-__all__ = ["HeldRequests"]
+__all__ = ["QuarantineSync"]
 
 # Processes that began so close to the first start of a deployment began with it.
 FIRST_START_SECONDS = 2.0
@@ -27,15 +27,15 @@
 # three times the calls on a calm day.
 FEED_WAIT_SECONDS = 10.0
 # A hold that another process has kept is seen in the feed within some ten milliseconds.
-FEED_SEEN_SECONDS = 0.5
+FEED_LATENCY_SECONDS = 0.5
 
 
-class HeldRequests:
+class QuarantineSync:
     """Joins the guard of a process with its peers and the store.
 
     Parameters
     ----------
-    may_rest : callable
+    is_standby : callable
         Returns whether other processes follow the store for this one.
     recording : Callable
         Makes the recorder of sends from the rows where they are kept.
@@ -54,16 +54,18 @@
         peers: Peers,
         store: EraStore,
         services: Services,
-        may_rest: Callable[[], bool],
-        recording: Callable[[IntentRows, Services], IntentRecorder],
+        is_standby: Callable[[], bool],
+        make_recorder: Callable[[IntentRows, Services], IntentRecorder],
         first_start: float | None = None,
     ):
         guard.wall = peers.true_time
         guard.on_news = peers.tell_now
-        guard.restarts = lambda: _restarts(peers.starts(), first_start)
-        self._keeper = HoldKeeper(guard, TableHolds(store), services, FEED_SEEN_SECONDS, may_rest)
+        guard.restarts = lambda: _restart_times(peers.starts(), first_start)
+        self._keeper = HoldKeeper(
+            guard, TableHolds(store), services, FEED_LATENCY_SECONDS, is_standby
+        )
         store.on_return(self._keeper.write_again)
-        self._recorder = recording(TableIntents(store), services)
+        self._recorder = make_recorder(TableIntents(store), services)
         store.on_return(self._recorder.write_again)
         self.follower = TableFollower(
             store,
@@ -74,7 +76,7 @@
             services.timers.now,
             services.rng,
             services.log,
-            may_rest,
+            is_standby,
             wait=FEED_WAIT_SECONDS,
         )
 
@@ -84,7 +86,7 @@
         yield from self.follower.run()
 
 
-def _restarts(starts: Iterable[float], first_start: float | None) -> list[float]:
+def _restart_times(starts: Iterable[float], first_start: float | None) -> list[float]:
     """Return the starts that may have followed a kill: before the first one nothing ran."""
     if first_start is None:
         return list(starts)
--- a/flamingofront/process/forwarding/inquiries.py
+++ b/flamingofront/process/forwarding/inquiries.py
@@ -15,21 +15,21 @@
 from flamingofront.process.metrics import Metrics
 from flamingofront.process.timers import Timer, TimerService
 
-__all__ = ["Decider", "DecisionRequest", "Inquirer", "Inquiries", "RepliesSent"]
+__all__ = ["ArbiterProtocol", "DecisionRequest", "ArbiterContext", "ArbiterClient", "ReplyCache"]
 
 # Time for a reply: many times the way there and back between two zones, and a small part of the
 # tightest latency objective.
-REPLY_SECONDS = 0.03
+REPLY_TIMEOUT_SECONDS = 0.03
 # A process that did not reply twice, or does not decide, is left out for so long.
-AVOIDED_SECONDS = 1.0
+EXCLUSION_SECONDS = 1.0
 # Processes that may stay silent to a question; the first one is asked twice, since a datagram may
 # be lost. One that does not decide says so at once, and does not count.
-MAX_SILENT = 3
+MAX_UNRESPONSIVE = 3
 # Questions and replies that are remembered, for datagrams that come twice or late: some seconds of
 # the busiest process.
 MAX_REMEMBERED = 4096
 # Questions that a process may ask in each millisecond of its life, before the next one's numbers.
-NUMBERS_A_MILLISECOND = 1 << 20
+NUMBERS_PER_MILLISECOND = 1 << 20
 
 
 class DecisionRequest(ABC):
@@ -44,39 +44,39 @@
 RequestT = TypeVar("RequestT", bound=DecisionRequest)
 
 
-class Decider(ABC, Generic[RequestT]):
+class ArbiterProtocol(ABC, Generic[RequestT]):
     """Decides on requests of one kind, and words the question to other processes."""
 
     @abstractmethod
-    def question(self, number: int, request: RequestT) -> bytes:
+    def encode_request(self, number: int, request: RequestT) -> bytes:
         """Return the datagram that asks for a decision."""
 
     @abstractmethod
-    def decide_here(self, request: RequestT) -> bool:
+    def decide_as_arbiter(self, request: RequestT) -> bool:
         """Decide in this process for all; False if others are to."""
 
     @abstractmethod
-    def decide_alone(self, request: RequestT) -> None:
+    def decide_locally(self, request: RequestT) -> None:
         """Decide by this process's part, since nobody who decides for all is reached."""
 
 
 @dataclass(eq=False)
-class _Inquiry(Generic[RequestT]):
+class _PendingRequest(Generic[RequestT]):
     number: int
     request: RequestT
-    left: list[str]
-    asked: str = ""
-    silent: set[str] = field(default_factory=set)
+    candidates: list[str]
+    arbiter: str = ""
+    unresponsive: set[str] = field(default_factory=set)
     timer: Timer | None = None
 
 
 @dataclass(frozen=True)
-class Inquirer:
+class ArbiterContext:
     """Who asks.
 
     Parameters
     ----------
-    own_ip : str
+    local_ip : str
         IP number of this process.
     incarnation : int
         Start of this process, in milliseconds.
@@ -84,12 +84,12 @@
         Returns, for a key, the IP numbers of the processes that may decide, in their order.
     """
 
-    own_ip: str
+    local_ip: str
     incarnation: int
-    ranked: Callable[[str], list[str]]
+    rank_arbiters: Callable[[str], list[str]]
 
 
-class Inquiries(Generic[RequestT]):
+class ArbiterClient(Generic[RequestT]):
     """Questions of this process that wait for a reply.
 
     Parameters
@@ -104,24 +104,24 @@
     def __init__(
         self,
         name: str,
-        decider: Decider[RequestT],
-        inquirer: Inquirer,
+        protocol: ArbiterProtocol[RequestT],
+        context: ArbiterContext,
         send: Callable[[bytes, str], None],
         timers: TimerService,
         metrics: Metrics,
         log: Log,
     ):
         self._name = name
-        self._decider = decider
-        self._inquirer = inquirer
+        self._protocol = protocol
+        self._context = context
         self._send = send
         self._timers = timers
         self._metrics = metrics
         self._log = log
         # A process that starts again goes on with other numbers: replies are remembered by them.
-        self._numbers = itertools.count(inquirer.incarnation * NUMBERS_A_MILLISECOND + 1)
-        self._pending: dict[int, _Inquiry[RequestT]] = {}
-        self._avoided: dict[str, float] = {}
+        self._numbers = itertools.count(context.incarnation * NUMBERS_PER_MILLISECOND + 1)
+        self._pending: dict[int, _PendingRequest[RequestT]] = {}
+        self._excluded_until: dict[str, float] = {}
         # Matters that were decided, with the IP number of who decided; empty for this process.
         self._decided: OrderedDict[int, tuple[RequestT, str]] = OrderedDict()
 
@@ -129,81 +129,85 @@
         """Return a number that no question of this process had."""
         return next(self._numbers)
 
-    def ask(self, request: RequestT) -> None:
+    def submit(self, request: RequestT) -> None:
         """Have a request decided on; at once if that is done here."""
-        left = self._candidates(request.key)
-        self._ask_next(_Inquiry(self.next_number(), request, left))
+        candidates = self._candidates(request.key)
+        self._try_next(_PendingRequest(self.next_number(), request, candidates))
 
     def _candidates(self, key: str) -> list[str]:
         """Return whom to ask in turn: the first one twice."""
         now = self._timers.now()
-        self._avoided = {ip: until for ip, until in self._avoided.items() if until > now}
-        ranked = [each for each in self._inquirer.ranked(key) if each not in self._avoided]
+        self._excluded_until = {
+            ip: until for ip, until in self._excluded_until.items() if until > now
+        }
+        ranked = [
+            each for each in self._context.rank_arbiters(key) if each not in self._excluded_until
+        ]
         return [*ranked[:1], *ranked]
 
-    def _ask_next(self, inquiry: _Inquiry[RequestT]) -> None:
-        if not inquiry.left or len(inquiry.silent) >= MAX_SILENT:
+    def _try_next(self, pending: _PendingRequest[RequestT]) -> None:
+        if not pending.candidates or len(pending.unresponsive) >= MAX_UNRESPONSIVE:
             self._metrics.count(f"{self._name}_decisions_alone_total")
-            self._end(inquiry, "")
-            self._decider.decide_alone(inquiry.request)
+            self._finish(pending, "")
+            self._protocol.decide_locally(pending.request)
             return
-        inquiry.asked = inquiry.left.pop(0)
-        if inquiry.asked == self._inquirer.own_ip:
-            self._end(inquiry, "")
-            if not self._decider.decide_here(inquiry.request):
-                self._ask_next(inquiry)
+        pending.arbiter = pending.candidates.pop(0)
+        if pending.arbiter == self._context.local_ip:
+            self._finish(pending, "")
+            if not self._protocol.decide_as_arbiter(pending.request):
+                self._try_next(pending)
             return
-        self._pending[inquiry.number] = inquiry
-        inquiry.timer = self._timers.once(REPLY_SECONDS, lambda: self._no_reply(inquiry))
+        self._pending[pending.number] = pending
+        pending.timer = self._timers.once(REPLY_TIMEOUT_SECONDS, lambda: self._on_timeout(pending))
         self._metrics.count(f"{self._name}_questions_total")
-        self._send(self._decider.question(inquiry.number, inquiry.request), inquiry.asked)
+        self._send(self._protocol.encode_request(pending.number, pending.request), pending.arbiter)
 
-    def _no_reply(self, inquiry: _Inquiry[RequestT]) -> None:
+    def _on_timeout(self, pending: _PendingRequest[RequestT]) -> None:
         self._metrics.count(f"{self._name}_questions_unanswered_total")
-        if inquiry.asked in inquiry.silent:
-            self._avoid(inquiry.asked, "no reply")
-        inquiry.silent.add(inquiry.asked)
-        self._ask_next(inquiry)
+        if pending.arbiter in pending.unresponsive:
+            self._exclude(pending.arbiter, "no reply")
+        pending.unresponsive.add(pending.arbiter)
+        self._try_next(pending)
 
-    def _avoid(self, ip: str, reason: str) -> None:
-        self._avoided[ip] = self._timers.now() + AVOIDED_SECONDS
+    def _exclude(self, ip: str, reason: str) -> None:
+        self._excluded_until[ip] = self._timers.now() + EXCLUSION_SECONDS
         self._log.info(f"{self._name} arbiter left out", arbiter=ip, reason=reason)
 
-    def _end(self, inquiry: _Inquiry[RequestT], arbiter: str) -> None:
-        self._pending.pop(inquiry.number, None)
-        self._decided[inquiry.number] = (inquiry.request, arbiter)
+    def _finish(self, pending: _PendingRequest[RequestT], arbiter: str) -> None:
+        self._pending.pop(pending.number, None)
+        self._decided[pending.number] = (pending.request, arbiter)
         while len(self._decided) > MAX_REMEMBERED:
             self._decided.popitem(last=False)
 
-    def replied(self, number: int, ip: str) -> RequestT | None:
+    def accept_reply(self, number: int, ip: str) -> RequestT | None:
         """Take a reply that decides; None if it is not awaited from there."""
-        inquiry = self._awaited(number, ip)
-        if inquiry is None:
+        pending = self._match_reply(number, ip)
+        if pending is None:
             return None
-        self._end(inquiry, ip)
-        return inquiry.request
+        self._finish(pending, ip)
+        return pending.request
 
-    def declined(self, number: int, ip: str) -> None:
+    def handle_decline(self, number: int, ip: str) -> None:
         """Take the reply of a process that does not decide: the next one is asked."""
-        inquiry = self._awaited(number, ip)
-        if inquiry is None:
+        pending = self._match_reply(number, ip)
+        if pending is None:
             return
-        self._avoid(ip, "does not decide")
-        inquiry.left = [each for each in inquiry.left if each != ip]
-        self._ask_next(inquiry)
+        self._exclude(ip, "does not decide")
+        pending.candidates = [each for each in pending.candidates if each != ip]
+        self._try_next(pending)
 
-    def _awaited(self, number: int, ip: str) -> _Inquiry[RequestT] | None:
-        inquiry = self._pending.get(number)
-        if inquiry is None or ip != inquiry.asked:
+    def _match_reply(self, number: int, ip: str) -> _PendingRequest[RequestT] | None:
+        pending = self._pending.get(number)
+        if pending is None or ip != pending.arbiter:
             return None
-        inquiry.timer.cancel()
-        return inquiry
+        pending.timer.cancel()
+        return pending
 
-    def unused(self, number: int, ip: str) -> RequestT | None:
+    def late_request(self, number: int, ip: str) -> RequestT | None:
         """Return the request of a late permission that is not used: another process decided."""
-        inquiry = self._pending.get(number)
-        if inquiry is not None:
-            return inquiry.request
+        pending = self._pending.get(number)
+        if pending is not None:
+            return pending.request
         request, arbiter = self._decided.get(number, (None, ip))
         return None if arbiter == ip else request
 
@@ -211,13 +215,13 @@
 ReplyT = TypeVar("ReplyT")
 
 
-class RepliesSent(Generic[ReplyT]):
+class ReplyCache(Generic[ReplyT]):
     """Replies that were made, so that a question which comes twice has the same one."""
 
     def __init__(self):
         self._replies: OrderedDict[tuple[str, int], ReplyT] = OrderedDict()
 
-    def once(self, ip: str, number: int, make: Callable[[], ReplyT]) -> ReplyT:
+    def get_or_create(self, ip: str, number: int, make: Callable[[], ReplyT]) -> ReplyT:
         """Return the reply to a question, made at the first time."""
         reply = self._replies.get((ip, number)) or make()
         self._replies[ip, number] = reply
--- a/flamingofront/process/forwarding/limit_messages.py
+++ b/flamingofront/process/forwarding/limit_messages.py
@@ -10,24 +10,24 @@
 from flamingofront.request.endpoint_limits import EndpointLimit
 
 __all__ = [
-    "PermitQuestion",
+    "PermitRequest",
     "PermitReply",
     "decode_limits",
-    "decode_permit_question",
+    "decode_permit_request",
     "decode_permit_reply",
     "encode_limits",
-    "encode_permit_question",
+    "encode_permit_request",
     "encode_permit_reply",
-    "is_permit_question",
+    "is_permit_request",
     "is_permit_reply",
 ]
 
-_QUESTION = b"L?"
+_REQUEST = b"L?"
 _REPLY = b"L!"
 
 
 @dataclass(frozen=True)
-class PermitQuestion:
+class PermitRequest:
     """Whether a request may be sent to an endpoint, or that a permit was not used.
 
     Parameters
@@ -66,9 +66,9 @@
     wait: float = 0.0
 
 
-def is_permit_question(data: bytes) -> bool:
+def is_permit_request(data: bytes) -> bool:
     """Tell whether a datagram is a question for a permit."""
-    return data.startswith(_QUESTION)
+    return data.startswith(_REQUEST)
 
 
 def is_permit_reply(data: bytes) -> bool:
@@ -96,17 +96,17 @@
 
 
 def _limit(endpoint_id: str, born: int, rate: float | None, named_at: float) -> EndpointLimit:
-    known = None if rate is None else float(rate)
-    if known is not None and known < 0:
-        raise ValueError(f"a rate of {known} is none")
-    return EndpointLimit(str(endpoint_id), int(born), known, float(named_at))
+    checked_rate = None if rate is None else float(rate)
+    if checked_rate is not None and checked_rate < 0:
+        raise ValueError(f"a rate of {checked_rate} is none")
+    return EndpointLimit(str(endpoint_id), int(born), checked_rate, float(named_at))
 
 
-def encode_permit_question(question: PermitQuestion) -> bytes:
+def encode_permit_request(request: PermitRequest) -> bytes:
     """Return the datagram of a question."""
-    (limit,) = encode_limits((question.limit,))
-    patience = round(question.patience, 3)
-    return _QUESTION + orjson.dumps((question.number, question.priority, patience, limit))
+    (limit,) = encode_limits((request.limit,))
+    patience = round(request.patience, 3)
+    return _REQUEST + orjson.dumps((request.number, request.priority, patience, limit))
 
 
 def encode_permit_reply(reply: PermitReply) -> bytes:
@@ -115,7 +115,7 @@
     return _REPLY + orjson.dumps((reply.number, int(reply.verdict), *times))
 
 
-def decode_permit_question(data: bytes) -> PermitQuestion:
+def decode_permit_request(data: bytes) -> PermitRequest:
     """Return the question in a datagram; fields that a newer version has appended are ignored.
 
     Raises
@@ -124,8 +124,8 @@
         If it is malformed.
     """
     try:
-        number, priority, patience, limit = orjson.loads(data[len(_QUESTION) :])[:4]
-        return PermitQuestion(int(number), _limit(*limit), int(priority), float(patience))
+        number, priority, patience, limit = orjson.loads(data[len(_REQUEST) :])[:4]
+        return PermitRequest(int(number), _limit(*limit), int(priority), float(patience))
     except (TypeError, ValueError) as exc:
         raise ValueError(f"malformed question: {exc!r:.100}") from exc
 
--- a/flamingofront/process/forwarding/node.py
+++ b/flamingofront/process/forwarding/node.py
@@ -17,29 +17,29 @@
 from flamingofront.process.counted_store import CountedTableStore
 from flamingofront.process.former_sends import Sender
 from flamingofront.process.forwarding.control import ControlCalls
-from flamingofront.process.forwarding.duty import DutyLease
+from flamingofront.process.forwarding.duty import LeaderLease
 from flamingofront.process.forwarding.endpoint_row import EndpointRow
 from flamingofront.process.forwarding.endpoints import EndpointView
 from flamingofront.process.forwarding.exchange import WATCH_SECONDS, KnowledgeExchange
 from flamingofront.process.forwarding.freshness import ConfigurationCheck
-from flamingofront.process.forwarding.held_requests import HeldRequests
-from flamingofront.process.forwarding.inquiries import Inquirer
+from flamingofront.process.forwarding.held_requests import QuarantineSync
+from flamingofront.process.forwarding.inquiries import ArbiterContext
 from flamingofront.process.forwarding.knowledge import Knowledge, SharedTables
-from flamingofront.process.forwarding.limit_arbiter import LimitArbiters, LimitView
+from flamingofront.process.forwarding.limit_arbiter import LimitArbiters, LimitContext
 from flamingofront.process.forwarding.limit_members import LimitMembers
 from flamingofront.process.forwarding.observations import Observations
 from flamingofront.process.forwarding.own_report import OwnReport, ReportedParts
 from flamingofront.process.forwarding.peer_word import PeerWord, WordParts
 from flamingofront.process.forwarding.peers import Peers
-from flamingofront.process.forwarding.quota_arbiter import QuotaArbiters, QuotaView
+from flamingofront.process.forwarding.quota_arbiter import QuotaArbiters, QuotaContext
 from flamingofront.process.forwarding.quota_members import QuotaMembers
 from flamingofront.process.forwarding.readers import StoreReaders
 from flamingofront.process.forwarding.relaying import RelayListener
 from flamingofront.process.forwarding.reports import PeerReport
-from flamingofront.process.forwarding.rollouts import RolloutDuty, Rollouts
-from flamingofront.process.forwarding.scaling import ScalingDuty
+from flamingofront.process.forwarding.rollouts import RolloutController, Rollouts
+from flamingofront.process.forwarding.scaling import ScalingController
 from flamingofront.process.forwarding.settings import DeploymentSettings
-from flamingofront.process.forwarding.usage import CountsHeard, UsageBook, UsageDuty
+from flamingofront.process.forwarding.usage import UsageBook, UsageCoverage, UsageReporter
 from flamingofront.process.forwarding.vanished import VanishedEndpoints
 from flamingofront.process.forwarding.whole_load import WholeLoad
 from flamingofront.process.intent_rows import IntentRows
@@ -63,19 +63,19 @@
 __all__ = ["Dependencies", "ForwardingNode"]
 
 # A request is refused early in its objective, while another entry VM can still serve it in time.
-REFUSE_WITHIN = 0.2
+QUEUE_PATIENCE_SHARE = 0.2
 # Endpoints looked at for one choice where word of the loads is late: of the few that seem idle many
 # processes would each pick the same ones. Two are those that a process uses first.
-FEW_CANDIDATES = 3
+LATE_LOAD_CANDIDATES = 3
 # Mean age of that word from which on it counts as late, in seconds: more than sixteen peers.
-LATE_WORD_SECONDS = 0.2
+LATE_LOAD_SECONDS = 0.2
 # Pause of a relay between two questions for changes, so that many come in one answer: each question
 # has its price. The two relays of a zone ask in turn, so a change is known 0.3 s later in the mean.
 FEED_PAUSE_SECONDS = 0.8
 # What an endpoint answered before it started again may still be on its way for so long.
-LAST_ANSWERS_SECONDS = 0.05
+LAST_RESPONSES_SECONDS = 0.05
 # Part of an endpoint's connections that may be idle ones.
-IDLE_PART = 0.5
+IDLE_SHARE = 0.5
 USAGE = "usage"
 SCALING = "scaling"
 
@@ -98,103 +98,103 @@
     """All parts of one entry process that forwards routes."""
 
     def __init__(
-        self, settings: DeploymentSettings, needs: Dependencies, rng: random.Random, log: Log
+        self, settings: DeploymentSettings, dependencies: Dependencies, rng: random.Random, log: Log
     ):
         self.settings = settings
-        self.timers = needs.timers
+        self.timers = dependencies.timers
         self.log = log
         self.metrics = Metrics({"vm": settings.vm_id, "zone": settings.zone})
         self.on_configuration: Callable[[ForwardingConfiguration], None] = lambda cfg: None
         self.stopping = False
-        self._leaving_untold = False
-        self._began = needs.timers.now()
-        self.store = EraStore(CountedTableStore(needs.store, self.metrics), log)
-        self._needs = replace(needs, store=self.store)
+        self._has_unsent_leaving = False
+        self._started_at = dependencies.timers.now()
+        self.store = EraStore(CountedTableStore(dependencies.store, self.metrics), log)
+        self._dependencies = replace(dependencies, store=self.store)
         self._rng = rng
-        self.tasks = TaskRunner(needs.transport, needs.timers, self.fault)
+        self.tasks = TaskRunner(dependencies.transport, dependencies.timers, self.fault)
         own = PeerReport(
             settings.vm_id,
-            needs.incarnation,
+            dependencies.incarnation,
             0,
             settings.zone,
             settings.ip,
             str(settings.control_bind or settings.ready_bind),
         )
-        self._report = OwnReport(own, needs.timers, rng)
+        self._report_builder = OwnReport(own, dependencies.timers, rng)
         self.usage = UsageBook(own.process, settings.rules.usage_window)
         self.rollouts = Rollouts(settings.rules.expose_share, self.timers.now, rng, log)
         self._build_requests()
         self._build_peers()
-        self._build_duties()
+        self._build_leader_tasks()
         self.store.on_return(self.peers.register_again)
         services = Services(self.tasks, self.timers, rng, self.metrics, log)
-        self.held = HeldRequests(
+        self.held = QuarantineSync(
             self.hub.guard,
             self.peers,
             self.store,
             services,
-            self._may_rest,
-            self._recorder,
-            needs.incarnation / 1000 if settings.first_start else None,
+            self._is_standby,
+            self._make_recorder,
+            dependencies.incarnation / 1000 if settings.first_start else None,
         )
         reported = ReportedParts(
             self.hub, self.knowledge, self.lease, self.peers, self.rollouts, self.usage
         )
         parts = WordParts(reported, self.quota, self.exchange)
-        self._word = PeerWord(self._report, parts, self.timers, self.metrics)
+        self._gossip = PeerWord(self._report_builder, parts, self.timers, self.metrics)
         self.handle_control = ControlCalls(self).handle
 
-    def _recorder(self, rows: IntentRows, services: Services) -> IntentRecorder:
+    def _make_recorder(self, rows: IntentRows, services: Services) -> IntentRecorder:
         """Return what records requests before they are sent."""
         settings = self.settings
-        sender = Sender(settings.vm_id, self._needs.incarnation, settings.first_start)
-        vanished = VanishedEndpoints(self.store, self._needs.tables)
+        sender = Sender(settings.vm_id, self._dependencies.incarnation, settings.first_start)
+        vanished = VanishedEndpoints(self.store, self._dependencies.tables)
         return IntentRecorder(self.hub, rows, services, sender, self.member_share, vanished.read)
 
     def _build_requests(self) -> None:
-        settings, needs = self.settings, self._needs
+        settings, dependencies = self.settings, self._dependencies
         self.facts = FactTable()
         self.directory = EndpointDirectory(self.facts, self._rng, settings.zone)
         self.knowledge = Knowledge(
-            needs.store,
-            needs.tables,
+            dependencies.store,
+            dependencies.tables,
             EndpointView(
                 self.facts,
                 self.timers,
                 self.metrics,
                 self.log,
-                on_leaving=self._row_leaves,
-                on_gone=self._endpoint_gone,
-                on_restarted=self._endpoint_restarted,
+                on_leaving=self._on_row_leaving,
+                on_gone=self._on_endpoint_removed,
+                on_restarted=self._on_endpoint_restarted,
             ),
-            self._configuration_changed,
+            self._on_configuration_change,
             self.timers.now,
             self._rng,
             self.metrics,
             self.log,
-            self._may_rest,
+            self._is_standby,
             lambda: FEED_PAUSE_SECONDS if self.peers.many else 0.0,
         )
         self.hub = RequestHub(
             HubSettings(
                 settings.vm_id,
                 settings.zone,
-                queue_patience=REFUSE_WITHIN,
-                choice_patience=REFUSE_WITHIN,
+                queue_patience=QUEUE_PATIENCE_SHARE,
+                choice_patience=QUEUE_PATIENCE_SHARE,
             ),
-            needs.transport,
+            dependencies.transport,
             self.timers,
             self.directory,
             self.metrics,
             self.log,
             self._rng,
             BacklogChoice(),
-            needs.protocol,
+            dependencies.protocol,
             self._retry_budget,
         )
-        self.knowledge.on_rollout = self.rollouts.take_order
-        self.hub.on_leaving = self._endpoint_leaves
-        self.hub.on_outcome = self._outcome
+        self.knowledge.on_rollout = self.rollouts.apply_order
+        self.hub.on_leaving = self._on_endpoint_leaving
+        self.hub.on_outcome = self._record_outcome
         self.hub.cache_tokens = self._cache_tokens
         self.directory.sample_size = self._sample_size
         rules = settings.rules
@@ -206,42 +206,42 @@
             lambda: self.peers.member_count(),
         )
         self.gateway = ForwardGateway(
-            self.hub, needs.protocol, self.quota, self.log, self._began_to_run
+            self.hub, dependencies.protocol, self.quota, self.log, self._count_started
         )
-        self.gateway.version_rule = self.rollouts.rule
+        self.gateway.version_rule = self.rollouts.version_rule
 
-    def _outcome(self, service: str, endpoint_id: str, is_bad: bool) -> None:
+    def _record_outcome(self, service: str, endpoint_id: str, is_bad: bool) -> None:
         """Count an answer for the roll-out of a service, if there is one."""
-        self.rollouts.answered(service, self.directory.version_of(endpoint_id), is_bad)
+        self.rollouts.record_response(service, self.directory.version_of(endpoint_id), is_bad)
 
     def _sample_size(self) -> int:
-        return FEW_CANDIDATES if self.peers.lag() > LATE_WORD_SECONDS else MAX_CANDIDATES
+        return LATE_LOAD_CANDIDATES if self.peers.lag() > LATE_LOAD_SECONDS else MAX_CANDIDATES
 
-    def _endpoint_gone(self, row: EndpointRow) -> None:
+    def _on_endpoint_removed(self, row: EndpointRow) -> None:
         self.hub.guard.ends.gone(row.endpoint_id, announced=not row.ready)
         self.directory.forget(row.endpoint_id)
         self.hub.limits.forget(row.endpoint_id)
         self.hub.pauses.forget(row.endpoint_id)
-        self._needs.transport.drop_idle(row.address)
+        self._dependencies.transport.drop_idle(row.address)
         self.knowledge.endpoint_gone(row.endpoint_id)
 
-    def _endpoint_leaves(self, endpoint_id: str, request: str) -> None:
+    def _on_endpoint_leaving(self, endpoint_id: str, request: str) -> None:
         """Take word of an endpoint itself that it leaves."""
         self.knowledge.endpoints.mark_leaving(endpoint_id, "answer", request)
 
-    def _endpoint_restarted(self, row: EndpointRow, before: EndpointRow) -> None:
+    def _on_endpoint_restarted(self, row: EndpointRow, before: EndpointRow) -> None:
         """Forget the earlier start of an endpoint, and what ran there."""
         self.directory.forget(row.endpoint_id)
         self.hub.limits.forget(row.endpoint_id)
         self.hub.pauses.forget(row.endpoint_id)
         self.observations.endpoint_restarted(row.endpoint_id)
         for address in {row.address, before.address}:
-            self._needs.transport.drop_idle(address)
+            self._dependencies.transport.drop_idle(address)
         ago = self.peers.true_time() - row.born / 1000
         at = self.timers.now() - ago
         # What has arrived of its last answers is read first.
         self.timers.once(
-            LAST_ANSWERS_SECONDS, lambda: self.hub.endpoint_restarted(row.endpoint_id, at)
+            LAST_RESPONSES_SECONDS, lambda: self.hub.endpoint_restarted(row.endpoint_id, at)
         )
 
     def _retry_budget(self, service: Service) -> RetryBudget:
@@ -251,31 +251,31 @@
             rules.retry_allowance,
             rules.retry_window,
             self.member_share,
-            self._began,
+            self._started_at,
         )
 
     def _build_peers(self) -> None:
         self.peers = Peers(
-            self._report.identity,
+            self._report_builder.identity,
             self.settings.peer_port,
             self.settings.seeds,
             self.own_report,
-            self._needs.send,
-            lambda report, gap: self._word.take_report(report, gap),
+            self._dependencies.send,
+            lambda report, gap: self._gossip.take_report(report, gap),
             lambda note: self.observations.noted(note),
             RelayListener(
                 self.own_report,
-                lambda relay, claim: self._word.take_belief(relay, claim),
-                lambda process, sums, counts: self._word.take_sums(process, sums, counts),
+                lambda relay, claim: self._gossip.take_belief(relay, claim),
+                lambda process, sums, counts: self._gossip.take_sums(process, sums, counts),
                 lambda: self.observations.loads_told(),
-                lambda counts, told_until: self.usage.heard(counts, told_until),
-                lambda processes, windows: self.usage.counts_of(
+                lambda counts, told_until: self.usage.merge_counts(counts, told_until),
+                lambda processes, windows: self.usage.collect_recent_counts(
                     processes, self.peers.true_time(), windows
                 ),
-                lambda processes: self.usage.told_until(processes),
+                lambda processes: self.usage.received_until(processes),
                 lambda: self.peers.true_time(),
             ),
-            self._needs.store,
+            self._dependencies.store,
             self.tasks,
             self.timers,
             self._rng,
@@ -288,24 +288,24 @@
             self.facts,
             self.settings.vm_id,
             self.settings.zone,
-            lambda: self._report.sequence,
+            lambda: self._report_builder.sequence,
             self.timers,
             self.metrics,
             self.log,
         )
         self.quota_members = QuotaMembers(
-            self._report.identity, self.peers, self.settings.rules.quota_window, self.timers
+            self._report_builder.identity, self.peers, self.settings.rules.quota_window, self.timers
         )
         self.arbiters = QuotaArbiters(
             self.quota,
-            QuotaView(
+            QuotaContext(
                 self.settings.ip,
-                self._needs.incarnation,
-                self.quota_members.ranked,
+                self._dependencies.incarnation,
+                self.quota_members.rank_arbiters,
                 lambda: self.configuration.workspaces_by_name,
-                self._knows_less_of_quotas,
-                self.quota_members.any_is_new,
-                self.quota_members.sides,
+                self._defers_quota_decisions,
+                self.quota_members.has_recent_restart,
+                self.quota_members.partition_count,
             ),
             self.peers.send,
             self.timers,
@@ -313,14 +313,14 @@
             self.log,
         )
         self.gateway.quota_gate = self.arbiters
-        self.peers.on_question = self.arbiters.take_question
-        self.peers.on_reply = self.arbiters.take_reply
+        self.peers.on_question = self.arbiters.handle_request
+        self.peers.on_reply = self.arbiters.handle_reply
         self._build_limits()
         self.exchange = KnowledgeExchange(
             self.knowledge, self.tasks, self.timers.now, self._rng, self.log
         )
-        self.exchange.distant = self._distant
-        self.exchange.near = self._near
+        self.exchange.distant = self._remote_relays
+        self.exchange.near = self._zone_peers
         self.gateway.unknown_gate = ConfigurationCheck(
             self.knowledge, self.tasks, self.timers, self.log
         )
@@ -329,19 +329,19 @@
             self.settings.zone,
             lambda: self.peers.table.heard(self.timers.now()),
         )
-        self.knowledge.on_change = self._store_changed
+        self.knowledge.on_change = self._on_store_change
 
-    def _distant(self) -> list[str]:
+    def _remote_relays(self) -> list[str]:
         """Return the control addresses of the other zones' relays, in random order."""
         return self._addresses(self.peers.relaying.relays_elsewhere() if self.peers.many else [])
 
-    def _near(self) -> list[str]:
+    def _zone_peers(self) -> list[str]:
         """Return the control addresses of the other processes of the zone, in random order."""
         near = self.peers.relaying.near() if self.peers.many else {}
-        return self._addresses(sorted({*near.values()} - {self._report.identity.ip}))
+        return self._addresses(sorted({*near.values()} - {self._report_builder.identity.ip}))
 
     def _addresses(self, ips: list[str]) -> list[str]:
-        own = self._report.identity
+        own = self._report_builder.identity
         return [own.address.replace(own.ip, ip, 1) for ip in self._rng.sample(ips, len(ips))]
 
     def _build_limits(self) -> None:
@@ -349,67 +349,67 @@
         limits, permits = self.hub.limits, self.hub.permits
         limits.wall = self.peers.true_time
         limits.born_of = self.knowledge.endpoints.born
-        own_ip = self.settings.ip
-        members = LimitMembers(own_ip, self.quota_members, self.peers, lambda: self.stopping)
-        inquirer = Inquirer(own_ip, self._needs.incarnation, members.ranked)
+        local_ip = self.settings.ip
+        members = LimitMembers(local_ip, self.quota_members, self.peers, lambda: self.stopping)
+        context = ArbiterContext(local_ip, self._dependencies.incarnation, members.rank_arbiters)
         self.limit_arbiters = LimitArbiters(
             limits,
-            LimitView(inquirer, members.heard_part, self.member_share),
+            LimitContext(context, members.live_share, self.member_share),
             self.peers.send,
             self.timers,
             self.metrics,
             self.log,
         )
         permits.gate = self.limit_arbiters
-        permits.own_name = own_ip
-        self.peers.on_permit_question = self.limit_arbiters.take_question
-        self.peers.on_permit_reply = self.limit_arbiters.take_reply
+        permits.own_name = local_ip
+        self.peers.on_permit_question = self.limit_arbiters.handle_request
+        self.peers.on_permit_reply = self.limit_arbiters.handle_reply
 
-    def _knows_less_of_quotas(self) -> bool:
+    def _defers_quota_decisions(self) -> bool:
         """Tell whether others are to decide on quotas: they know more, or stay longer."""
-        return self.stopping or self.quota_members.is_new_among_older()
+        return self.stopping or self.quota_members.is_newcomer()
 
-    def _may_rest(self) -> bool:
+    def _is_standby(self) -> bool:
         """Tell whether others follow the store for this process."""
         if self.peers.many:
             return self.peers.relaying.may_rest()
         return self.readers.may_rest()
 
-    def _store_changed(self) -> None:
+    def _on_store_change(self) -> None:
         """Tell the zone, if others may rest because this process follows the store."""
         self.peers.tell_zone()
-        if self._leaving_untold:
-            self._leaving_untold = False
+        if self._has_unsent_leaving:
+            self._has_unsent_leaving = False
             self.peers.tell_leaving()
 
-    def _row_leaves(self, row: EndpointRow) -> None:
+    def _on_row_leaving(self, row: EndpointRow) -> None:
         """Tell of a leaving endpoint once all that came with its row is taken in."""
-        self._leaving_untold = True
+        self._has_unsent_leaving = True
 
-    def _build_duties(self) -> None:
-        settings, needs = self.settings, self._needs
-        self.lease = DutyLease(
-            needs.store,
+    def _build_leader_tasks(self) -> None:
+        settings, dependencies = self.settings, self._dependencies
+        self.lease = LeaderLease(
+            dependencies.store,
             settings.vm_id,
-            needs.incarnation,
+            dependencies.incarnation,
             settings.rules.lease_seconds,
             self.timers.now,
             self._rng,
             self.log,
         )
         load = WholeLoad(self.hub, self.peers, self.facts, self.timers)
-        self.duties: list[UsageDuty | ScalingDuty | RolloutDuty] = []
-        if needs.cloud is None:
+        self.leader_tasks: list[UsageReporter | ScalingController | RolloutController] = []
+        if dependencies.cloud is None:
             return
         if USAGE in settings.duties:
-            self.duties.append(
-                UsageDuty(
+            self.leader_tasks.append(
+                UsageReporter(
                     self.lease,
-                    needs.cloud,
+                    dependencies.cloud,
                     self.usage,
                     settings.rules,
                     settings.vm_id,
-                    CountsHeard(
+                    UsageCoverage(
                         self.peers.true_time,
                         self.peers.counts_wait,
                         lambda: self.peers.heard_count() + 1,
@@ -420,10 +420,10 @@
                 )
             )
         if SCALING in settings.duties:
-            self.duties.append(
-                ScalingDuty(
+            self.leader_tasks.append(
+                ScalingController(
                     self.lease,
-                    needs.cloud,
+                    dependencies.cloud,
                     CheapestSafeFleet(),
                     settings.vm_id,
                     self.timers.now,
@@ -436,19 +436,19 @@
                 )
             )
         self.rollouts.on_verdict = self.peers.tell_now
-        rollout_duty = RolloutDuty(
+        rollout_controller = RolloutController(
             self.lease,
-            needs.store,
-            needs.tables.rollouts,
+            dependencies.store,
+            dependencies.tables.rollouts,
             self.rollouts,
             load.at_other_versions,
             self.timers.now,
             self.peers.true_time,
             self.log,
         )
-        self.store.on_return(rollout_duty.read_again)
-        self.rollouts.on_order = lambda: self.tasks.start(rollout_duty.look_up())
-        self.duties.append(rollout_duty)
+        self.store.on_return(rollout_controller.invalidate_rows)
+        self.rollouts.on_order = lambda: self.tasks.start(rollout_controller.load_status())
+        self.leader_tasks.append(rollout_controller)
 
     def _cache_tokens(self, service: str) -> float:
         known = self.configuration.services.get(service)
@@ -458,19 +458,19 @@
         """Return one process's part of all entry processes, by their number."""
         return 1.0 / self.peers.member_count()
 
-    def _began_to_run(self, request: ForwardedRequest) -> None:
+    def _count_started(self, request: ForwardedRequest) -> None:
         """Count a request in the window in which an endpoint began it."""
         if not request.work.workspace:
             return
         ago = self.timers.now() - request.began_at()
-        self.usage.began(request.work.workspace, self.peers.true_time() - ago)
+        self.usage.count_started(request.work.workspace, self.peers.true_time() - ago)
 
     # Peers
 
     def own_report(self) -> PeerReport:
         """Return this process's report as it is now."""
-        self._report.leaving = self.stopping
-        return self._word.own_report()
+        self._report_builder.leaving = self.stopping
+        return self._gossip.own_report()
 
     def max_idle(self, address: str) -> int:
         """Return how many idle connections to an address this process may keep.
@@ -486,7 +486,7 @@
         service = self.configuration.services.get(row.service) if row is not None else None
         if service is None or not service.max_connections:
             return MAX_IDLE_PER_ADDRESS
-        part = service.max_connections * IDLE_PART * self.member_share()
+        part = service.max_connections * IDLE_SHARE * self.member_share()
         return max(1, min(MAX_IDLE_PER_ADDRESS, int(part)))
 
     def start(self) -> None:
@@ -494,10 +494,10 @@
         self.peers.start()
         self.observations.start()
         self.arbiters.start()
-        if self.duties:
+        if self.leader_tasks:
             self.tasks.start(self.lease.run())
-        for duty in self.duties:
-            self.tasks.start(duty.run())
+        for task in self.leader_tasks:
+            self.tasks.start(task.run())
         for follower in self.knowledge.followers:
             self.tasks.start(follower.run())
         self.tasks.start(self.held.run())
@@ -514,7 +514,7 @@
         """Configuration in force."""
         return self.knowledge.configuration
 
-    def _configuration_changed(self, cfg: ForwardingConfiguration) -> None:
+    def _on_configuration_change(self, cfg: ForwardingConfiguration) -> None:
         self.gateway.configuration = cfg
         self.quota.prepare(cfg.workspaces, self.timers.now())
         self.on_configuration(cfg)
--- a/flamingofront/process/forwarding/operators.py
+++ b/flamingofront/process/forwarding/operators.py
@@ -219,7 +219,7 @@
                 "vm": self._node.settings.vm_id,
                 "holder": lease.state.holder,
                 "fencing": lease.state.fencing,
-                "held": lease.holding() is not None,
+                "held": lease.valid_lease() is not None,
                 "past": ",".join(lease.state.past),
             }
         ]
--- a/flamingofront/process/forwarding/own_report.py
+++ b/flamingofront/process/forwarding/own_report.py
@@ -3,7 +3,7 @@
 import random
 from dataclasses import dataclass, replace
 
-from flamingofront.process.forwarding.duty import DutyLease
+from flamingofront.process.forwarding.duty import LeaderLease
 from flamingofront.process.forwarding.knowledge import Knowledge
 from flamingofront.process.forwarding.peers import MAX_PEERS_TOLD, Peers
 from flamingofront.process.forwarding.reports import PeerReport
@@ -21,7 +21,7 @@
 
     hub: RequestHub
     knowledge: Knowledge
-    lease: DutyLease
+    lease: LeaderLease
     peers: Peers
     rollouts: Rollouts
     usage: UsageBook
@@ -59,7 +59,7 @@
             Units of quotas that were taken out here in all, by workspace.
         """
         self.sequence += 1
-        lease, knowledge, peers = parts.lease.holding(), parts.knowledge, parts.peers
+        lease, knowledge, peers = parts.lease.valid_lease(), parts.knowledge, parts.peers
         heard = peers.table.heard(self._timers.now())
         directory = parts.hub.directory
         told = {name: round(units) for name, units in spent.items()}
@@ -73,16 +73,16 @@
             follows=not knowledge.rests,
             leaving=self.leaving,
             fencing=lease.fencing if lease is not None else 0,
-            released=parts.lease.released,
+            released=parts.lease.released_fencing,
             lease_version=parts.lease.version if lease is not None else 0,
-            spent={**told, **parts.rollouts.sums()},
+            spent={**told, **parts.rollouts.local_counts()},
             in_flight=directory.all_in_flight(),
             backlog=directory.all_backlog(),
             peers=self._some_peers(heard),
-            usage=parts.usage.to_tell({each.process for each in heard}, peers.true_time()),
+            usage=parts.usage.collect_counts({each.process for each in heard}, peers.true_time()),
             demand=parts.hub.in_flight_by_service(),
             work=self._work(parts.hub),
-            rollouts=parts.rollouts.word(),
+            rollouts=parts.rollouts.phase_update(),
             quarantine=parts.hub.guard.word(),
             limits=parts.hub.limits.recent_changes(),
             leaving_endpoints=knowledge.endpoints.recently_leaving(),
--- a/flamingofront/process/forwarding/peer_word.py
+++ b/flamingofront/process/forwarding/peer_word.py
@@ -60,8 +60,8 @@
         self._reported.hub.limits.merge(report.limits)
         self._reported.knowledge.endpoints.merge_leaving(report.leaving_endpoints)
         if report.usage is not None:
-            usage.reported(report.usage, report.process, peers.true_time())
-        self._reported.lease.heard(report)
+            usage.merge_report(report.usage, report.process, peers.true_time())
+        self._reported.lease.observe_report(report)
         self._parts.exchange.compare(report)
         if peers.many:
             peers.relaying.reported(report, continuous, gap is None)
@@ -75,7 +75,7 @@
             True if what they have grown was told by nobody else.
         """
         self._parts.quota.heard(process, sums, counts, self._timers.now())
-        self._reported.rollouts.hear_sums(process, sums, counts)
+        self._reported.rollouts.merge_counts(process, sums, counts)
 
     def take_belief(self, relay: PeerReport, claim: Claim) -> None:
         """Take what a relay knows, and its word on the duties' holder."""
@@ -84,7 +84,7 @@
         self._reported.hub.guard.hear(relay.quarantine)
         self._reported.hub.limits.merge(relay.limits)
         self._reported.knowledge.endpoints.merge_leaving(relay.leaving_endpoints)
-        self._reported.lease.heard(
+        self._reported.lease.observe_report(
             replace(
                 relay,
                 fencing=claim.fencing,
@@ -96,5 +96,5 @@
 
     def _take_rollouts(self, report: PeerReport) -> None:
         """Take a peer's word of roll-outs; an order that it knows first is read from the store."""
-        if self._reported.rollouts.hear(report.rollouts):
+        if self._reported.rollouts.merge_update(report.rollouts):
             self._reported.knowledge.read_rollouts()
--- a/flamingofront/process/forwarding/peers.py
+++ b/flamingofront/process/forwarding/peers.py
@@ -11,10 +11,10 @@
 from flamingofront.messages import Sleep
 from flamingofront.process.forwarding.digests import decode_digest, is_digest
 from flamingofront.process.forwarding.limit_messages import (
-    is_permit_question,
     is_permit_reply,
+    is_permit_request,
 )
-from flamingofront.process.forwarding.quota_messages import is_question, is_reply
+from flamingofront.process.forwarding.quota_messages import is_quota_reply, is_quota_request
 from flamingofront.process.forwarding.relaying import (
     DIGEST_SECONDS,
     TICKS_PER_REPORT,
@@ -81,9 +81,9 @@
 
 def _kind_of(data: bytes) -> str:
     """Return the kind of a datagram, for the metrics."""
-    if is_question(data) or is_reply(data):
+    if is_quota_request(data) or is_quota_reply(data):
         return "quota"
-    if is_permit_question(data) or is_permit_reply(data):
+    if is_permit_request(data) or is_permit_reply(data):
         return "limit"
     return "digest" if is_digest(data) else "note" if is_note(data) else "report"
 
@@ -413,11 +413,11 @@
         ValueError
             If it is malformed, of another version, or tells of another VM than its sender's.
         """
-        if is_question(data):
+        if is_quota_request(data):
             self.on_question(data, ip)
-        elif is_reply(data):
+        elif is_quota_reply(data):
             self.on_reply(data, ip)
-        elif is_permit_question(data):
+        elif is_permit_request(data):
             self.on_permit_question(data, ip)
         elif is_permit_reply(data):
             self.on_permit_reply(data, ip)
--- a/flamingofront/process/forwarding/quota_arbiter.py
+++ b/flamingofront/process/forwarding/quota_arbiter.py
@@ -11,20 +11,20 @@
 
 from flamingofront.decisions.quota import SharedQuota
 from flamingofront.process.forwarding.inquiries import (
-    Decider,
+    ArbiterClient,
+    ArbiterContext,
+    ArbiterProtocol,
     DecisionRequest,
-    Inquirer,
-    Inquiries,
-    RepliesSent,
+    ReplyCache,
 )
 from flamingofront.process.forwarding.quota_messages import (
-    QuotaQuestion,
     QuotaReply,
+    QuotaRequest,
     Verdict,
-    decode_question,
-    decode_reply,
-    encode_question,
-    encode_reply,
+    decode_quota_reply,
+    decode_quota_request,
+    encode_quota_reply,
+    encode_quota_request,
 )
 from flamingofront.process.logs import Log
 from flamingofront.process.metrics import Metrics
@@ -32,20 +32,20 @@
 from flamingofront.request.quota_gate import QuotaDecision, QuotaGate
 from flamingofront.version.forwarding import ForwardedWorkspace
 
-__all__ = ["QuotaArbiters", "QuotaView"]
+__all__ = ["QuotaArbiters", "QuotaContext"]
 
 # A process that has been the first in rank for so long knows all that was taken without it.
 SETTLED_SECONDS = 2.0
-LOOK_SECONDS = 0.5
+ROLE_CHECK_SECONDS = 0.5
 
 
 @dataclass(frozen=True)
-class QuotaView:
+class QuotaContext:
     """What the arbitration needs to know of its process.
 
     Parameters
     ----------
-    own_ip : str
+    local_ip : str
         IP number of this process.
     incarnation : int
         Start of this process, in milliseconds.
@@ -53,7 +53,7 @@
         Returns, for the name of a workspace, the IP numbers of the processes in their order.
     workspaces : callable
         Returns the workspaces of the configuration in force, by name.
-    knows_less : callable
+    should_defer : callable
         Returns True if other processes are to decide: they may know what was taken before this one
         began.
     lost_memory : callable
@@ -64,17 +64,17 @@
         processes; 1 if there seems to be none.
     """
 
-    own_ip: str
+    local_ip: str
     incarnation: int
-    ranked: Callable[[str], list[str]]
+    rank_arbiters: Callable[[str], list[str]]
     workspaces: Callable[[], Mapping[str, ForwardedWorkspace]]
-    knows_less: Callable[[], bool]
-    lost_memory: Callable[[], bool]
-    sides: Callable[[str], int]
+    should_defer: Callable[[], bool]
+    has_recent_restart: Callable[[], bool]
+    partition_count: Callable[[str], int]
 
 
 @dataclass(frozen=True)
-class _QuotaRequest(DecisionRequest):
+class _PendingCharge(DecisionRequest):
     """A request of a workspace that waits for the decision on its quota."""
 
     workspace: ForwardedWorkspace
@@ -87,7 +87,7 @@
         return self.workspace.name
 
 
-class QuotaArbiters(QuotaGate, Decider[_QuotaRequest]):
+class QuotaArbiters(QuotaGate, ArbiterProtocol[_PendingCharge]):
     """Has requests of workspaces with a quota decided on, here or at another process.
 
     Parameters
@@ -99,48 +99,52 @@
     def __init__(
         self,
         quota: SharedQuota,
-        view: QuotaView,
+        context: QuotaContext,
         send: Callable[[bytes, str], None],
         timers: TimerService,
         metrics: Metrics,
         log: Log,
     ):
         self._quota = quota
-        self._view = view
+        self._context = context
         self._send = send
         self._timers = timers
         self._metrics = metrics
         self._log = log
-        inquirer = Inquirer(view.own_ip, view.incarnation, view.ranked)
-        self._inquiries: Inquiries[_QuotaRequest] = Inquiries(
-            "quota", self, inquirer, send, timers, metrics, log
+        arbiters = ArbiterContext(context.local_ip, context.incarnation, context.rank_arbiters)
+        self._client: ArbiterClient[_PendingCharge] = ArbiterClient(
+            "quota", self, arbiters, send, timers, metrics, log
         )
-        self._sent: RepliesSent[QuotaReply] = RepliesSent()
-        self._first_since: dict[str, float] = {}
+        self._replies: ReplyCache[QuotaReply] = ReplyCache()
+        self._first_rank_since: dict[str, float] = {}
         self._settled: set[str] = set()
 
     def start(self) -> None:
         """Begin to follow which workspaces this process decides on."""
-        self._timers.every(LOOK_SECONDS, self._look, first=0.0, relaxed=True)
+        self._timers.every(ROLE_CHECK_SECONDS, self._update_role, first=0.0, relaxed=True)
 
-    def _look(self) -> None:
+    def _update_role(self) -> None:
         """Take note since when this process is the first in rank, by workspace."""
         now = self._timers.now()
-        limited = [each.name for each in self._view.workspaces().values() if each.rate > 0]
-        own = [name for name in limited if self._view.ranked(name)[:1] == [self._view.own_ip]]
-        known = self._first_since
-        self._first_since = {name: known.get(name, now) for name in own}
-        self._settle(now)
-        if self._first_since.keys() != known.keys():
-            self._log.info("decides on quotas", workspaces=sorted(own))
-
-    def _settle(self, now: float) -> None:
+        limited = [each.name for each in self._context.workspaces().values() if each.rate > 0]
+        local = [
+            name
+            for name in limited
+            if self._context.rank_arbiters(name)[:1] == [self._context.local_ip]
+        ]
+        previous = self._first_rank_since
+        self._first_rank_since = {name: previous.get(name, now) for name in local}
+        self._update_settled(now)
+        if self._first_rank_since.keys() != previous.keys():
+            self._log.info("decides on quotas", workspaces=sorted(local))
+
+    def _update_settled(self, now: float) -> None:
         """Begin to decide alone where this process has been the first for long enough."""
         settled = {
-            name for name, since in self._first_since.items() if now - since >= SETTLED_SECONDS
+            name for name, since in self._first_rank_since.items() if now - since >= SETTLED_SECONDS
         }
-        workspaces = self._view.workspaces()
-        if self._view.lost_memory():
+        workspaces = self._context.workspaces()
+        if self._context.has_recent_restart():
             for name in settled - self._settled:
                 self._quota.begin_as_arbiter(workspaces[name], now)
         self._settled = settled
@@ -157,35 +161,35 @@
         if workspace.rate <= 0:
             then(QuotaDecision(0.0))
             return
-        self._inquiries.ask(_QuotaRequest(workspace, units, then))
+        self._client.submit(_PendingCharge(workspace, units, then))
 
-    def question(self, number: int, request: _QuotaRequest) -> bytes:
+    def encode_request(self, number: int, request: _PendingCharge) -> bytes:
         """Return the datagram that asks whether a request may pass."""
-        return encode_question(QuotaQuestion(number, request.workspace.name, request.units))
+        return encode_quota_request(QuotaRequest(number, request.workspace.name, request.units))
 
-    def decide_here(self, request: _QuotaRequest) -> bool:
+    def decide_as_arbiter(self, request: _PendingCharge) -> bool:
         """Decide on a request for all processes; False if others are to."""
-        if self._view.knows_less():
+        if self._context.should_defer():
             return False
-        request.then(QuotaDecision(self._wait(request.workspace, request.units)))
+        request.then(QuotaDecision(self._wait_seconds(request.workspace, request.units)))
         return True
 
-    def decide_alone(self, request: _QuotaRequest) -> None:
+    def decide_locally(self, request: _PendingCharge) -> None:
         """Decide by the own part of what is left, since nobody who decides for all is reached."""
-        is_newcomer = self._view.knows_less()
+        is_newcomer = self._context.should_defer()
         wait_of = self._quota.wait_as_newcomer if is_newcomer else self._quota.wait
         request.then(QuotaDecision(wait_of(request.workspace, request.units, self._timers.now())))
 
     def unused(self, workspace: ForwardedWorkspace, units: float, decision: QuotaDecision) -> None:
         """Give back what was allowed to a request that was not taken in the end."""
         if decision.arbiter:
-            self._give_back(workspace.name, units, decision.arbiter)
+            self._return_units(workspace.name, units, decision.arbiter)
 
-    def _give_back(self, name: str, units: float, ip: str) -> None:
-        question = QuotaQuestion(self._inquiries.next_number(), name, -units)
-        self._send(encode_question(question), ip)
+    def _return_units(self, name: str, units: float, ip: str) -> None:
+        request = QuotaRequest(self._client.next_number(), name, -units)
+        self._send(encode_quota_request(request), ip)
 
-    def take_reply(self, data: bytes, ip: str) -> None:
+    def handle_reply(self, data: bytes, ip: str) -> None:
         """Take the reply of an arbiter.
 
         Raises
@@ -193,25 +197,25 @@
         ValueError
             If it is malformed.
         """
-        reply = decode_reply(data)
+        reply = decode_quota_reply(data)
         if reply.verdict is Verdict.NOT_HERE:
-            self._inquiries.declined(reply.number, ip)
+            self._client.handle_decline(reply.number, ip)
             return
-        request = self._inquiries.replied(reply.number, ip)
+        request = self._client.accept_reply(reply.number, ip)
         if request is None:
-            self._take_late(reply, ip)
+            self._return_late_grant(reply, ip)
             return
         request.then(QuotaDecision(reply.wait, ip, reply.state))
 
-    def _take_late(self, reply: QuotaReply, ip: str) -> None:
+    def _return_late_grant(self, reply: QuotaReply, ip: str) -> None:
         """Give a permission back that came when another process had been asked already."""
-        request = self._inquiries.unused(reply.number, ip)
+        request = self._client.late_request(reply.number, ip)
         if request is not None and reply.verdict is Verdict.ALLOWED:
-            self._give_back(request.workspace.name, request.units, ip)
+            self._return_units(request.workspace.name, request.units, ip)
 
     # Deciding
 
-    def take_question(self, data: bytes, ip: str) -> None:
+    def handle_request(self, data: bytes, ip: str) -> None:
         """Decide on the question of another process and reply.
 
         Raises
@@ -219,35 +223,42 @@
         ValueError
             If it is malformed.
         """
-        question = decode_question(data)
-        workspace = self._view.workspaces().get(question.workspace)
-        if question.units < 0:
+        request = decode_quota_request(data)
+        workspace = self._context.workspaces().get(request.workspace)
+        if request.units < 0:
             if workspace is not None:
-                self._quota.give_back(workspace, -question.units, self._timers.now())
+                self._quota.give_back(workspace, -request.units, self._timers.now())
             return
-        reply = self._sent.once(ip, question.number, lambda: self._reply(question, workspace))
+        reply = self._replies.get_or_create(
+            ip, request.number, lambda: self._make_reply(request, workspace)
+        )
         self._metrics.count("quota_replies_total", verdict=reply.verdict.name.lower())
-        self._send(encode_reply(reply), ip)
+        self._send(encode_quota_reply(reply), ip)
 
-    def _reply(self, question: QuotaQuestion, workspace: ForwardedWorkspace | None) -> QuotaReply:
-        if workspace is None or not self._may_decide(workspace.name):
-            return QuotaReply(question.number, Verdict.NOT_HERE)
+    def _make_reply(
+        self, request: QuotaRequest, workspace: ForwardedWorkspace | None
+    ) -> QuotaReply:
+        if workspace is None or not self._is_candidate(workspace.name):
+            return QuotaReply(request.number, Verdict.NOT_HERE)
         now = self._timers.now()
-        wait = self._wait(workspace, question.units)
+        wait = self._wait_seconds(workspace, request.units)
         if wait <= 0:
-            is_alone = workspace.name in self._settled or not self._view.lost_memory()
-            self._quota.charge_ahead(workspace, question.units, is_alone, now)
+            is_alone = workspace.name in self._settled or not self._context.has_recent_restart()
+            self._quota.charge_ahead(workspace, request.units, is_alone, now)
         verdict = Verdict.REFUSED if wait > 0 else Verdict.ALLOWED
         state = self._quota.state(workspace, now)
-        return QuotaReply(question.number, verdict, max(0.0, wait), state)
+        return QuotaReply(request.number, verdict, max(0.0, wait), state)
 
-    def _may_decide(self, name: str) -> bool:
+    def _is_candidate(self, name: str) -> bool:
         """Tell whether this process is among those that it would ask itself."""
-        return self._view.own_ip in self._view.ranked(name) and not self._view.knows_less()
+        return (
+            self._context.local_ip in self._context.rank_arbiters(name)
+            and not self._context.should_defer()
+        )
 
-    def _wait(self, workspace: ForwardedWorkspace, units: float) -> float:
+    def _wait_seconds(self, workspace: ForwardedWorkspace, units: float) -> float:
         now = self._timers.now()
         if workspace.name in self._settled:
             return self._quota.wait_as_arbiter(workspace, units, now)
-        sides = self._view.sides(workspace.name)
-        return self._quota.wait_as_new_arbiter(workspace, units, sides, now)
+        partitions = self._context.partition_count(workspace.name)
+        return self._quota.wait_as_new_arbiter(workspace, units, partitions, now)
--- a/flamingofront/process/forwarding/quota_messages.py
+++ b/flamingofront/process/forwarding/quota_messages.py
@@ -8,18 +8,18 @@
 from flamingofront.decisions.quota_facts import QuotaRule, QuotaState
 
 __all__ = [
-    "QuotaQuestion",
+    "QuotaRequest",
     "QuotaReply",
     "Verdict",
-    "decode_question",
-    "decode_reply",
-    "encode_question",
-    "encode_reply",
-    "is_question",
-    "is_reply",
+    "decode_quota_request",
+    "decode_quota_reply",
+    "encode_quota_request",
+    "encode_quota_reply",
+    "is_quota_request",
+    "is_quota_reply",
 ]
 
-_QUESTION = b"?"
+_REQUEST = b"?"
 _REPLY = b"!"
 
 
@@ -34,7 +34,7 @@
 
 
 @dataclass(frozen=True)
-class QuotaQuestion:
+class QuotaRequest:
     """Whether a request of a workspace may pass, or that one which was allowed has not passed.
 
     Parameters
@@ -68,23 +68,23 @@
     state: QuotaState = QuotaState()
 
 
-def is_question(data: bytes) -> bool:
+def is_quota_request(data: bytes) -> bool:
     """Tell whether a datagram is a question."""
-    return data.startswith(_QUESTION)
+    return data.startswith(_REQUEST)
 
 
-def is_reply(data: bytes) -> bool:
+def is_quota_reply(data: bytes) -> bool:
     """Tell whether a datagram is a reply."""
     return data.startswith(_REPLY)
 
 
-def encode_question(question: QuotaQuestion) -> bytes:
+def encode_quota_request(request: QuotaRequest) -> bytes:
     """Return the datagram of a question."""
-    fields = (question.number, question.workspace, round(question.units, 3))
-    return _QUESTION + orjson.dumps(fields)
+    fields = (request.number, request.workspace, round(request.units, 3))
+    return _REQUEST + orjson.dumps(fields)
 
 
-def encode_reply(reply: QuotaReply) -> bytes:
+def encode_quota_reply(reply: QuotaReply) -> bytes:
     """Return the datagram of a reply."""
     state = reply.state
     fields = (
@@ -101,7 +101,7 @@
     return _REPLY + orjson.dumps(fields)
 
 
-def decode_question(data: bytes) -> QuotaQuestion:
+def decode_quota_request(data: bytes) -> QuotaRequest:
     """Return the question in a datagram; fields that a newer version has appended are ignored.
 
     Raises
@@ -111,12 +111,12 @@
     """
     try:
         number, workspace, units = orjson.loads(data[1:])[:3]
-        return QuotaQuestion(int(number), str(workspace), float(units))
+        return QuotaRequest(int(number), str(workspace), float(units))
     except (TypeError, ValueError) as exc:
         raise ValueError(f"malformed question: {exc!r:.100}") from exc
 
 
-def decode_reply(data: bytes) -> QuotaReply:
+def decode_quota_reply(data: bytes) -> QuotaReply:
     """Return the reply in a datagram; fields that a newer version has appended are ignored.
 
     Raises
@@ -128,13 +128,13 @@
         values = orjson.loads(data[1:])
         number, verdict, *figures = values[:6]
         wait, bucket, taken, limit = (float(each) for each in figures)
-        state = QuotaState(bucket, taken, limit, *_further(values[6:9]))
+        state = QuotaState(bucket, taken, limit, *_later_fields(values[6:9]))
         return QuotaReply(int(number), Verdict(verdict), wait, state)
     except (TypeError, ValueError) as exc:
         raise ValueError(f"malformed reply: {exc!r:.100}") from exc
 
 
-def _further(values: list) -> tuple[float, float, QuotaRule, float | None]:
+def _later_fields(values: list) -> tuple[float, float, QuotaRule, float | None]:
     """Return the further fields of a state; a process of an earlier version tells none."""
     if len(values) < 3:
         return 1.0, 0.0, QuotaRule.NONE, None
--- a/flamingofront/process/forwarding/rollouts.py
+++ b/flamingofront/process/forwarding/rollouts.py
@@ -18,17 +18,17 @@
 )
 from flamingofront.errors import PlatformError
 from flamingofront.messages import Sleep
-from flamingofront.process.forwarding.duty import DutyLease
+from flamingofront.process.forwarding.duty import LeaderLease
 from flamingofront.process.logs import Log
 from flamingofront.process.store import RowCondition, RowWrite, TableStore, era_of
 from flamingofront.process.tasks import Task
 
-__all__ = ["RolloutDuty", "RolloutRows", "Rollouts"]
+__all__ = ["RolloutController", "RolloutRows", "Rollouts"]
 
 STEP_SECONDS = 0.5
 # An order is begun so long after it was seen: others may know it as one that is over, of which the
 # store has lost word, and tell so within a second, also through relays.
-HEARD_SECONDS = 1.5
+PEER_UPDATE_SECONDS = 1.5
 # Sums of roll-outs go beside those of quotas, under names that no workspace has.
 _SEPARATOR = "\x1e"
 _NEW, _OLD = "new", "old"
@@ -42,22 +42,22 @@
     order: RolloutOrder
     seen_at: float
     phase: Phase = Phase.ORDERED
-    sums: Counter[tuple[str, str]] = field(default_factory=Counter)
+    counts: Counter[tuple[str, str]] = field(default_factory=Counter)
     stopped: bool = False
     withheld: frozenset[str] = frozenset()
 
     def tally(self, side: str) -> Tally:
-        return Tally(self.sums[side, _GOOD], self.sums[side, _BAD])
+        return Tally(self.counts[side, _GOOD], self.counts[side, _BAD])
 
 
-def _withheld_after(known: _Rollout | None, order: RolloutOrder) -> frozenset[str]:
+def _blocked_versions(known: _Rollout | None, order: RolloutOrder) -> frozenset[str]:
     """Return the versions that get nothing once an order has replaced another."""
     if known is None or known.phase is Phase.COMPLETED:
         return frozenset()
     return (known.withheld | {known.order.version}) - {order.version}
 
 
-def _is_rewritten(before: RolloutOrder, order: RolloutOrder) -> bool:
+def _is_renumbered(before: RolloutOrder, order: RolloutOrder) -> bool:
     """Tell whether an order is an earlier one that the store tells under another number.
 
     Notes
@@ -87,28 +87,28 @@
         self._rng = rng
         self._log = log
         self._known: dict[str, _Rollout] = {}
-        self._own: Counter[str] = Counter()
+        self._local_counts: Counter[str] = Counter()
         # Called after a verdict that is given here, so that the others hear of it at once.
         self.on_verdict: Callable[[], None] = lambda: None
         # Called for each new order, so that it is looked up how far its roll-out is already.
         self.on_order: Callable[[], None] = lambda: None
-        self._heard: dict[tuple[str, str], float] = {}
+        self._peer_counts: dict[tuple[str, str], float] = {}
 
-    def orders(self) -> list[RolloutOrder]:
+    def list_orders(self) -> list[RolloutOrder]:
         """Return the orders that are known, one a service at most."""
         return [each.order for each in self._known.values()]
 
-    def phase(self, service: str) -> Phase | None:
+    def get_phase(self, service: str) -> Phase | None:
         """Return how far a service's roll-out is; None without one."""
         known = self._known.get(service)
         return known.phase if known is not None else None
 
-    def take_order(self, order: RolloutOrder) -> None:
+    def apply_order(self, order: RolloutOrder) -> None:
         """Take an order in; one that replaces another begins anew."""
         known = self._known.get(order.service)
         if known is not None and known.order.number >= order.number:
             return
-        if known is not None and _is_rewritten(known.order, order):
+        if known is not None and _is_renumbered(known.order, order):
             known.order = order
             self._log.info(
                 "roll-out ordered again by its owner",
@@ -119,7 +119,7 @@
             )
             return
         self._known[order.service] = _Rollout(
-            order, self._now(), withheld=_withheld_after(known, order)
+            order, self._now(), withheld=_blocked_versions(known, order)
         )
         self._log.info(
             "roll-out ordered",
@@ -130,25 +130,25 @@
         )
         self.on_order()
 
-    def status(self, service: str, phase: Phase, wall: float) -> RolloutStatus:
+    def make_status(self, service: str, phase: Phase, wall: float) -> RolloutStatus:
         """Return what is to be kept of a service's roll-out that comes to a phase now."""
         known = self._known[service]
         since = round(wall - (self._now() - known.seen_at), 3)
         return RolloutStatus(known.order.number, known.order.version, phase, since, known.withheld)
 
-    def take_status(self, service: str, status: RolloutStatus, wall: float) -> None:
+    def apply_status(self, service: str, status: RolloutStatus, wall: float) -> None:
         """Take in how far a service's roll-out is, as an earlier holder left it."""
         known = self._known[service]
         rewritten = replace(known.order, number=status.number, version=status.version)
-        if status.number == known.order.number or _is_rewritten(rewritten, known.order):
+        if status.number == known.order.number or _is_renumbered(rewritten, known.order):
             ago = max(0.0, wall - status.since)
             known.seen_at = min(known.seen_at, self._now() - ago)
             known.withheld |= status.withheld
-            self.reach(service, known.order.number, status.phase, "store")
+            self.advance_phase(service, known.order.number, status.phase, "store")
         elif status.number < known.order.number and status.phase is not Phase.COMPLETED:
             known.withheld |= (status.withheld | {status.version}) - {known.order.version}
 
-    def reach(self, service: str, number: int, phase: Phase, source: str) -> None:
+    def advance_phase(self, service: str, number: int, phase: Phase, source: str) -> None:
         """Take word that a roll-out has come to a phase; it never goes back."""
         known = self._known.get(service)
         if known is None or known.order.number != number or phase <= known.phase:
@@ -161,12 +161,12 @@
             phase=phase.name.lower(),
             before=known.phase.name.lower(),
             source=source,
-            **self._figures(known),
+            **self._count_fields(known),
         )
         known.phase = phase
 
     @staticmethod
-    def _figures(known: _Rollout) -> dict[str, float]:
+    def _count_fields(known: _Rollout) -> dict[str, float]:
         new, old = known.tally(_NEW), known.tally(_OLD)
         return {
             "new_answers": new.total,
@@ -177,53 +177,53 @@
 
     # Word between processes
 
-    def word(self) -> dict[str, tuple[int, int]]:
+    def phase_update(self) -> dict[str, tuple[int, int]]:
         """Return order number and phase by service, to tell the others."""
         return {name: (each.order.number, int(each.phase)) for name, each in self._known.items()}
 
-    def hear(self, word: Mapping[str, tuple[int, int]]) -> bool:
+    def merge_update(self, update: Mapping[str, tuple[int, int]]) -> bool:
         """Take a peer's word; True if it tells of an order that is not known here."""
-        unknown = False
-        for service, (number, phase) in word.items():
+        has_unknown_order = False
+        for service, (number, phase) in update.items():
             known = self._known.get(service)
             if known is None or known.order.number < number:
-                unknown = True
+                has_unknown_order = True
             else:
-                self.reach(service, number, Phase(phase), "peer")
-        return unknown
+                self.advance_phase(service, number, Phase(phase), "peer")
+        return has_unknown_order
 
-    def sums(self) -> dict[str, int]:
+    def local_counts(self) -> dict[str, int]:
         """Return what this process has counted in all, to tell the others."""
-        return dict(self._own)
+        return dict(self._local_counts)
 
-    def hear_sums(self, process: str, sums: Mapping[str, float], counts: bool) -> None:
+    def merge_counts(self, process: str, counts: Mapping[str, float], is_counted: bool) -> None:
         """Take what others have counted in all; what it has grown is added if it counts."""
-        for name, total in sums.items():
+        for name, total in counts.items():
             if not name.startswith(_SEPARATOR):
                 continue
-            before = self._heard.get((process, name), 0.0)
-            self._heard[process, name] = total
-            if counts:
-                self._add(name, round(total - before))
+            before = self._peer_counts.get((process, name), 0.0)
+            self._peer_counts[process, name] = total
+            if is_counted:
+                self._add_count(name, round(total - before))
 
-    def _add(self, name: str, count: int) -> None:
+    def _add_count(self, name: str, count: int) -> None:
         _, service, number, side, outcome = name.split(_SEPARATOR)
         known = self._known.get(service)
         if known is not None and str(known.order.number) == number:
-            known.sums[side, outcome] += count
-            self._look(known)
+            known.counts[side, outcome] += count
+            self._check_new_version(known)
 
-    def _look(self, known: _Rollout) -> None:
+    def _check_new_version(self, known: _Rollout) -> None:
         """Stop by the evidence that is heard, before any verdict."""
         if not known.stopped and seems_bad(known.tally(_NEW), known.tally(_OLD)):
             known.stopped = True
             self._log.warning(
-                "new version stopped here", service=known.order.service, **self._figures(known)
+                "new version stopped here", service=known.order.service, **self._count_fields(known)
             )
 
     # Requests
 
-    def rule(self, service: str, is_first: bool) -> VersionRule | None:
+    def version_rule(self, service: str, is_first: bool) -> VersionRule | None:
         """Return which endpoints an attempt may go to; None if that makes no difference.
 
         Parameters
@@ -240,7 +240,7 @@
             exposed = self._rng.random() < self._part
         return VersionRule(known.order.version, exposed, known.withheld)
 
-    def answered(self, service: str, version: str, is_bad: bool) -> None:
+    def record_response(self, service: str, version: str, is_bad: bool) -> None:
         """Count an answer of an endpoint."""
         known = self._known.get(service)
         if known is None or known.phase.is_final:
@@ -248,14 +248,14 @@
         side = _NEW if version == known.order.version else _OLD
         outcome = _BAD if is_bad else _GOOD
         name = _SEPARATOR.join(("", service, str(known.order.number), side, outcome))
-        self._own[name] += 1
-        self._add(name, 1)
+        self._local_counts[name] += 1
+        self._add_count(name, 1)
 
-    def evidence(self, service: str, clear: float) -> Evidence:
+    def collect_evidence(self, service: str, old_idle_seconds: float) -> Evidence:
         """Return what is known of a service's roll-out."""
         known = self._known[service]
         age = self._now() - known.seen_at
-        return Evidence(known.tally(_NEW), known.tally(_OLD), age, clear)
+        return Evidence(known.tally(_NEW), known.tally(_OLD), age, old_idle_seconds)
 
 
 @dataclass(frozen=True)
@@ -280,7 +280,7 @@
     decode_status: Callable[[bytes], RolloutStatus]
 
 
-class RolloutDuty:
+class RolloutController:
     """Gives the verdicts, as holder of the duty lease.
 
     Each step is one conditional write of the row that tells it: of two holders one fails, and a
@@ -297,7 +297,7 @@
 
     def __init__(
         self,
-        lease: DutyLease,
+        lease: LeaderLease,
         store: TableStore,
         rows: RolloutRows,
         rollouts: Rollouts,
@@ -316,8 +316,8 @@
         self._now = now
         self._versions: dict[str, int] = {}
         # The phases that the rows tell, as they were read or written last.
-        self._told: dict[str, Phase] = {}
-        self._clear_since: dict[str, float] = {}
+        self._stored_phases: dict[str, Phase] = {}
+        self._idle_since: dict[str, float] = {}
         self._fencing = 0
 
     def run(self) -> Task:
@@ -329,7 +329,7 @@
             except PlatformError as exc:
                 self._log.warning("status of a roll-out not written", detail=str(exc))
 
-    def look_up(self) -> Task:
+    def load_status(self) -> Task:
         """Find out how far roll-outs are, when an order has just become known.
 
         Notes
@@ -339,60 +339,60 @@
         """
         while True:
             try:
-                yield from self._read()
+                yield from self._load_rows()
             except PlatformError as exc:
                 self._log.warning("status of roll-outs not read", detail=str(exc))
                 yield Sleep(STEP_SECONDS, relaxed=True)
             else:
                 return
 
-    def read_again(self) -> None:
+    def invalidate_rows(self) -> None:
         """Read the rows before the next step: the store has come back from an older copy."""
         self._versions.clear()
 
     def step(self) -> Task:
         """Take each roll-out one phase further, if what is known says so."""
-        lease = self._lease.held()
+        lease = self._lease.usable_lease()
         if lease is None:
             return
         if lease.fencing != self._fencing:
             self._fencing = lease.fencing
             self._versions.clear()
-        for order in self._rollouts.orders():
+        for order in self._rollouts.list_orders():
             if order.service not in self._versions:
-                yield from self._read()
-            phase = self._rollouts.phase(order.service)
-            evidence = self._evidence(order, phase)
-            if phase is Phase.ORDERED and evidence.age < HEARD_SECONDS:
+                yield from self._load_rows()
+            phase = self._rollouts.get_phase(order.service)
+            evidence = self._current_evidence(order, phase)
+            if phase is Phase.ORDERED and evidence.age < PEER_UPDATE_SECONDS:
                 continue
-            follows = next_phase(phase, order, evidence)
+            following = next_phase(phase, order, evidence)
             # A row that a copy has set back is written again.
-            is_behind = self._told.get(order.service, Phase.ORDERED) < phase
-            if (follows is not phase or is_behind) and self._lease.held() is not None:
-                yield from self._write(order, follows)
+            is_behind = self._stored_phases.get(order.service, Phase.ORDERED) < phase
+            if (following is not phase or is_behind) and self._lease.usable_lease() is not None:
+                yield from self._write_phase(order, following)
 
-    def _evidence(self, order: RolloutOrder, phase: Phase) -> Evidence:
+    def _current_evidence(self, order: RolloutOrder, phase: Phase) -> Evidence:
         """Return what is known, with the time since which the old version is clear."""
         now = self._now()
         running = self._old_in_flight(order.service, order.version)
         if phase is not Phase.MOVING or running != 0:
-            self._clear_since.pop(order.service, None)
-            return self._rollouts.evidence(order.service, 0.0)
-        since = self._clear_since.setdefault(order.service, now)
-        return self._rollouts.evidence(order.service, now - since)
+            self._idle_since.pop(order.service, None)
+            return self._rollouts.collect_evidence(order.service, 0.0)
+        since = self._idle_since.setdefault(order.service, now)
+        return self._rollouts.collect_evidence(order.service, now - since)
 
-    def _read(self) -> Task:
+    def _load_rows(self) -> Task:
         """Read how far all roll-outs are, as an earlier holder left them."""
         found = yield from self._store.read(self._rows.status_table)
-        for order in self._rollouts.orders():
+        for order in self._rollouts.list_orders():
             self._versions[order.service] = 0
-            self._told[order.service] = Phase.ORDERED
+            self._stored_phases[order.service] = Phase.ORDERED
             key = self._rows.status_key(order.service)
             for row in found.rows:
                 if row.key == key and row.value is not None:
-                    self._take_row(order.service, row.value, row.version)
+                    self._apply_row(order.service, row.value, row.version)
 
-    def _take_row(self, service: str, value: bytes, version: int) -> None:
+    def _apply_row(self, service: str, value: bytes, version: int) -> None:
         self._versions[service] = version
         try:
             status = self._rows.decode_status(value)
@@ -400,20 +400,20 @@
             # The next write takes its place.
             self._log.warning("status of a roll-out refused", service=service, detail=str(exc))
             return
-        self._told[service] = status.phase
-        self._rollouts.take_status(service, status, self._wall())
+        self._stored_phases[service] = status.phase
+        self._rollouts.apply_status(service, status, self._wall())
 
-    def _write(self, order: RolloutOrder, phase: Phase) -> Task:
+    def _write_phase(self, order: RolloutOrder, phase: Phase) -> Task:
         """Write a phase if the row is as it was seen last; if not, take over what it says now."""
         table, key = self._rows.status_table, self._rows.status_key(order.service)
         condition = RowCondition(table, key, self._versions[order.service])
-        status = self._rollouts.status(order.service, phase, self._wall())
+        status = self._rollouts.make_status(order.service, phase, self._wall())
         write = RowWrite(table, key, self._rows.encode_status(order.service, status))
         outcome = yield from self._store.transact("", (condition,), (write,))
         if outcome.ok:
             self._versions[order.service] = outcome.version
-            self._told[order.service] = phase
-            self._rollouts.reach(order.service, order.number, phase, "verdict")
+            self._stored_phases[order.service] = phase
+            self._rollouts.advance_phase(order.service, order.number, phase, "verdict")
             self._rollouts.on_verdict()
             return
         self._versions.pop(order.service, None)
--- a/flamingofront/process/forwarding/tests/test_duties.py
+++ b/flamingofront/process/forwarding/tests/test_duties.py
@@ -5,7 +5,7 @@
 from flamingofront.decisions.demand import Demand, Work
 from flamingofront.decisions.fleet_plan import CheapestSafeFleet, FleetState
 from flamingofront.platform.endpoints import ENDPOINT_TABLE
-from flamingofront.process.forwarding.duty import DUTY_KEY, DUTY_PART, DUTY_TABLE
+from flamingofront.process.forwarding.duty import LEADER_KEY, LEADER_PARTITION, LEADER_TABLE
 from flamingofront.standins.table_store import StoreFault
 from flamingofront.tests.forwarding_world import ForwardingWorld, ready_world
 from flamingofront.version.forwarding import ScalingLimits
@@ -27,7 +27,7 @@
 
 
 def holder(world):
-    return next(name for name, each in world.fronts.items() if each.lease.holding() is not None)
+    return next(name for name, each in world.fronts.items() if each.lease.valid_lease() is not None)
 
 
 def assert_one_holder_at_a_time(world):
@@ -95,21 +95,21 @@
     def test_rolling_restart_loses_no_counts(self):
         world = ready_world(fronts=3)
         world.run(4.0)
-        asked = 0
+        sent = 0
         for name in list(world.fronts):
             node = world.fronts[name]
             node.stopping = True
             node.tasks.start(node.lease.release())
             for _ in range(6):
                 world.finish(*[world.ask(each, "/read/x") for each in world.fronts])
-                asked += 3
+                sent += 3
                 world.run(0.5)
             world.kill(name)
             world.front(name)
             world.run_until(lambda name=name: world.fronts[name].ready)
             world.run(0.5)
         world.run(15.0)
-        assert sum(each.get("desk", 0) for each in usage(world).values()) == asked
+        assert sum(each.get("desk", 0) for each in usage(world).values()) == sent
         windows = sorted(usage(world))
         assert windows == list(range(windows[0], windows[-1] + 1))
         assert_one_holder_at_a_time(world)
@@ -163,7 +163,7 @@
     def test_state_is_kept_in_one_row(self):
         world = ready_world()
         world.run(8.0)
-        row = world.store.value(DUTY_TABLE, DUTY_KEY, DUTY_PART)
+        row = world.store.value(LEADER_TABLE, LEADER_KEY, LEADER_PARTITION)
         assert row["holder"] == "front-1" and row["reports"]
 
 
@@ -187,8 +187,8 @@
 
     def test_large_fleets_need_less_to_spare(self):
         limits = ScalingLimits(1, 50, 4.0, 0.2, self.LIMITS.zone_prices)
-        parts = [self.total(self.plan(work, limits)) / work for work in (1.5, 4.0, 16.0)]
-        assert parts[0] >= 4.0 and parts[1] > parts[2] and parts[2] <= 2.1
+        ratios = [self.total(self.plan(work, limits)) / work for work in (1.5, 4.0, 16.0)]
+        assert ratios[0] >= 4.0 and ratios[1] > ratios[2] and ratios[2] <= 2.1
 
     def test_queue_alone_is_no_demand(self):
         """A queue that is left of a reclaim needs no more endpoints than the work that comes."""
@@ -220,7 +220,7 @@
             world.run(0.9)
         assert not calls(world, "/scale")
         world.run(3.0)
-        assert world.fronts["front-1"].duties[1]._found["engines"].total() == 6
+        assert world.fronts["front-1"].leader_tasks[1]._initial_counts["engines"].total() == 6
         assert calls(world, "/scale")
 
     def test_one_reclaimable_endpoint_a_zone_while_calm(self):
@@ -262,9 +262,9 @@
 
     def test_spare_endpoints_follow_the_price(self):
         """Where reclaimable ones cost nearly as much, firm ones are cheaper than spares."""
-        dear = ScalingLimits(1, 3, 4.0, 0.9, self.LIMITS.zone_prices)
+        expensive = ScalingLimits(1, 3, 4.0, 0.9, self.LIMITS.zone_prices)
         assert sum(self.plan(1.7).firm.values()) == 0
-        assert sum(self.plan(1.7, dear).firm.values()) > 0
+        assert sum(self.plan(1.7, expensive).firm.values()) > 0
 
     def test_firm_endpoints_stay_until_others_have_taken_their_place(self):
         firm = {"zone-a": 2, "zone-b": 1}
@@ -315,9 +315,9 @@
         for number in range(200):
             world.ask(f"front-{1 + number % 3}", "/stream/again/x")
             world.run(0.1)
-        scaling = {name: front.duties[1] for name, front in world.fronts.items()}
-        assert all(each._known_demand("engines").known for each in scaling.values())
-        assert all(each._known_demand("engines").work.slow > 0 for each in scaling.values())
+        scaling = {name: front.leader_tasks[1] for name, front in world.fronts.items()}
+        assert all(each._estimate_demand("engines").known for each in scaling.values())
+        assert all(each._estimate_demand("engines").work.slow > 0 for each in scaling.values())
 
     def test_orders_are_sent_once_and_an_unfilled_one_is_repeated_after_a_while(self):
         world = ready_world(fronts=2, engines=0)
--- a/flamingofront/process/forwarding/tests/test_rollouts.py
+++ b/flamingofront/process/forwarding/tests/test_rollouts.py
@@ -68,48 +68,48 @@
 class TestKnownRollouts:
     def rollouts(self, order=ORDER):
         known = Rollouts(0.1, lambda: 10.0, random.Random(1), Log("entry"))
-        known.take_order(order)
+        known.apply_order(order)
         return known
 
     def test_nothing_goes_to_the_new_version_before_it_runs_or_after_it_was_taken_back(self):
         known = self.rollouts()
-        assert not any(known.rule("records", True).exposed for _ in range(500))
-        known.reach("records", 7, Phase.RUNNING, "test")
-        assert any(known.rule("records", True).exposed for _ in range(500))
-        assert not any(known.rule("records", False).exposed for _ in range(500))
-        known.reach("records", 7, Phase.ROLLED_BACK, "test")
-        assert not any(known.rule("records", True).exposed for _ in range(500))
+        assert not any(known.version_rule("records", True).exposed for _ in range(500))
+        known.advance_phase("records", 7, Phase.RUNNING, "test")
+        assert any(known.version_rule("records", True).exposed for _ in range(500))
+        assert not any(known.version_rule("records", False).exposed for _ in range(500))
+        known.advance_phase("records", 7, Phase.ROLLED_BACK, "test")
+        assert not any(known.version_rule("records", True).exposed for _ in range(500))
 
     def test_old_word_does_not_revive_it(self):
         known = self.rollouts()
-        known.reach("records", 7, Phase.ROLLED_BACK, "test")
+        known.advance_phase("records", 7, Phase.ROLLED_BACK, "test")
         for phase in (Phase.RUNNING, Phase.MOVING, Phase.COMPLETED):
-            known.hear({"records": (7, int(phase))})
-        assert known.phase("records") is Phase.ROLLED_BACK
+            known.merge_update({"records": (7, int(phase))})
+        assert known.get_phase("records") is Phase.ROLLED_BACK
 
     def test_process_stops_by_its_own_evidence(self):
         known = self.rollouts()
-        known.reach("records", 7, Phase.RUNNING, "test")
+        known.advance_phase("records", 7, Phase.RUNNING, "test")
         for _ in range(6):
-            known.answered("records", "v2", is_bad=True)
-        assert not any(known.rule("records", True).exposed for _ in range(500))
+            known.record_response("records", "v2", is_bad=True)
+        assert not any(known.version_rule("records", True).exposed for _ in range(500))
 
     def test_evidence_of_others_counts_once(self):
         one, other = self.rollouts(), self.rollouts()
         for _ in range(5):
-            other.answered("records", "v2", is_bad=True)
+            other.record_response("records", "v2", is_bad=True)
         for _ in range(2):
-            one.hear_sums("other/1", other.sums(), True)
-        assert one.evidence("records", 0.0).new == Tally(0, 5)
+            one.merge_counts("other/1", other.local_counts(), True)
+        assert one.collect_evidence("records", 0.0).new == Tally(0, 5)
 
     def test_another_order_begins_anew(self):
         known = self.rollouts()
-        known.reach("records", 7, Phase.ROLLED_BACK, "test")
-        assert known.hear({"records": (9, int(Phase.RUNNING))})
-        known.take_order(RolloutOrder("records", "v3", 40.0, 9))
-        assert known.phase("records") is Phase.ORDERED
-        known.take_order(ORDER)
-        assert known.rule("records", True) == VersionRule("v3", False, frozenset({"v2"}))
+        known.advance_phase("records", 7, Phase.ROLLED_BACK, "test")
+        assert known.merge_update({"records": (9, int(Phase.RUNNING))})
+        known.apply_order(RolloutOrder("records", "v3", 40.0, 9))
+        assert known.get_phase("records") is Phase.ORDERED
+        known.apply_order(ORDER)
+        assert known.version_rule("records", True) == VersionRule("v3", False, frozenset({"v2"}))
 
 
 class TestRows:
@@ -301,4 +301,4 @@
         world.store.put("op", "rollout/records", {"to": "v2"})
         world.run(5.0)
         assert world.store.value("status", "rollout/records") is None
-        assert not any(each.rollouts.orders() for each in world.fronts.values())
+        assert not any(each.rollouts.list_orders() for each in world.fronts.values())
--- a/flamingofront/process/forwarding/tests/test_stopping.py
+++ b/flamingofront/process/forwarding/tests/test_stopping.py
@@ -10,12 +10,12 @@
 
 from flamingofront.decisions.stopping import StreamBound, StreamTimes, ends_in_time
 from flamingofront.errors import ErrorKind
-from flamingofront.process.forwarding.shutdown import GracefulStop
+from flamingofront.process.forwarding.shutdown import GracefulShutdown
 from flamingofront.standins.forward_endpoint import ForwardFault
 from flamingofront.tests.forwarding_world import ready_world
 
 
-def seen(*streams):
+def bound_after(*streams):
     """Return the bound after complete streams, each (first event, rest, output tokens)."""
     bound = StreamBound()
     for each in streams:
@@ -44,30 +44,30 @@
 
     def test_nothing_is_said_of_a_stream_that_names_no_tokens(self):
         """Any number of short ones says nothing of the next."""
-        assert seen(*[self.short] * 100).seconds(0) == math.inf
+        assert bound_after(*[self.short] * 100).seconds(0) == math.inf
 
     def test_few_answers_say_nothing_of_the_next(self):
-        assert seen(*[self.short] * 19).seconds(24) == math.inf
-        assert seen(*[self.short] * 20).seconds(24) < math.inf
+        assert bound_after(*[self.short] * 19).seconds(24) == math.inf
+        assert bound_after(*[self.short] * 20).seconds(24) < math.inf
 
     def test_streams_without_named_tokens_are_not_counted(self):
-        assert seen(*[(0.1, 5.0, 0)] * 100).seconds(24) == math.inf
+        assert bound_after(*[(0.1, 5.0, 0)] * 100).seconds(24) == math.inf
 
     def test_long_stream_is_expected_after_short_ones_alone(self):
         """At the same pace it takes a hundred times as long."""
-        assert seen(*[self.short] * 100).seconds(2400) > 10.0
+        assert bound_after(*[self.short] * 100).seconds(2400) > 10.0
 
     @given(st.lists(st.tuples(st.floats(0, 2), st.floats(0, 9), st.integers(1, 900)), min_size=20))
     def test_hardly_any_stream_that_was_seen_lately_is_longer(self, streams):
-        bound, lately = seen(*streams), streams[-128:]
+        bound, lately = bound_after(*streams), streams[-128:]
         longer = [each for each in lately if bound.seconds(each[2]) < each[0] + each[1]]
         assert len(longer) <= len(lately) // 100
 
     def test_slower_pace_shows_at_the_second_of_a_hundred(self):
-        assert seen(*[self.short] * 100, *[(0.1, 4.0, 100)] * 2).seconds(200) > 7.0
+        assert bound_after(*[self.short] * 100, *[(0.1, 4.0, 100)] * 2).seconds(200) > 7.0
 
     def test_change_of_the_endpoints_is_forgotten(self):
-        assert seen((5.0, 9.0, 10), *[self.short] * 128).seconds(24) < 2.0
+        assert bound_after((5.0, 9.0, 10), *[self.short] * 128).seconds(24) < 2.0
 
 
 class TestGracefulStop:
@@ -82,7 +82,9 @@
         front = world.fronts["front-1"]
         left_at_exit = []
         callers = SimpleNamespace(closing=False, connections=1, close_idle=lambda: 0)
-        stop = GracefulStop(front, callers, 8.0, lambda: left_at_exit.append(len(front.hub.active)))
+        stop = GracefulShutdown(
+            front, callers, 8.0, lambda: left_at_exit.append(len(front.hub.active))
+        )
         stop.begin()
         asked = []
         while not left_at_exit:
@@ -108,7 +110,9 @@
         front = world.fronts["front-1"]
         left_at_exit = []
         callers = SimpleNamespace(closing=False, connections=1, close_idle=lambda: 0)
-        stop = GracefulStop(front, callers, 8.0, lambda: left_at_exit.append(len(front.hub.active)))
+        stop = GracefulShutdown(
+            front, callers, 8.0, lambda: left_at_exit.append(len(front.hub.active))
+        )
         stop.begin()
         # One that runs all the while keeps the process until its end.
         engine.events = 400
@@ -143,7 +147,7 @@
         self.left_at_exit = []
         self.asked = []
         callers = SimpleNamespace(closing=False, connections=1, close_idle=lambda: 0)
-        self.stop = GracefulStop(self.front, callers, self.GRACE, self._exited)
+        self.stop = GracefulShutdown(self.front, callers, self.GRACE, self._exited)
 
     def _exited(self):
         self.left_at_exit.append(len(self.front.hub.active))
@@ -181,7 +185,7 @@
         deadline = self.rng.choice([500, 2000, 9000])
         self.asked.append((self.world.clock.now(), self.ask(events, path, deadline)))
 
-    def play(self, begin=0.0, pause=0.1):
+    def run_to_exit(self, begin=0.0, pause=0.1):
         """Stop, and ask from some seconds after the signal on until the process has ended."""
         self.stop.begin()
         # One that runs all the while keeps the process until its end.
@@ -199,24 +203,24 @@
     @pytest.mark.parametrize("learned", [0, 30])
     @pytest.mark.parametrize("seed", range(6))
     def test_no_answer_is_cut_off(self, seed, learned):
-        played = StoppingProcess(seed, learned).play()
-        assert len(played.asked) > 30
-        assert played.cut_off == []
+        process = StoppingProcess(seed, learned).run_to_exit()
+        assert len(process.asked) > 30
+        assert process.cut_off == []
 
     @pytest.mark.parametrize("seed", range(4))
     def test_none_is_cut_off_that_comes_in_the_last_moments(self, seed):
-        played = StoppingProcess(seed, 30).play(begin=7.6, pause=0.01)
-        assert played.cut_off == []
+        process = StoppingProcess(seed, 30).run_to_exit(begin=7.6, pause=0.01)
+        assert process.cut_off == []
 
     @pytest.mark.parametrize("seed", range(4))
     def test_what_is_refused_has_not_run(self, seed):
-        played = StoppingProcess(seed, 30).play()
+        process = StoppingProcess(seed, 30).run_to_exit()
         ran = {
             req.header("x-flamingofront-request-id")
-            for each in played.world.endpoints.values()
+            for each in process.world.endpoints.values()
             for req in each.runs
         }
-        refused = [each for _, each in played.asked if each.status == 503]
+        refused = [each for _, each in process.asked if each.status == 503]
         assert refused and all("retry-after" in each.headers for each in refused)
         assert not ran & {each.request_id for each in refused}
 
@@ -225,7 +229,7 @@
         stopping = StoppingProcess(1, 30)
         stopping.stop.begin()
         for moment in (0.5, 2.0, 4.0, 5.5):
-            stopping.world.run(moment - stopping.world.clock.now() + stopping.stop._begun_at)
+            stopping.world.run(moment - stopping.world.clock.now() + stopping.stop._started_at)
             short = stopping.ask(events=4)
             plain = stopping.ask(path="/write/x", deadline=1500)
             stopping.world.finish(short, plain)
@@ -258,7 +262,7 @@
         world.run(0.1)
         callers = SimpleNamespace(closing=False, connections=1, close_idle=lambda: 0)
         exits = []
-        GracefulStop(world.fronts["front-1"], callers, 1.0, lambda: exits.append(1)).begin()
+        GracefulShutdown(world.fronts["front-1"], callers, 1.0, lambda: exits.append(1)).begin()
         world.run_until(lambda: exits)
         assert caller.done and caller.status == 502
         assert (caller.error["kind"], caller.error["ran"]) == (kind, "unknown")
@@ -271,7 +275,7 @@
         front = world.fronts["front-1"]
         callers = SimpleNamespace(closing=False, connections=1, close_idle=lambda: 0)
         refused, exits = [], []
-        stop = GracefulStop(front, callers, 8.0, lambda: exits.append(1), refused.append)
+        stop = GracefulShutdown(front, callers, 8.0, lambda: exits.append(1), refused.append)
         began = world.clock.now()
         stop.begin()
         world.run_until(lambda: exits)
--- a/flamingofront/process/tests/test_holds.py
+++ b/flamingofront/process/tests/test_holds.py
@@ -100,7 +100,9 @@
             node.hub.guard.on_hold(hold, number == 0)
         world.run(4.0)
         assert set(self.kept(world)) == {"f-1"}
-        duty_writes = sum(each.lease.holding() is not None for each in world.fronts.values()) * 5
+        duty_writes = (
+            sum(each.lease.valid_lease() is not None for each in world.fronts.values()) * 5
+        )
         assert world.store.version - before <= 1 + duty_writes
 
     @pytest.mark.parametrize("seed", range(10))
--- a/flamingofront/process/tests/test_intents.py
+++ b/flamingofront/process/tests/test_intents.py
@@ -6,7 +6,7 @@
 
 from flamingofront.decisions.send_intents import IntentRecord, SendIntent
 from flamingofront.errors import PlatformError
-from flamingofront.process.forwarding.duty import DUTY_TABLE
+from flamingofront.process.forwarding.duty import LEADER_TABLE
 from flamingofront.process.intent_rows import INTENT_TABLE, decode_record, encode_record
 from flamingofront.process.intent_state import WRITES_AT_ONCE
 from flamingofront.process.intents import ALL_WRITES_PER_SECOND
@@ -165,7 +165,7 @@
         caller = world.ask("front-0", "/stream/once/x", body=BODY)
         world.finish(caller)
         assert caller.status == 200
-        assert world.store.rows(DUTY_TABLE, DUTY_TABLE)
+        assert world.store.rows(LEADER_TABLE, LEADER_TABLE)
 
 
 class TestWaryProcesses:
