--- a/flamingofront/process/forwarding/__init__.py
+++ b/flamingofront/process/forwarding/__init__.py
@@ -1,1 +1,1 @@
-"""The entry process that forwards routes kept in the platform's store."""
+"""Entry process that forwards requests along routes kept in the platform's store."""
--- a/flamingofront/process/forwarding/duty.py
+++ b/flamingofront/process/forwarding/duty.py
@@ -1,12 +1,12 @@
-"""The lease of the duties that one entry process at a time does, and its state.
+"""Lease of the process that runs the leader tasks, and the state kept with it.
 
-One row of the store holds the holder, the fencing number and what a successor must repeat. The
-holder renews it with one conditional write, so that a process that lost the lease finds out. Others
-do not read the row while they hear the holder: they take over when they have neither heard it nor
-seen the row change for longer than the lease.
+One row of the store holds the lease holder, its fencing token and what a successor must repeat. The
+holder renews the lease with a conditional write, so a process that lost the lease finds out. Other
+processes do not read the row while they receive reports from the holder: they try to acquire the
+lease once neither a report nor a change of the row has been seen for longer than the lease.
 
-A VM that held the lease, lost it to another and takes it again waits for a whole lease before it
-acts: its calls before and after those of the other are never closer than that.
+A VM that held the lease, lost it to another and acquires it again waits for a whole lease before it
+acts: its calls before and after those of the other holder are never closer than that.
 """
 
 import math
@@ -29,38 +29,38 @@
 LEADER_PARTITION = "duties"
 LEADER_KEY = "all"
 RENEWALS_PER_LEASE = 3
-# A call of the last holder may still be on its way for as long as it waits for an answer (1 s).
+# A call of the previous holder may be in flight for as long as its response timeout (1 s).
 TAKEOVER_MARGIN_SECONDS = 1.2
-# The holder acts only while so much of its lease is left: the way of a call to the cloud.
+# The holder acts only with this much of its lease left: the latency of a call to the cloud.
 ACT_MARGIN_SECONDS = 0.3
 RETRY_SECONDS = 0.3
-# The longest call of this holder that may be in flight when it gives the lease up.
+# Longest time a call of this holder may still be in flight when it releases the lease.
 MAX_CALL_SECONDS = 1.1
-# Holders that the row remembers. With a second or so a holder, as in a rolling restart, they cover
+# Previous holders that the row keeps. At about one second each, as in a rolling restart, they cover
 # several leases.
 MAX_PAST_HOLDERS = 8
-# Fencing numbers that are left out by the first holder after the store's return from a copy: more
-# than the changes of holder that such a copy can lack. One takes a second at least, a copy is some
-# seconds old.
+# Fencing tokens skipped by the first holder after the store is restored from an older snapshot. The
+# gap exceeds the changes of holder that the snapshot can lack: each takes at least one second, and
+# a snapshot is some seconds old.
 ERA_FENCING_GAP = 100
 
 
 @dataclass(frozen=True)
 class LeaseState:
-    """The row: who holds the duties and what was reported.
+    """Contents of the lease row.
 
     Parameters
     ----------
     holder : str
-        VM of the holder, empty if nobody holds the lease.
+        VM of the lease holder, empty if nobody holds the lease.
     incarnation : int
-        Process of the holder.
+        Incarnation of the holder's process.
     fencing : int
-        Grows with each change of holder.
+        Fencing token; grows with each change of holder.
     reports : mapping
-        Usage counts by window, as they are or will be reported.
+        Usage counts by window that were, or are about to be, reported.
     past : tuple of str
-        VMs that held the lease before, the last one first.
+        VMs that held the lease before, the most recent first.
     era : int
         Era of the store in which the row was written.
     """
@@ -75,7 +75,7 @@
 
 @dataclass(frozen=True)
 class HeldLease:
-    """A lease held here; times on the own clock."""
+    """A lease held by this process; times in seconds of the local monotonic clock."""
 
     fencing: int
     acquired_at: float
@@ -84,7 +84,7 @@
 
 
 class LeaderLease:
-    """Takes, keeps and gives up the duty lease.
+    """Acquires, renews and releases the leader lease.
 
     Parameters
     ----------
@@ -94,9 +94,9 @@
     Attributes
     ----------
     state : LeaseState
-        The row as it was seen last.
-    released : int
-        Fencing number of the lease that this process has given up; 0 if it has not.
+        The row as last read or written.
+    released_fencing : int
+        Fencing token of the lease that this process has released; 0 if it has not.
     """
 
     def __init__(
@@ -128,8 +128,8 @@
         self._era = 0
         self._highest_fencing = 0
         self._cached_reports: dict[str, Mapping[str, int]] = {}
-        # Called when the lease is taken after the store's return from a copy: what the holders
-        # before have reported since then is not known.
+        # Called when the lease is acquired after the store was restored from an older snapshot:
+        # what previous holders have reported since the snapshot is unknown.
         self.on_restore: Callable[[], None] = lambda: None
 
     @property
@@ -148,12 +148,12 @@
         return lease
 
     def valid_lease(self) -> HeldLease | None:
-        """Return the lease if it is valid, also while this process may not yet act on it."""
+        """Return the lease if it is valid, even if this process may not act on it yet."""
         lease = self._lease
         return lease if lease is not None and self._now() < lease.valid_until else None
 
     def observe_report(self, report: PeerReport) -> None:
-        """Take word of a peer that holds the lease, or has given it up."""
+        """Record from a peer's report that it holds the lease, or has released it."""
         if report.released and report.released >= max(self.state.fencing, self._reported_fencing):
             self._last_seen_at = -math.inf
             return
@@ -167,9 +167,9 @@
         """Keep the lease, or watch it until it is free; ends after `release`."""
         while not self._stopped:
             try:
-                yield from self._step()
+                yield from self._renew_or_poll()
             except PlatformError as exc:
-                self._log.warning("duty lease not reached", detail=str(exc))
+                self._log.warning("store unreachable for leader lease", detail=str(exc))
                 yield Sleep(RETRY_SECONDS * (0.5 + self._rng.random()))
                 continue
             yield Sleep(self._next_delay(), relaxed=True)
@@ -179,7 +179,7 @@
             return self._duration / RENEWALS_PER_LEASE
         return RETRY_SECONDS * (0.5 + self._rng.random())
 
-    def _step(self) -> Task:
+    def _renew_or_poll(self) -> Task:
         if self._lease is not None:
             if self._now() < self._lease.valid_until or not (yield from self._lost_in_restore()):
                 yield from self.renew()
@@ -188,19 +188,19 @@
             yield from self._poll_row()
 
     def _lost_in_restore(self) -> Task:
-        """Tell whether a lease that has lapsed must be taken anew, and not just renewed.
+        """Return True if an expired lease must be acquired again instead of renewed.
 
         Notes
         -----
-        That nobody took it meanwhile shows in the row; but not if the store has come back from a
-        copy of before: a holder that had stood still went on with a number lower than that of its
-        successor.
+        Normally the row shows that nobody else acquired the lease meanwhile. It does not if the
+        store was restored from an older snapshot: a holder that had been suspended would continue
+        with a lower fencing token than its successor's.
         """
         era = self._era
         found = yield from self._store.read(LEADER_TABLE, LEADER_PARTITION)
         if era_of(found.version) == era:
             return False
-        self._log.warning("duty lease lost", fencing=self._lease.fencing, era=era)
+        self._log.warning("leader lease lost", fencing=self._lease.fencing, era=era)
         self._lease = None
         row = next((each for each in found.rows if each.key == LEADER_KEY), None)
         self._merge_row(row, found.version)
@@ -208,29 +208,29 @@
         return True
 
     def _has_expired(self) -> bool:
-        """Tell whether the last sign of the holder is older than its lease can be."""
+        """Return True if the holder was last seen longer ago than a lease can last."""
         waited = self._now() - self._last_seen_at
         return waited >= self._duration + TAKEOVER_MARGIN_SECONDS
 
     def _poll_row(self) -> Task:
-        """Read the row and take the lease if it is free."""
+        """Read the row and acquire the lease if it is free."""
         previous, self._version = self._version, None
         found = yield from self._store.read(LEADER_TABLE, LEADER_PARTITION)
         row = next((each for each in found.rows if each.key == LEADER_KEY), None)
         self._merge_row(row, found.version)
         if previous is None or self._version not in (previous, self._announced_version):
             self._last_seen_at = self._now()
-        # Word of a new holder may have come while the row was read, so the wait is looked at again.
+        # A report of a new holder may have arrived during the read, so the expiry is checked again.
         if not self.state.holder or self._is_held_by_vm() or self._has_expired():
             yield from self._acquire()
 
     def _merge_row(self, row: StoredRow | None, version: int) -> None:
-        """Take in what the row holds now, with what is known of it from before.
+        """Apply the row as read now, keeping usage reports already seen here.
 
         Notes
         -----
-        A store that came back from a copy lacks what was written since. Reports that this process
-        knows to have been there may have been sent, and stand.
+        A store restored from an older snapshot lacks later writes. Reports that this process has
+        seen in the row may have been sent to the cloud, so they are kept.
         """
         self._era = max(self._era, era_of(version))
         self._version = row.version if row is not None else 0
@@ -238,16 +238,17 @@
         self._highest_fencing = max(self._highest_fencing, state.fencing)
         for window in [each for each in self._cached_reports if each not in state.reports]:
             if state.era >= self._era:
-                # A holder of this era has dropped it: it is long reported.
+                # A holder of this era has dropped the window because it was reported long ago.
                 del self._cached_reports[window]
         self._cached_reports = {**state.reports, **self._cached_reports}
         self.state = replace(state, reports=dict(self._cached_reports))
 
     def _is_held_by_vm(self) -> bool:
-        """Tell whether an earlier process of this VM held the lease: it is gone for sure."""
+        """Return True if an earlier process of this VM, which must have ended, held the lease."""
         return self.state.holder == self._vm_id
 
     def _acquire(self) -> Task:
+        """Write this process into the row as holder, with a higher fencing token."""
         last = self.state.holder
         past = ((last,) if last else ()) + tuple(self.state.past)
         is_behind = self.state.era < self._era
@@ -260,30 +261,31 @@
         )
         sent_at = self._now()
         if not (yield from self._write(state)):
-            # Somebody else has just taken it: its lease begins now.
+            # Another process has just acquired the lease.
             self._last_seen_at = self._now()
-            self._log.info("duty lease not taken", fencing=state.fencing)
+            self._log.info("leader lease not acquired", fencing=state.fencing)
             return
         if is_behind:
             self.on_restore()
-        # Who held the lease since the copy is not known, so that this one may have, too.
+        # After a restore the holders since the snapshot are unknown, and this VM may be one of
+        # them.
         held_before = is_behind or (self._vm_id in past and past[0] != self._vm_id)
         acts_from = self._now() + self._duration if held_before else sent_at
         self._lease = HeldLease(state.fencing, sent_at, acts_from, sent_at + self._duration)
-        self._log.info("duty lease taken", fencing=state.fencing, last_holder=last)
+        self._log.info("leader lease acquired", fencing=state.fencing, last_holder=last)
 
     def renew(self, reports: Mapping[str, Mapping[str, int]] | None = None) -> Task:
-        """Renew the lease, and store reports with the same write; True if that was done.
+        """Renew the lease, storing `reports` in the same write; return True on success.
 
         Notes
         -----
-        One write is in flight at a time: of two, the second would be repeated with a state from
-        before the first and undo it.
+        Only one write is in flight at a time: a second one would be retried with a state from
+        before the first, and undo it.
 
         Raises
         ------
         PlatformError
-            If the store did not answer: whether the lease was renewed is then not known.
+            If the store did not respond; the lease may or may not have been renewed.
         """
         if self._lease is None or self._writing:
             return False
@@ -294,11 +296,12 @@
             self._writing = False
 
     def _renew(self, reports: Mapping[str, Mapping[str, int]] | None) -> Task:
+        """Write the row, with one retry after a conflict that leaves the lease here."""
         fencing = self._lease.fencing
-        own = self.state
+        stored = self.state
         for _ in range(2):
             if self.state.fencing < fencing:
-                self.state = replace(own, reports=self.state.reports)
+                self.state = replace(stored, reports=self.state.reports)
             state = self.state if reports is None else replace(self.state, reports=reports)
             sent_at = self._now()
             if (yield from self._write(state)):
@@ -306,19 +309,20 @@
                     self._lease = replace(self._lease, valid_until=sent_at + self._duration)
                 return self._lease is not None
             if self._is_older_snapshot(fencing):
-                # The row is from before this lease: nobody has taken it in this era.
+                # The row predates this lease, so nobody has acquired it in this era.
                 continue
             if not self._is_held_here(self.state, fencing):
-                self._log.warning("duty lease lost", fencing=fencing)
+                self._log.warning("leader lease lost", fencing=fencing)
                 self._lease = None
                 self._last_seen_at = self._now()
                 return False
-            # A write whose answer was lost has taken effect: what it stored stays as it is.
+            # The response to an earlier write was lost, but the write took effect: keep what it
+            # stored.
             reports = None
         return False
 
     def _write(self, state: LeaseState) -> Task:
-        """Write the row if it is as it was seen last; if not, take over what it holds now."""
+        """Write the row if it is unchanged since last seen; otherwise apply its contents."""
         state = replace(state, era=self._era)
         condition = RowCondition(LEADER_TABLE, LEADER_KEY, self._version or 0)
         write = RowWrite(LEADER_TABLE, LEADER_KEY, _encode(state))
@@ -334,19 +338,20 @@
         return False
 
     def _is_older_snapshot(self, fencing: int) -> bool:
-        """Tell whether the row is what a copy had before this process took its lease."""
+        """Return True if the row predates this lease because the store was restored."""
         return self.state.era < self._era and self.state.fencing < fencing
 
     def _is_held_here(self, found: LeaseState, fencing: int) -> bool:
-        own = (self._vm_id, self._incarnation, fencing)
-        return (found.holder, found.incarnation, found.fencing) == own
+        """Return True if the row names this process as holder under the given fencing token."""
+        expected = (self._vm_id, self._incarnation, fencing)
+        return (found.holder, found.incarnation, found.fencing) == expected
 
     def release(self) -> Task:
-        """Give the lease up, so that a successor need not wait; ends `run`.
+        """Release the lease so that a successor need not wait; ends `run`.
 
         Notes
         -----
-        A call that is still in flight must not arrive behind the successor's first one.
+        A call that is still in flight must not arrive after the successor's first one.
         """
         self._stopped = True
         lease = self._lease
@@ -358,9 +363,9 @@
         try:
             yield from self._write(replace(self.state, holder="", past=past))
             self.released_fencing = lease.fencing
-            self._log.info("duty lease released", fencing=lease.fencing)
+            self._log.info("leader lease released", fencing=lease.fencing)
         except PlatformError as exc:
-            self._log.info("duty lease runs out by itself", detail=str(exc))
+            self._log.info("leader lease not released; it will expire", detail=str(exc))
 
 
 def _encode(state: LeaseState) -> bytes:
@@ -368,11 +373,17 @@
 
 
 def _decode(row: StoredRow | None) -> LeaseState:
-    """Return the state in a row; a malformed one counts as held by nobody known."""
+    """Return the state in a row, or an empty state if there is no row.
+
+    Raises
+    ------
+    PlatformError
+        If the row is malformed.
+    """
     if row is None or row.value is None:
         return LeaseState()
     try:
         values = orjson.loads(row.value)
         return LeaseState(**{**values, "past": tuple(values.get("past", ()))})
     except (TypeError, orjson.JSONDecodeError) as exc:
-        raise PlatformError(f"malformed duty row: {exc}") from exc
+        raise PlatformError(f"malformed leader lease row: {exc}") from exc
--- a/flamingofront/process/forwarding/held_requests.py
+++ b/flamingofront/process/forwarding/held_requests.py
@@ -1,8 +1,8 @@
-"""Requests that crash endpoints, as the forwarding processes know them together.
+"""Synchronizes the quarantine of poison requests with other processes and the store.
 
-What this process finds out goes to the others with its reports and digests, and holds go to the
-store. What others find out comes the same way, and through the feed of the table of holds, which
-also reaches zones that hear nobody.
+Local findings are sent to the peers in reports and digests, and quarantine entries are written to
+the store. Remote findings arrive the same way, and through the change feed of the quarantine table,
+which also reaches zones that receive no peer reports.
 """
 
 from collections.abc import Callable, Iterable
@@ -19,33 +19,33 @@
 
 __all__ = ["QuarantineSync"]
 
-# Processes that began so close to the first start of a deployment began with it.
+# Processes that started this close to the first start of a deployment are part of it.
 FIRST_START_SECONDS = 2.0
 
-# Longest wait for a change of the requests that are held back: word of peers comes within a second,
-# and the table is for zones that hear nobody. Of 3.5 s as for the others each process would make
-# three times the calls on a calm day.
+# Longest wait for a change of the quarantine table. Peers report changes within a second, and the
+# table serves zones without peer reports. With 3.5 s, as for other tables, an idle process would
+# make three times the calls.
 FEED_WAIT_SECONDS = 10.0
-# A hold that another process has kept is seen in the feed within some ten milliseconds.
+# An entry written by another process appears in the feed within about ten milliseconds.
 FEED_LATENCY_SECONDS = 0.5
 
 
 class QuarantineSync:
-    """Joins the guard of a process with its peers and the store.
+    """Connects the request guard of a process with its peers and the store.
 
     Parameters
     ----------
     is_standby : callable
-        Returns whether other processes follow the store for this one.
-    recording : Callable
-        Makes the recorder of sends from the rows where they are kept.
+        Returns True if other processes watch the store for this one.
+    make_recorder : callable
+        Makes the recorder of send intents from the rows where they are kept.
     first_start : float or None
-        Start of this process on the wall clock if that was the first one of its deployment.
+        Wall-clock start of this process if it belongs to the first start of its deployment.
 
     Attributes
     ----------
     follower : TableFollower
-        Follows the table of holds.
+        Watches the quarantine table.
     """
 
     def __init__(
@@ -81,13 +81,13 @@
         )
 
     def run(self) -> Task:
-        """Follow the table of holds; never returns."""
+        """Record send intents and watch the quarantine table; never returns."""
         self._recorder.start()
         yield from self.follower.run()
 
 
 def _restart_times(starts: Iterable[float], first_start: float | None) -> list[float]:
-    """Return the starts that may have followed a kill: before the first one nothing ran."""
+    """Return the starts that may have followed a crash; nothing ran before the first start."""
     if first_start is None:
         return list(starts)
     return [each for each in starts if abs(each - first_start) > FIRST_START_SECONDS]
--- a/flamingofront/process/forwarding/inquiries.py
+++ b/flamingofront/process/forwarding/inquiries.py
@@ -1,7 +1,7 @@
-"""Asking the one process that decides on something for all, or the next one if it is silent.
+"""Requests to the arbiter of a key, with fallback to the next one if it is unresponsive.
 
-Each process ranks those that it knows by rendezvous hash and asks the first one; nothing is agreed
-on. Views that differ for a moment have to be borne by what decides.
+Each process ranks the processes that it can reach by rendezvous hashing and asks the first one;
+there is no agreement protocol. Code that decides must tolerate views that differ for a moment.
 """
 
 import itertools
@@ -17,47 +17,47 @@
 
 __all__ = ["ArbiterProtocol", "DecisionRequest", "ArbiterContext", "ArbiterClient", "ReplyCache"]
 
-# Time for a reply: many times the way there and back between two zones, and a small part of the
-# tightest latency objective.
+# Many times the round trip between two zones, and a small part of the tightest latency objective.
 REPLY_TIMEOUT_SECONDS = 0.03
-# A process that did not reply twice, or does not decide, is left out for so long.
+# How long a process is excluded that missed two replies or does not decide.
 EXCLUSION_SECONDS = 1.0
-# Processes that may stay silent to a question; the first one is asked twice, since a datagram may
-# be lost. One that does not decide says so at once, and does not count.
+# Processes that may leave a request unanswered before the fallback; the first one is asked twice,
+# since a datagram may be lost. One that does not decide replies so at once, and does not count.
 MAX_UNRESPONSIVE = 3
-# Questions and replies that are remembered, for datagrams that come twice or late: some seconds of
-# the busiest process.
+# Requests and replies that are kept for duplicate or late datagrams: some seconds of the busiest
+# process.
 MAX_REMEMBERED = 4096
-# Questions that a process may ask in each millisecond of its life, before the next one's numbers.
+# Range of request numbers reserved per millisecond of start time, so that a restarted process never
+# reuses numbers.
 NUMBERS_PER_MILLISECOND = 1 << 20
 
 
 class DecisionRequest(ABC):
-    """Something that one process decides on for all."""
+    """A request that one process decides on for all."""
 
     @property
     @abstractmethod
     def key(self) -> str:
-        """Ranks the processes that may decide on it."""
+        """Key by which the candidate arbiters are ranked."""
 
 
 RequestT = TypeVar("RequestT", bound=DecisionRequest)
 
 
 class ArbiterProtocol(ABC, Generic[RequestT]):
-    """Decides on requests of one kind, and words the question to other processes."""
+    """Decides on requests of one kind, and encodes them for other processes."""
 
     @abstractmethod
     def encode_request(self, number: int, request: RequestT) -> bytes:
-        """Return the datagram that asks for a decision."""
+        """Return the datagram that asks another process for a decision."""
 
     @abstractmethod
     def decide_as_arbiter(self, request: RequestT) -> bool:
-        """Decide in this process for all; False if others are to."""
+        """Decide for all processes; return False if this process is not to decide."""
 
     @abstractmethod
     def decide_locally(self, request: RequestT) -> None:
-        """Decide by this process's part, since nobody who decides for all is reached."""
+        """Decide within this process's own share, since no arbiter can be reached."""
 
 
 @dataclass(eq=False)
@@ -72,16 +72,16 @@
 
 @dataclass(frozen=True)
 class ArbiterContext:
-    """Who asks.
+    """Identity of the asking process, and its ranking of arbiters.
 
     Parameters
     ----------
     local_ip : str
-        IP number of this process.
+        IP address of this process.
     incarnation : int
         Start of this process, in milliseconds.
-    ranked : callable
-        Returns, for a key, the IP numbers of the processes that may decide, in their order.
+    rank_arbiters : callable
+        Returns, for a key, the IP addresses of the processes that may decide, best first.
     """
 
     local_ip: str
@@ -90,15 +90,15 @@
 
 
 class ArbiterClient(Generic[RequestT]):
-    """Questions of this process that wait for a reply.
+    """Requests of this process to arbiters, from submission to decision.
 
     Parameters
     ----------
     name : str
-        Begin of the names of its counters: `NAME_questions_total`,
-        `NAME_questions_unanswered_total` and `NAME_decisions_alone_total`.
+        Prefix of the counters `NAME_questions_total`, `NAME_questions_unanswered_total` and
+        `NAME_decisions_alone_total`.
     send : callable
-        Sends a datagram to an IP number.
+        Sends a datagram to an IP address.
     """
 
     def __init__(
@@ -118,24 +118,24 @@
         self._timers = timers
         self._metrics = metrics
         self._log = log
-        # A process that starts again goes on with other numbers: replies are remembered by them.
+        # Replies are cached by number, so a restarted process must use different numbers.
         self._numbers = itertools.count(context.incarnation * NUMBERS_PER_MILLISECOND + 1)
         self._pending: dict[int, _PendingRequest[RequestT]] = {}
         self._excluded_until: dict[str, float] = {}
-        # Matters that were decided, with the IP number of who decided; empty for this process.
+        # Decided requests, with the IP address of the arbiter; empty for this process.
         self._decided: OrderedDict[int, tuple[RequestT, str]] = OrderedDict()
 
     def next_number(self) -> int:
-        """Return a number that no question of this process had."""
+        """Return a request number that this process has not used."""
         return next(self._numbers)
 
     def submit(self, request: RequestT) -> None:
-        """Have a request decided on; at once if that is done here."""
+        """Have a request decided on; returns after the decision if it is made in this process."""
         candidates = self._candidates(request.key)
         self._try_next(_PendingRequest(self.next_number(), request, candidates))
 
     def _candidates(self, key: str) -> list[str]:
-        """Return whom to ask in turn: the first one twice."""
+        """Return the processes to ask in turn; the best one is listed twice."""
         now = self._timers.now()
         self._excluded_until = {
             ip: until for ip, until in self._excluded_until.items() if until > now
@@ -146,6 +146,7 @@
         return [*ranked[:1], *ranked]
 
     def _try_next(self, pending: _PendingRequest[RequestT]) -> None:
+        """Ask the next candidate, or decide locally if none is left."""
         if not pending.candidates or len(pending.unresponsive) >= MAX_UNRESPONSIVE:
             self._metrics.count(f"{self._name}_decisions_alone_total")
             self._finish(pending, "")
@@ -171,7 +172,7 @@
 
     def _exclude(self, ip: str, reason: str) -> None:
         self._excluded_until[ip] = self._timers.now() + EXCLUSION_SECONDS
-        self._log.info(f"{self._name} arbiter left out", arbiter=ip, reason=reason)
+        self._log.info(f"{self._name} arbiter excluded", arbiter=ip, reason=reason)
 
     def _finish(self, pending: _PendingRequest[RequestT], arbiter: str) -> None:
         self._pending.pop(pending.number, None)
@@ -180,7 +181,7 @@
             self._decided.popitem(last=False)
 
     def accept_reply(self, number: int, ip: str) -> RequestT | None:
-        """Take a reply that decides; None if it is not awaited from there."""
+        """Finish the request that a decision replies to; None if no reply is expected from `ip`."""
         pending = self._match_reply(number, ip)
         if pending is None:
             return None
@@ -188,7 +189,7 @@
         return pending.request
 
     def handle_decline(self, number: int, ip: str) -> None:
-        """Take the reply of a process that does not decide: the next one is asked."""
+        """Ask the next candidate after `ip` replied that it does not decide."""
         pending = self._match_reply(number, ip)
         if pending is None:
             return
@@ -197,6 +198,7 @@
         self._try_next(pending)
 
     def _match_reply(self, number: int, ip: str) -> _PendingRequest[RequestT] | None:
+        """Return the pending request for a reply and cancel its timeout; None if there is none."""
         pending = self._pending.get(number)
         if pending is None or ip != pending.arbiter:
             return None
@@ -204,7 +206,7 @@
         return pending
 
     def late_request(self, number: int, ip: str) -> RequestT | None:
-        """Return the request of a late permission that is not used: another process decided."""
+        """Return the request of a late grant that is not used; None if it is used."""
         pending = self._pending.get(number)
         if pending is not None:
             return pending.request
@@ -216,13 +218,13 @@
 
 
 class ReplyCache(Generic[ReplyT]):
-    """Replies that were made, so that a question which comes twice has the same one."""
+    """Replies already made, so that a duplicate request gets the same reply."""
 
     def __init__(self):
         self._replies: OrderedDict[tuple[str, int], ReplyT] = OrderedDict()
 
     def get_or_create(self, ip: str, number: int, make: Callable[[], ReplyT]) -> ReplyT:
-        """Return the reply to a question, made at the first time."""
+        """Return the reply to a request, calling `make` only for the first copy of it."""
         reply = self._replies.get((ip, number)) or make()
         self._replies[ip, number] = reply
         while len(self._replies) > MAX_REMEMBERED:
--- a/flamingofront/process/forwarding/limit_arbiter.py
+++ b/flamingofront/process/forwarding/limit_arbiter.py
@@ -1,4 +1,4 @@
-"""Which process decides what is sent to an endpoint with a limit, and how the others ask it."""
+"""Arbitration of the rate limits of endpoints: which process decides, and how others ask it."""
 
 import math
 from collections.abc import Callable
@@ -29,30 +29,31 @@
 
 __all__ = ["LimitArbiters", "LimitContext"]
 
-# Part of a limit that the second process in rank decides on, for those that do not reach the first.
-# With it both together stay well within the one and a half times that an endpoint bears.
+# Share of a limit granted by the second-ranked arbiter, for processes that cannot reach the first.
+# Both together stay well within the 1.5 times of its limit that an endpoint tolerates.
 SECOND_RANK_SHARE = 0.25
-# An arbiter that has replied within so long may have let through what it could: datagrams were
-# lost, and the own part comes on top of it. In seconds.
+# An arbiter that has replied this recently may have granted the whole limit: datagrams were lost,
+# and a local share would exceed the limit.
 RECENT_REPLY_SECONDS = 0.5
-# Longest pause after a refusal by the own part, in seconds: an arbiter may be reached again.
+# Longest wait after a local rejection: an arbiter may be reachable again by then.
 MAX_LOCAL_WAIT_SECONDS = 1.0
-# Priority in a question by which a permit is given back.
+# Priority on the wire that marks a returned permit.
 PERMIT_RETURNED = -1
 
 
 @dataclass(frozen=True)
 class LimitContext:
-    """What the arbitration needs to know of its process.
+    """What the arbitration of limits needs to know of its process.
 
     Parameters
     ----------
-    arbiters : Inquirer
-        This process, and who may decide on an endpoint.
-    heard_part : callable
-        Returns the part of all processes that may ask here: less than 1 while a zone is silent.
-    member_part : callable
-        Returns this process's part of all, by their number.
+    arbiters : ArbiterContext
+        This process, and the ranking of arbiters by endpoint.
+    live_share : callable
+        Returns the fraction of all processes that can ask here; below 1 while a zone is
+        unreachable.
+    member_share : callable
+        Returns one process's share: 1 divided by the number of processes.
     """
 
     arbiters: ArbiterContext
@@ -69,17 +70,17 @@
 
     @property
     def key(self) -> str:
-        """Id of the endpoint: it ranks who decides."""
+        """Id of the endpoint, by which the candidate arbiters are ranked."""
         return self.claim.endpoint_id
 
 
 class LimitArbiters(RateGate, ArbiterProtocol[_PendingPermit]):
-    """Has attempts at endpoints with a limit decided on, here or at another process.
+    """Decides on attempts at rate-limited endpoints, as arbiter or by asking one.
 
     Parameters
     ----------
     send : callable
-        Sends a datagram to an IP number.
+        Sends a datagram to an IP address.
     """
 
     def __init__(
@@ -96,7 +97,7 @@
         self._send = send
         self._timers = timers
         self._metrics = metrics
-        # What is decided for all, and what only for this process.
+        # Decisions for all processes, and for this process alone.
         self._shared_limiter = RateLimiter()
         self._local_limiter = RateLimiter()
         self._client: ArbiterClient[_PendingPermit] = ArbiterClient(
@@ -105,21 +106,21 @@
         self._replies: ReplyCache[PermitReply] = ReplyCache()
         self._replied_at: dict[str, float] = {}
 
-    # Asking
+    # Requests to arbiters
 
     def decide(self, claim: RateClaim, then: Callable[[RateDecision], None]) -> None:
-        """Have an attempt decided on; at once if that is done here."""
+        """Pass the decision on an attempt to `then`; at once if this process decides."""
         self._client.submit(_PendingPermit(claim, then))
 
     def encode_request(self, number: int, request: _PendingPermit) -> bytes:
         """Return the datagram that asks for a permit."""
         claim = request.claim
-        known = self._limits.limit(claim.endpoint_id)
-        limit = known or EndpointLimit(claim.endpoint_id, 0, claim.rate, 0.0)
+        current = self._limits.limit(claim.endpoint_id)
+        limit = current or EndpointLimit(claim.endpoint_id, 0, claim.rate, 0.0)
         return encode_permit_request(PermitRequest(number, limit, claim.priority, claim.patience))
 
     def decide_as_arbiter(self, request: _PendingPermit) -> bool:
-        """Decide on an attempt for all processes; False if others are to."""
+        """Decide on an attempt for all processes; return False if not an arbiter."""
         share = self._decided_share(request.claim.endpoint_id)
         if share <= 0:
             return False
@@ -128,7 +129,7 @@
         return True
 
     def decide_locally(self, request: _PendingPermit) -> None:
-        """Decide by the own part, since nobody who decides for all is reached."""
+        """Decide within this process's own share, since no arbiter can be reached."""
         now = self._timers.now()
         if now - self._replied_at.get(request.claim.endpoint_id, -math.inf) < RECENT_REPLY_SECONDS:
             request.then(RateDecision(0.0, MIN_WAIT_SECONDS))
@@ -138,7 +139,7 @@
         request.then(RateDecision(verdict.delay, min(MAX_LOCAL_WAIT_SECONDS, verdict.wait)))
 
     def _decided_share(self, endpoint_id: str) -> float:
-        """Return the part of a limit that this process decides on for all; 0 if it does not."""
+        """Return the share of a limit that this process arbitrates; 0 if none."""
         ranked = self._context.arbiters.rank_arbiters(endpoint_id)[:2]
         local_ip = self._context.arbiters.local_ip
         if local_ip not in ranked:
@@ -147,7 +148,7 @@
         return share * self._context.live_share()
 
     def unused(self, endpoint_id: str, decision: RateDecision) -> None:
-        """Give a permit back that was not used; one of the own part is not worth a word."""
+        """Return an unused permit to the arbiter that granted it, unless granted locally."""
         if decision.arbiter:
             self._return_permit(endpoint_id, decision.arbiter)
         elif decision.arbiter is not None:
@@ -159,13 +160,13 @@
         self._send(encode_permit_request(request), ip)
 
     def forget(self, endpoint_id: str) -> None:
-        """Forget what was let through to an endpoint."""
+        """Drop the state of an endpoint."""
         for each in (self._shared_limiter, self._local_limiter):
             each.forget(endpoint_id)
         self._replied_at.pop(endpoint_id, None)
 
     def handle_reply(self, data: bytes, ip: str) -> None:
-        """Take the reply of an arbiter.
+        """Handle the reply of an arbiter.
 
         Raises
         ------
@@ -186,7 +187,7 @@
         if late is not None and reply.verdict is Verdict.ALLOWED:
             self._return_permit(late.claim.endpoint_id, ip)
 
-    # Deciding
+    # Requests from other processes
 
     def handle_request(self, data: bytes, ip: str) -> None:
         """Decide on the attempt of another process and reply.
@@ -212,10 +213,10 @@
         share = self._decided_share(endpoint_id)
         if share <= 0:
             return PermitReply(request.number, Verdict.NOT_HERE)
-        known = self._limits.limit(endpoint_id) or request.limit
-        if known.rate is None:
+        current = self._limits.limit(endpoint_id) or request.limit
+        if current.rate is None:
             return PermitReply(request.number, Verdict.ALLOWED)
-        claim = RateClaim(endpoint_id, known.rate, request.priority, request.patience, ip)
-        decided = self._shared_limiter.decide(claim, share, self._timers.now())
-        verdict = Verdict.ALLOWED if decided.given else Verdict.REFUSED
-        return PermitReply(request.number, verdict, decided.delay, decided.wait)
+        claim = RateClaim(endpoint_id, current.rate, request.priority, request.patience, ip)
+        grant = self._shared_limiter.decide(claim, share, self._timers.now())
+        verdict = Verdict.ALLOWED if grant.given else Verdict.REFUSED
+        return PermitReply(request.number, verdict, grant.delay, grant.wait)
--- a/flamingofront/process/forwarding/limit_members.py
+++ b/flamingofront/process/forwarding/limit_members.py
@@ -1,4 +1,4 @@
-"""Which entry processes may decide on the limits of endpoints, as this process hears them."""
+"""Ranking of the entry processes that may arbitrate the limits of endpoints."""
 
 from collections.abc import Callable
 
@@ -14,9 +14,9 @@
     Parameters
     ----------
     local_ip : str
-        IP number of this process.
+        IP address of this process.
     is_stopping : callable
-        Returns True once this process stops.
+        Returns True once this process shuts down.
     """
 
     def __init__(
@@ -28,16 +28,16 @@
         self._is_stopping = is_stopping
 
     def rank_arbiters(self, key: str) -> list[str]:
-        """Return the IP numbers of the processes that may decide, the first one first.
+        """Return the IP addresses of the processes that may decide, best first.
 
         Notes
         -----
-        A process that stops leaves it to the others, who do not ask it any more: two deciders would
-        give out the limit twice.
+        A process that shuts down leaves the decision to others, which no longer ask it: two
+        arbiters would grant the limit twice.
         """
         ranked = self._members.rank_by_hash(key)
         return [ip for ip in ranked if not (self._is_stopping() and ip == self._local_ip)]
 
     def live_share(self) -> float:
-        """Return the part of the processes that is heard, if a zone is silent; else 1."""
+        """Return the live fraction of all processes if a zone is unreachable, otherwise 1."""
         return self._peers.heard_share() if self._peers.silent_zones() else 1.0
--- a/flamingofront/process/forwarding/limit_messages.py
+++ b/flamingofront/process/forwarding/limit_messages.py
@@ -1,4 +1,4 @@
-"""Datagrams by which entry processes ask one of them for a permit to send to an endpoint."""
+"""Datagrams that request and grant permits to send to rate-limited endpoints."""
 
 from collections.abc import Iterable
 from dataclasses import dataclass
@@ -28,16 +28,16 @@
 
 @dataclass(frozen=True)
 class PermitRequest:
-    """Whether a request may be sent to an endpoint, or that a permit was not used.
+    """Request for a permit to send to an endpoint, or return of an unused permit.
 
     Parameters
     ----------
     number : int
-        Number of the question at its sender; a repeated question has the same.
+        Number of the request at its sender; a duplicate has the same.
     limit : EndpointLimit
-        What the sender knows of the endpoint's limit.
+        The endpoint's limit as the sender knows it.
     priority : int
-        Rank of the request, 0 is the most urgent; less than 0 to give a permit back.
+        Priority of the request, 0 is the most urgent; negative to return a permit.
     patience : float
         Seconds for which the request can wait for its permit.
     """
@@ -50,14 +50,14 @@
 
 @dataclass(frozen=True)
 class PermitReply:
-    """Answer to a question.
+    """Reply to a permit request.
 
     Parameters
     ----------
     delay : float
-        Seconds after which the request may be sent, if the permit is given.
+        Seconds after which the request may be sent, if the permit is granted.
     wait : float
-        Seconds after which to ask again, if it is refused.
+        Seconds after which to ask again, if it is rejected.
     """
 
     number: int
@@ -67,17 +67,17 @@
 
 
 def is_permit_request(data: bytes) -> bool:
-    """Tell whether a datagram is a question for a permit."""
+    """Return True if a datagram is a permit request."""
     return data.startswith(_REQUEST)
 
 
 def is_permit_reply(data: bytes) -> bool:
-    """Tell whether a datagram is a reply to such a question."""
+    """Return True if a datagram is a reply to a permit request."""
     return data.startswith(_REPLY)
 
 
 def encode_limits(limits: Iterable[EndpointLimit]) -> list[list]:
-    """Return the JSON values of limits; lists without names, as they are told often."""
+    """Return limits as JSON values; lists without keys, since limits are sent often."""
     return [[each.endpoint_id, each.born, each.rate, round(each.named_at, 3)] for each in limits]
 
 
@@ -98,25 +98,25 @@
 def _limit(endpoint_id: str, born: int, rate: float | None, named_at: float) -> EndpointLimit:
     checked_rate = None if rate is None else float(rate)
     if checked_rate is not None and checked_rate < 0:
-        raise ValueError(f"a rate of {checked_rate} is none")
+        raise ValueError(f"rate is {checked_rate}, expected at least 0")
     return EndpointLimit(str(endpoint_id), int(born), checked_rate, float(named_at))
 
 
 def encode_permit_request(request: PermitRequest) -> bytes:
-    """Return the datagram of a question."""
+    """Return the datagram of a permit request."""
     (limit,) = encode_limits((request.limit,))
     patience = round(request.patience, 3)
     return _REQUEST + orjson.dumps((request.number, request.priority, patience, limit))
 
 
 def encode_permit_reply(reply: PermitReply) -> bytes:
-    """Return the datagram of a reply."""
+    """Return the datagram of a permit reply."""
     times = (round(reply.delay, 3), round(reply.wait, 3))
     return _REPLY + orjson.dumps((reply.number, int(reply.verdict), *times))
 
 
 def decode_permit_request(data: bytes) -> PermitRequest:
-    """Return the question in a datagram; fields that a newer version has appended are ignored.
+    """Return the permit request in a datagram; fields added by newer versions are ignored.
 
     Raises
     ------
@@ -127,11 +127,11 @@
         number, priority, patience, limit = orjson.loads(data[len(_REQUEST) :])[:4]
         return PermitRequest(int(number), _limit(*limit), int(priority), float(patience))
     except (TypeError, ValueError) as exc:
-        raise ValueError(f"malformed question: {exc!r:.100}") from exc
+        raise ValueError(f"malformed permit request: {exc!r:.100}") from exc
 
 
 def decode_permit_reply(data: bytes) -> PermitReply:
-    """Return the reply in a datagram; fields that a newer version has appended are ignored.
+    """Return the permit reply in a datagram; fields added by newer versions are ignored.
 
     Raises
     ------
@@ -142,4 +142,4 @@
         number, verdict, delay, wait = orjson.loads(data[len(_REPLY) :])[:4]
         return PermitReply(int(number), Verdict(verdict), float(delay), float(wait))
     except (TypeError, ValueError) as exc:
-        raise ValueError(f"malformed reply: {exc!r:.100}") from exc
+        raise ValueError(f"malformed permit reply: {exc!r:.100}") from exc
--- a/flamingofront/process/forwarding/node.py
+++ b/flamingofront/process/forwarding/node.py
@@ -1,4 +1,4 @@
-"""One entry process that forwards routes, without its sockets."""
+"""One entry process that forwards along routes from the store, without its sockets."""
 
 import math
 import random
@@ -62,19 +62,22 @@
 
 __all__ = ["Dependencies", "ForwardingNode"]
 
-# A request is refused early in its objective, while another entry VM can still serve it in time.
+# A request is rejected early within its latency objective, while another entry VM can still serve
+# it in time.
 QUEUE_PATIENCE_SHARE = 0.2
-# Endpoints looked at for one choice where word of the loads is late: of the few that seem idle many
-# processes would each pick the same ones. Two are those that a process uses first.
+# Endpoints compared for one choice when load reports are late: many processes would all pick the
+# same few endpoints that seem idle. The two candidates used otherwise are the ones that a process
+# prefers.
 LATE_LOAD_CANDIDATES = 3
-# Mean age of that word from which on it counts as late, in seconds: more than sixteen peers.
+# Mean age from which load reports count as late, in seconds: reached with more than sixteen peers.
 LATE_LOAD_SECONDS = 0.2
-# Pause of a relay between two questions for changes, so that many come in one answer: each question
-# has its price. The two relays of a zone ask in turn, so a change is known 0.3 s later in the mean.
+# Pause of a relay between two polls of the change feed, so that several changes come in one
+# response: each poll has a cost. The two relays of a zone poll in turn, so the mean delay of a
+# change is 0.3 s.
 FEED_PAUSE_SECONDS = 0.8
-# What an endpoint answered before it started again may still be on its way for so long.
+# Responses that an endpoint sent before its restart may be in transit for this long.
 LAST_RESPONSES_SECONDS = 0.05
-# Part of an endpoint's connections that may be idle ones.
+# Fraction of an endpoint's connections that may be idle.
 IDLE_SHARE = 0.5
 USAGE = "usage"
 SCALING = "scaling"
@@ -82,7 +85,7 @@
 
 @dataclass(frozen=True)
 class Dependencies:
-    """What a node needs from outside: sockets, time, and the platform."""
+    """External dependencies of a node: sockets, time, and the platform."""
 
     transport: Transport
     timers: TimerService
@@ -95,7 +98,7 @@
 
 
 class ForwardingNode:
-    """All parts of one entry process that forwards routes."""
+    """All components of one entry process that forwards along routes."""
 
     def __init__(
         self, settings: DeploymentSettings, dependencies: Dependencies, rng: random.Random, log: Log
@@ -112,7 +115,7 @@
         self._dependencies = replace(dependencies, store=self.store)
         self._rng = rng
         self.tasks = TaskRunner(dependencies.transport, dependencies.timers, self.fault)
-        own = PeerReport(
+        identity = PeerReport(
             settings.vm_id,
             dependencies.incarnation,
             0,
@@ -120,8 +123,8 @@
             settings.ip,
             str(settings.control_bind or settings.ready_bind),
         )
-        self._report_builder = OwnReport(own, dependencies.timers, rng)
-        self.usage = UsageBook(own.process, settings.rules.usage_window)
+        self._report_builder = OwnReport(identity, dependencies.timers, rng)
+        self.usage = UsageBook(identity.process, settings.rules.usage_window)
         self.rollouts = Rollouts(settings.rules.expose_share, self.timers.now, rng, log)
         self._build_requests()
         self._build_peers()
@@ -145,7 +148,7 @@
         self.handle_control = ControlCalls(self).handle
 
     def _make_recorder(self, rows: IntentRows, services: Services) -> IntentRecorder:
-        """Return what records requests before they are sent."""
+        """Return the recorder of send intents, which are written before each send."""
         settings = self.settings
         sender = Sender(settings.vm_id, self._dependencies.incarnation, settings.first_start)
         vanished = VanishedEndpoints(self.store, self._dependencies.tables)
@@ -211,13 +214,15 @@
         self.gateway.version_rule = self.rollouts.version_rule
 
     def _record_outcome(self, service: str, endpoint_id: str, is_bad: bool) -> None:
-        """Count an answer for the roll-out of a service, if there is one."""
+        """Count a response for the rollout of its service, if there is one."""
         self.rollouts.record_response(service, self.directory.version_of(endpoint_id), is_bad)
 
     def _sample_size(self) -> int:
+        """Return the number of endpoints to compare for one choice."""
         return LATE_LOAD_CANDIDATES if self.peers.lag() > LATE_LOAD_SECONDS else MAX_CANDIDATES
 
     def _on_endpoint_removed(self, row: EndpointRow) -> None:
+        """Drop all state of an endpoint whose row was deleted or expired."""
         self.hub.guard.ends.gone(row.endpoint_id, announced=not row.ready)
         self.directory.forget(row.endpoint_id)
         self.hub.limits.forget(row.endpoint_id)
@@ -226,11 +231,11 @@
         self.knowledge.endpoint_gone(row.endpoint_id)
 
     def _on_endpoint_leaving(self, endpoint_id: str, request: str) -> None:
-        """Take word of an endpoint itself that it leaves."""
+        """Record that an endpoint has announced in a response that it leaves."""
         self.knowledge.endpoints.mark_leaving(endpoint_id, "answer", request)
 
     def _on_endpoint_restarted(self, row: EndpointRow, before: EndpointRow) -> None:
-        """Forget the earlier start of an endpoint, and what ran there."""
+        """Drop the state and the requests of an endpoint's earlier incarnation."""
         self.directory.forget(row.endpoint_id)
         self.hub.limits.forget(row.endpoint_id)
         self.hub.pauses.forget(row.endpoint_id)
@@ -239,7 +244,7 @@
             self._dependencies.transport.drop_idle(address)
         ago = self.peers.true_time() - row.born / 1000
         at = self.timers.now() - ago
-        # What has arrived of its last answers is read first.
+        # Responses in transit from the earlier incarnation are read first.
         self.timers.once(
             LAST_RESPONSES_SECONDS, lambda: self.hub.endpoint_restarted(row.endpoint_id, at)
         )
@@ -336,16 +341,19 @@
         return self._addresses(self.peers.relaying.relays_elsewhere() if self.peers.many else [])
 
     def _zone_peers(self) -> list[str]:
-        """Return the control addresses of the other processes of the zone, in random order."""
+        """Return the control addresses of the other processes in the zone, in random order."""
         near = self.peers.relaying.near() if self.peers.many else {}
         return self._addresses(sorted({*near.values()} - {self._report_builder.identity.ip}))
 
     def _addresses(self, ips: list[str]) -> list[str]:
-        own = self._report_builder.identity
-        return [own.address.replace(own.ip, ip, 1) for ip in self._rng.sample(ips, len(ips))]
+        """Return the control addresses for some IP addresses, in random order."""
+        identity = self._report_builder.identity
+        return [
+            identity.address.replace(identity.ip, ip, 1) for ip in self._rng.sample(ips, len(ips))
+        ]
 
     def _build_limits(self) -> None:
-        """Let one process decide on each endpoint that names the rate that it takes from all."""
+        """Build the arbitration of the rate limits that endpoints advertise."""
         limits, permits = self.hub.limits, self.hub.permits
         limits.wall = self.peers.true_time
         limits.born_of = self.knowledge.endpoints.born
@@ -366,24 +374,24 @@
         self.peers.on_permit_reply = self.limit_arbiters.handle_reply
 
     def _defers_quota_decisions(self) -> bool:
-        """Tell whether others are to decide on quotas: they know more, or stay longer."""
+        """Return True if this process is stopping or new, so others decide on quotas."""
         return self.stopping or self.quota_members.is_newcomer()
 
     def _is_standby(self) -> bool:
-        """Tell whether others follow the store for this process."""
+        """Return True if other processes watch the store for this one."""
         if self.peers.many:
             return self.peers.relaying.may_rest()
         return self.readers.may_rest()
 
     def _on_store_change(self) -> None:
-        """Tell the zone, if others may rest because this process follows the store."""
+        """Report a store change to the zone, which may rely on this process as watcher."""
         self.peers.tell_zone()
         if self._has_unsent_leaving:
             self._has_unsent_leaving = False
             self.peers.tell_leaving()
 
     def _on_row_leaving(self, row: EndpointRow) -> None:
-        """Tell of a leaving endpoint once all that came with its row is taken in."""
+        """Defer the report of a leaving endpoint until all changes of its poll are applied."""
         self._has_unsent_leaving = True
 
     def _build_leader_tasks(self) -> None:
@@ -451,15 +459,15 @@
         self.leader_tasks.append(rollout_controller)
 
     def _cache_tokens(self, service: str) -> float:
-        known = self.configuration.services.get(service)
-        return known.cache_tokens if known is not None and known.cache_tokens else math.inf
+        config = self.configuration.services.get(service)
+        return config.cache_tokens if config is not None and config.cache_tokens else math.inf
 
     def member_share(self) -> float:
-        """Return one process's part of all entry processes, by their number."""
+        """Return one process's share of all entry processes: 1 divided by their number."""
         return 1.0 / self.peers.member_count()
 
     def _count_started(self, request: ForwardedRequest) -> None:
-        """Count a request in the window in which an endpoint began it."""
+        """Count a request in the usage window in which it started to run."""
         if not request.work.workspace:
             return
         ago = self.timers.now() - request.began_at()
@@ -468,7 +476,7 @@
     # Peers
 
     def own_report(self) -> PeerReport:
-        """Return this process's report as it is now."""
+        """Return this process's current report."""
         self._report_builder.leaving = self.stopping
         return self._gossip.own_report()
 
@@ -477,8 +485,8 @@
 
         Notes
         -----
-        An endpoint limits its connections over all callers, so each process's part shrinks as the
-        processes grow in number. Half of it is left for connections in use.
+        An endpoint limits its connections over all entry processes, so the share of one process
+        shrinks as their number grows. Half of the share is left for connections in use.
         """
         row = next(
             (each for each in self.knowledge.endpoints.rows() if each.address == address), None
@@ -490,7 +498,7 @@
         return max(1, min(MAX_IDLE_PER_ADDRESS, int(part)))
 
     def start(self) -> None:
-        """Begin all periodic work."""
+        """Start all periodic work."""
         self.peers.start()
         self.observations.start()
         self.arbiters.start()
@@ -505,13 +513,13 @@
         self.log.info("started", zone=self.settings.zone, first=self.settings.first_start)
 
     def fault(self, exc: BaseException) -> None:
-        """Log a fault of the program."""
+        """Log an unhandled exception."""
         self.metrics.count("faults_total")
         self.log.error("fault", exc=exc)
 
     @property
     def configuration(self) -> ForwardingConfiguration:
-        """Configuration in force."""
+        """Active configuration."""
         return self.knowledge.configuration
 
     def _on_configuration_change(self, cfg: ForwardingConfiguration) -> None:
@@ -521,16 +529,16 @@
 
     @property
     def ready(self) -> bool:
-        """True if the balancer may send new connections here."""
-        known = bool(self.configuration.version) and bool(len(self.facts))
-        return known and not self.stopping
+        """True if the balancer may send new connections to this process."""
+        has_routes = bool(self.configuration.version) and bool(len(self.facts))
+        return has_routes and not self.stopping
 
     # Inbound calls
 
     def handle_caller(self, req: InboundRequest, exchange: Exchange) -> None:
-        """Take a request that came to the callers' address."""
+        """Handle a request that arrived at the callers' address."""
         self.gateway.handle(req, exchange)
 
     def handle_ready(self, req: InboundRequest, exchange: Exchange) -> None:
-        """Answer the balancer whether new connections may come here."""
+        """Respond to the balancer's readiness check."""
         exchange.respond(200 if self.ready else 503, (), b"")
--- a/flamingofront/process/forwarding/quota_arbiter.py
+++ b/flamingofront/process/forwarding/quota_arbiter.py
@@ -1,9 +1,9 @@
-"""Which process decides on the quota of a workspace, and how the others ask it.
+"""Arbitration of the quotas of workspaces: which process decides, and how others ask it.
 
-Each process ranks those that it knows by rendezvous hash and asks the first one; nothing is agreed
-on. A process that does not know what was taken before its start passes the question on to the next.
-Views that differ for a moment are borne by `SharedQuota`, which takes an arbiter that has just
-become one for one of two.
+Each process ranks the processes that it can reach by rendezvous hashing and asks the first one;
+there is no agreement protocol. A process that does not know what was consumed before its start
+declines, and the next one is asked. `SharedQuota` tolerates views that differ for a moment: it
+treats an arbiter that has just become first in rank as one of two.
 """
 
 from collections.abc import Callable, Mapping
@@ -34,34 +34,34 @@
 
 __all__ = ["QuotaArbiters", "QuotaContext"]
 
-# A process that has been the first in rank for so long knows all that was taken without it.
+# After this time as first in rank a process knows all that was consumed without it.
 SETTLED_SECONDS = 2.0
 ROLE_CHECK_SECONDS = 0.5
 
 
 @dataclass(frozen=True)
 class QuotaContext:
-    """What the arbitration needs to know of its process.
+    """What the arbitration of quotas needs to know of its process.
 
     Parameters
     ----------
     local_ip : str
-        IP number of this process.
+        IP address of this process.
     incarnation : int
         Start of this process, in milliseconds.
-    ranked : callable
-        Returns, for the name of a workspace, the IP numbers of the processes in their order.
+    rank_arbiters : callable
+        Returns, for a workspace name, the IP addresses of the candidate arbiters, best first.
     workspaces : callable
-        Returns the workspaces of the configuration in force, by name.
+        Returns the workspaces of the active configuration, by name.
     should_defer : callable
-        Returns True if other processes are to decide: they may know what was taken before this one
-        began.
-    lost_memory : callable
-        Returns True if a process has begun anew within the window, so that what was decided lately
-        may not be known to anyone.
-    sides : callable
-        Returns, for the name of a workspace, into how many sides a partition may have divided the
-        processes; 1 if there seems to be none.
+        Returns True if other processes are to decide, since they may know what was consumed before
+        this one started.
+    has_recent_restart : callable
+        Returns True if a process has started within the quota window, so that recent decisions may
+        be lost.
+    partition_count : callable
+        Returns, for a workspace name, into how many groups a network partition may have divided the
+        processes; 1 if there is no sign of one.
     """
 
     local_ip: str
@@ -83,17 +83,17 @@
 
     @property
     def key(self) -> str:
-        """Name of the workspace: it ranks who decides."""
+        """Name of the workspace, by which the candidate arbiters are ranked."""
         return self.workspace.name
 
 
 class QuotaArbiters(QuotaGate, ArbiterProtocol[_PendingCharge]):
-    """Has requests of workspaces with a quota decided on, here or at another process.
+    """Decides on requests of workspaces with a quota, as arbiter or by asking one.
 
     Parameters
     ----------
     send : callable
-        Sends a datagram to an IP number.
+        Sends a datagram to an IP address.
     """
 
     def __init__(
@@ -120,11 +120,11 @@
         self._settled: set[str] = set()
 
     def start(self) -> None:
-        """Begin to follow which workspaces this process decides on."""
+        """Start to check periodically for which workspaces this process is the arbiter."""
         self._timers.every(ROLE_CHECK_SECONDS, self._update_role, first=0.0, relaxed=True)
 
     def _update_role(self) -> None:
-        """Take note since when this process is the first in rank, by workspace."""
+        """Record since when this process is first in rank, by workspace."""
         now = self._timers.now()
         limited = [each.name for each in self._context.workspaces().values() if each.rate > 0]
         local = [
@@ -136,10 +136,10 @@
         self._first_rank_since = {name: previous.get(name, now) for name in local}
         self._update_settled(now)
         if self._first_rank_since.keys() != previous.keys():
-            self._log.info("decides on quotas", workspaces=sorted(local))
+            self._log.info("arbiter of quotas", workspaces=sorted(local))
 
     def _update_settled(self, now: float) -> None:
-        """Begin to decide alone where this process has been the first for long enough."""
+        """Become sole arbiter of workspaces after ranking first for long enough."""
         settled = {
             name for name, since in self._first_rank_since.items() if now - since >= SETTLED_SECONDS
         }
@@ -149,7 +149,7 @@
                 self._quota.begin_as_arbiter(workspaces[name], now)
         self._settled = settled
 
-    # Asking
+    # Requests to arbiters
 
     def decide(
         self,
@@ -157,31 +157,31 @@
         units: float,
         then: Callable[[QuotaDecision], None],
     ) -> None:
-        """Have a request decided on, and pass the decision on; at once if it is made here."""
+        """Pass the decision on a request to `then`; at once if this process decides."""
         if workspace.rate <= 0:
             then(QuotaDecision(0.0))
             return
         self._client.submit(_PendingCharge(workspace, units, then))
 
     def encode_request(self, number: int, request: _PendingCharge) -> bytes:
-        """Return the datagram that asks whether a request may pass."""
+        """Return the datagram that asks whether a request is within its quota."""
         return encode_quota_request(QuotaRequest(number, request.workspace.name, request.units))
 
     def decide_as_arbiter(self, request: _PendingCharge) -> bool:
-        """Decide on a request for all processes; False if others are to."""
+        """Decide on a request for all processes; return False if others are to decide."""
         if self._context.should_defer():
             return False
         request.then(QuotaDecision(self._wait_seconds(request.workspace, request.units)))
         return True
 
     def decide_locally(self, request: _PendingCharge) -> None:
-        """Decide by the own part of what is left, since nobody who decides for all is reached."""
+        """Decide within this process's share of the quota, since no arbiter can be reached."""
         is_newcomer = self._context.should_defer()
         wait_of = self._quota.wait_as_newcomer if is_newcomer else self._quota.wait
         request.then(QuotaDecision(wait_of(request.workspace, request.units, self._timers.now())))
 
     def unused(self, workspace: ForwardedWorkspace, units: float, decision: QuotaDecision) -> None:
-        """Give back what was allowed to a request that was not taken in the end."""
+        """Return the units granted to a request that was not sent to an endpoint."""
         if decision.arbiter:
             self._return_units(workspace.name, units, decision.arbiter)
 
@@ -190,7 +190,7 @@
         self._send(encode_quota_request(request), ip)
 
     def handle_reply(self, data: bytes, ip: str) -> None:
-        """Take the reply of an arbiter.
+        """Handle the reply of an arbiter.
 
         Raises
         ------
@@ -208,15 +208,15 @@
         request.then(QuotaDecision(reply.wait, ip, reply.state))
 
     def _return_late_grant(self, reply: QuotaReply, ip: str) -> None:
-        """Give a permission back that came when another process had been asked already."""
+        """Return the units of a grant that arrived after another process was asked."""
         request = self._client.late_request(reply.number, ip)
         if request is not None and reply.verdict is Verdict.ALLOWED:
             self._return_units(request.workspace.name, request.units, ip)
 
-    # Deciding
+    # Requests from other processes
 
     def handle_request(self, data: bytes, ip: str) -> None:
-        """Decide on the question of another process and reply.
+        """Decide on the quota request of another process and reply.
 
         Raises
         ------
@@ -250,13 +250,14 @@
         return QuotaReply(request.number, verdict, max(0.0, wait), state)
 
     def _is_candidate(self, name: str) -> bool:
-        """Tell whether this process is among those that it would ask itself."""
+        """Return True if this process ranks itself among the arbiters and need not defer."""
         return (
             self._context.local_ip in self._context.rank_arbiters(name)
             and not self._context.should_defer()
         )
 
     def _wait_seconds(self, workspace: ForwardedWorkspace, units: float) -> float:
+        """Return the seconds until the units are within the quota; 0 or less if they are now."""
         now = self._timers.now()
         if workspace.name in self._settled:
             return self._quota.wait_as_arbiter(workspace, units, now)
--- a/flamingofront/process/forwarding/quota_members.py
+++ b/flamingofront/process/forwarding/quota_members.py
@@ -1,4 +1,4 @@
-"""Which entry processes may decide on quotas, as this process hears them."""
+"""Ranking of the entry processes that may arbitrate quotas."""
 
 import math
 from dataclasses import replace
@@ -10,7 +10,7 @@
 
 __all__ = ["QuotaMembers"]
 
-# A zone of which no report came for so many turns may be cut off.
+# A zone without a report for this many report periods may be partitioned.
 LATE_REPORT_PERIODS = 2.5
 
 
@@ -19,24 +19,24 @@
 
     Parameters
     ----------
-    own : PeerReport
+    identity : PeerReport
         Identity of this process.
     window : float
-        Seconds for which what was taken of a quota counts.
+        Seconds for which consumed units count against a quota.
     """
 
-    def __init__(self, own: PeerReport, peers: Peers, window: float, timers: TimerService):
-        self._local = own
+    def __init__(self, identity: PeerReport, peers: Peers, window: float, timers: TimerService):
+        self._local = identity
         self._peers = peers
         self._window = window
         self._timers = timers
 
     def rank_by_hash(self, key: str) -> list[str]:
-        """Return the IP numbers of the processes that may decide on something, the first one first.
+        """Return the IP addresses of the processes that may decide on a key, best first.
 
         Notes
         -----
-        Among many processes these are the relays: they alone hear all the others.
+        In a large deployment these are the relays: only they receive reports from all processes.
         """
         if self._peers.many:
             return self._peers.relaying.ranked_relays(key)
@@ -46,24 +46,24 @@
         return [ips[name] for name in rank(key, ips)]
 
     def rank_arbiters(self, workspace: str) -> list[str]:
-        """Return the IP numbers of the processes that may decide on a quota, the first one first.
+        """Return the IP addresses of the processes that may decide on a quota, best first.
 
         Notes
         -----
-        Those that began within the window of the quotas come last, since they do not know what was
-        taken before.
+        Processes that started within the quota window come last, since they do not know what was
+        consumed before.
         """
-        heard = self._live_members()
+        live = self._live_members()
         new = {
             each.ip
-            for each in (*heard, *self._relays(), self._current_local())
+            for each in (*live, *self._relays(), self._current_local())
             if self._is_new(each)
         }
         return sorted(self.rank_by_hash(workspace), key=lambda ip: ip in new)
 
     def _live_members(self) -> list[PeerReport]:
-        heard = self._peers.table.heard(self._timers.now())
-        return [each for each in heard if not each.leaving]
+        live = self._peers.table.heard(self._timers.now())
+        return [each for each in live if not each.leaving]
 
     def _relays(self) -> list[PeerReport]:
         return self._peers.relaying.relays_heard() if self._peers.many else []
@@ -75,12 +75,12 @@
         return report.wall - report.incarnation / 1000 < self._window
 
     def has_recent_restart(self) -> bool:
-        """Tell whether a process that is heard, or this one, began within the quotas' window."""
+        """Return True if a live process, or this one, started within the quota window."""
         wall = self._timers.wall()
         return any(wall - began < self._window for began in self._peers.starts())
 
     def is_newcomer(self) -> bool:
-        """Tell whether others may know what was taken of the quotas before this process began."""
+        """Return True if others may know what was consumed before this process started."""
         if not self._is_new(self._current_local()):
             return False
         candidates = [*self._live_members(), *self._relays()]
@@ -89,12 +89,12 @@
         return any(not self._is_new(each) for each in candidates)
 
     def partition_count(self, workspace: str) -> int:
-        """Return into how many sides a partition may have divided those who decide on a quota.
+        """Return into how many groups a partition may have divided the arbiters of a quota.
 
         Notes
         -----
-        If this process is asked in place of one that it heard a moment ago, that one is out of
-        reach for those who ask: it has just ended, or any zone may be cut off from the others.
+        If this process is asked in place of one from which it received a recent report, the callers
+        cannot reach that one: it has just ended, or any zone may be partitioned from the others.
         """
         now = self._timers.now()
         zones = self._last_received_by_zone(now)
@@ -108,7 +108,7 @@
         return LATE_REPORT_PERIODS * self._peers.period()
 
     def _last_received_by_zone(self, now: float) -> dict[str, float]:
-        """Return when any process of each zone was heard last; never counts as long ago."""
+        """Return when the last report of each zone was received; -inf if never."""
         table, relaying = self._peers.table, self._peers.relaying
         found = dict.fromkeys((self._local.zone, *relaying.zones()), -math.inf)
         for each in table.members(now):
--- a/flamingofront/process/forwarding/quota_messages.py
+++ b/flamingofront/process/forwarding/quota_messages.py
@@ -1,4 +1,4 @@
-"""Datagrams by which entry processes ask one of them whether a request is within its quota."""
+"""Datagrams that ask an arbiter whether a request is within the quota of its workspace."""
 
 from dataclasses import dataclass
 from enum import IntEnum
@@ -24,7 +24,7 @@
 
 
 class Verdict(IntEnum):
-    """What an arbiter says of a request."""
+    """Decision of an arbiter on a request."""
 
     ALLOWED = 0
     REFUSED = 1
@@ -35,14 +35,14 @@
 
 @dataclass(frozen=True)
 class QuotaRequest:
-    """Whether a request of a workspace may pass, or that one which was allowed has not passed.
+    """Request to charge units to the quota of a workspace, or to return units already granted.
 
     Parameters
     ----------
     number : int
-        Number of the question at its sender; a repeated question has the same.
+        Number of the request at its sender; a duplicate has the same.
     units : float
-        Units of the request; less than nothing to give back what was allowed.
+        Units to charge; negative to return granted units.
     """
 
     number: int
@@ -52,14 +52,14 @@
 
 @dataclass(frozen=True)
 class QuotaReply:
-    """Answer to a question.
+    """Reply to a quota request.
 
     Parameters
     ----------
     wait : float
-        Seconds after which a refused request would pass.
+        Seconds after which a rejected request would be admitted.
     state : QuotaState
-        What decided.
+        State of the quota on which the decision is based.
     """
 
     number: int
@@ -69,23 +69,23 @@
 
 
 def is_quota_request(data: bytes) -> bool:
-    """Tell whether a datagram is a question."""
+    """Return True if a datagram is a quota request."""
     return data.startswith(_REQUEST)
 
 
 def is_quota_reply(data: bytes) -> bool:
-    """Tell whether a datagram is a reply."""
+    """Return True if a datagram is a quota reply."""
     return data.startswith(_REPLY)
 
 
 def encode_quota_request(request: QuotaRequest) -> bytes:
-    """Return the datagram of a question."""
+    """Return the datagram of a quota request."""
     fields = (request.number, request.workspace, round(request.units, 3))
     return _REQUEST + orjson.dumps(fields)
 
 
 def encode_quota_reply(reply: QuotaReply) -> bytes:
-    """Return the datagram of a reply."""
+    """Return the datagram of a quota reply."""
     state = reply.state
     fields = (
         reply.number,
@@ -102,7 +102,7 @@
 
 
 def decode_quota_request(data: bytes) -> QuotaRequest:
-    """Return the question in a datagram; fields that a newer version has appended are ignored.
+    """Return the quota request in a datagram; fields added by newer versions are ignored.
 
     Raises
     ------
@@ -113,11 +113,11 @@
         number, workspace, units = orjson.loads(data[1:])[:3]
         return QuotaRequest(int(number), str(workspace), float(units))
     except (TypeError, ValueError) as exc:
-        raise ValueError(f"malformed question: {exc!r:.100}") from exc
+        raise ValueError(f"malformed quota request: {exc!r:.100}") from exc
 
 
 def decode_quota_reply(data: bytes) -> QuotaReply:
-    """Return the reply in a datagram; fields that a newer version has appended are ignored.
+    """Return the quota reply in a datagram; fields added by newer versions are ignored.
 
     Raises
     ------
@@ -131,11 +131,11 @@
         state = QuotaState(bucket, taken, limit, *_later_fields(values[6:9]))
         return QuotaReply(int(number), Verdict(verdict), wait, state)
     except (TypeError, ValueError) as exc:
-        raise ValueError(f"malformed reply: {exc!r:.100}") from exc
+        raise ValueError(f"malformed quota reply: {exc!r:.100}") from exc
 
 
 def _later_fields(values: list) -> tuple[float, float, QuotaRule, float | None]:
-    """Return the further fields of a state; a process of an earlier version tells none."""
+    """Return the state's fields that were added later, with defaults for older senders."""
     if len(values) < 3:
         return 1.0, 0.0, QuotaRule.NONE, None
     heard_share, rule, since_start = values
--- a/flamingofront/process/forwarding/rollouts.py
+++ b/flamingofront/process/forwarding/rollouts.py
@@ -1,4 +1,4 @@
-"""Roll-outs as one entry process sees them, and the duty that gives the verdicts."""
+"""Rollouts as one entry process sees them, and the leader task that decides their phases."""
 
 import random
 from collections import Counter
@@ -26,10 +26,10 @@
 __all__ = ["RolloutController", "RolloutRows", "Rollouts"]
 
 STEP_SECONDS = 0.5
-# An order is begun so long after it was seen: others may know it as one that is over, of which the
-# store has lost word, and tell so within a second, also through relays.
+# Delay before a new order is started: if the store has lost the status of a finished rollout, peers
+# report it within a second, also through relays.
 PEER_UPDATE_SECONDS = 1.5
-# Sums of roll-outs go beside those of quotas, under names that no workspace has.
+# Rollout counts share a mapping with quota counts, under keys that no workspace name can have.
 _SEPARATOR = "\x1e"
 _NEW, _OLD = "new", "old"
 _GOOD, _BAD = "good", "bad"
@@ -37,7 +37,7 @@
 
 @dataclass
 class _Rollout:
-    """A roll-out that is known here; times on the own clock."""
+    """A rollout that this process tracks; times in seconds of the local monotonic clock."""
 
     order: RolloutOrder
     seen_at: float
@@ -50,33 +50,33 @@
         return Tally(self.counts[side, _GOOD], self.counts[side, _BAD])
 
 
-def _blocked_versions(known: _Rollout | None, order: RolloutOrder) -> frozenset[str]:
-    """Return the versions that get nothing once an order has replaced another."""
-    if known is None or known.phase is Phase.COMPLETED:
+def _blocked_versions(rollout: _Rollout | None, order: RolloutOrder) -> frozenset[str]:
+    """Return the versions that get no requests once an order has replaced another."""
+    if rollout is None or rollout.phase is Phase.COMPLETED:
         return frozenset()
-    return (known.withheld | {known.order.version}) - {order.version}
+    return (rollout.withheld | {rollout.order.version}) - {order.version}
 
 
 def _is_renumbered(before: RolloutOrder, order: RolloutOrder) -> bool:
-    """Tell whether an order is an earlier one that the store tells under another number.
+    """Return True if an order is an earlier one that the store reports under another number.
 
     Notes
     -----
-    A store that came back from a copy numbers its rows anew, and an order that the copy lacked is
-    written again by its owner. Taken for a new order, a version that was judged bad got requests
-    again. The same order given twice in one era is a new one.
+    A store restored from an older snapshot numbers its rows anew, and an order that the snapshot
+    lacked is written again by its owner. Treated as a new order, it would send requests to a
+    version that was already rolled back. The same order given twice in one era is a new one.
     """
     same = (before.version, before.seconds) == (order.version, order.seconds)
     return same and era_of(before.number) < era_of(order.number)
 
 
 class Rollouts:
-    """What this process knows of roll-outs, and which versions its requests go to.
+    """Rollouts that this process tracks, and the versions its requests may go to.
 
     Parameters
     ----------
     share : float
-        Part of a service's requests that a bad version may get at most.
+        Largest fraction of a service's requests that a bad version may get.
     now : callable
         Time of the timer service.
     """
@@ -86,43 +86,43 @@
         self._now = now
         self._rng = rng
         self._log = log
-        self._known: dict[str, _Rollout] = {}
+        self._tracked: dict[str, _Rollout] = {}
         self._local_counts: Counter[str] = Counter()
-        # Called after a verdict that is given here, so that the others hear of it at once.
+        # Called after a phase decided by this process, to send it to the peers at once.
         self.on_verdict: Callable[[], None] = lambda: None
-        # Called for each new order, so that it is looked up how far its roll-out is already.
+        # Called for each new order, to load the status that its rollout has already reached.
         self.on_order: Callable[[], None] = lambda: None
         self._peer_counts: dict[tuple[str, str], float] = {}
 
     def list_orders(self) -> list[RolloutOrder]:
-        """Return the orders that are known, one a service at most."""
-        return [each.order for each in self._known.values()]
+        """Return the tracked orders, at most one per service."""
+        return [each.order for each in self._tracked.values()]
 
     def get_phase(self, service: str) -> Phase | None:
-        """Return how far a service's roll-out is; None without one."""
-        known = self._known.get(service)
-        return known.phase if known is not None else None
+        """Return the phase of a service's rollout; None without one."""
+        rollout = self._tracked.get(service)
+        return rollout.phase if rollout is not None else None
 
     def apply_order(self, order: RolloutOrder) -> None:
-        """Take an order in; one that replaces another begins anew."""
-        known = self._known.get(order.service)
-        if known is not None and known.order.number >= order.number:
+        """Track an order; one that replaces another starts a new rollout."""
+        rollout = self._tracked.get(order.service)
+        if rollout is not None and rollout.order.number >= order.number:
             return
-        if known is not None and _is_renumbered(known.order, order):
-            known.order = order
+        if rollout is not None and _is_renumbered(rollout.order, order):
+            rollout.order = order
             self._log.info(
-                "roll-out ordered again by its owner",
+                "rollout order renumbered after store restore",
                 service=order.service,
                 version=order.version,
                 number=order.number,
-                phase=known.phase.name.lower(),
+                phase=rollout.phase.name.lower(),
             )
             return
-        self._known[order.service] = _Rollout(
-            order, self._now(), withheld=_blocked_versions(known, order)
+        self._tracked[order.service] = _Rollout(
+            order, self._now(), withheld=_blocked_versions(rollout, order)
         )
         self._log.info(
-            "roll-out ordered",
+            "rollout ordered",
             service=order.service,
             version=order.version,
             seconds=order.seconds,
@@ -131,43 +131,45 @@
         self.on_order()
 
     def make_status(self, service: str, phase: Phase, wall: float) -> RolloutStatus:
-        """Return what is to be kept of a service's roll-out that comes to a phase now."""
-        known = self._known[service]
-        since = round(wall - (self._now() - known.seen_at), 3)
-        return RolloutStatus(known.order.number, known.order.version, phase, since, known.withheld)
+        """Return the status to store for a service's rollout that enters a phase now."""
+        rollout = self._tracked[service]
+        since = round(wall - (self._now() - rollout.seen_at), 3)
+        return RolloutStatus(
+            rollout.order.number, rollout.order.version, phase, since, rollout.withheld
+        )
 
     def apply_status(self, service: str, status: RolloutStatus, wall: float) -> None:
-        """Take in how far a service's roll-out is, as an earlier holder left it."""
-        known = self._known[service]
-        rewritten = replace(known.order, number=status.number, version=status.version)
-        if status.number == known.order.number or _is_renumbered(rewritten, known.order):
+        """Apply the status of a service's rollout as an earlier lease holder stored it."""
+        rollout = self._tracked[service]
+        rewritten = replace(rollout.order, number=status.number, version=status.version)
+        if status.number == rollout.order.number or _is_renumbered(rewritten, rollout.order):
             ago = max(0.0, wall - status.since)
-            known.seen_at = min(known.seen_at, self._now() - ago)
-            known.withheld |= status.withheld
-            self.advance_phase(service, known.order.number, status.phase, "store")
-        elif status.number < known.order.number and status.phase is not Phase.COMPLETED:
-            known.withheld |= (status.withheld | {status.version}) - {known.order.version}
+            rollout.seen_at = min(rollout.seen_at, self._now() - ago)
+            rollout.withheld |= status.withheld
+            self.advance_phase(service, rollout.order.number, status.phase, "store")
+        elif status.number < rollout.order.number and status.phase is not Phase.COMPLETED:
+            rollout.withheld |= (status.withheld | {status.version}) - {rollout.order.version}
 
     def advance_phase(self, service: str, number: int, phase: Phase, source: str) -> None:
-        """Take word that a roll-out has come to a phase; it never goes back."""
-        known = self._known.get(service)
-        if known is None or known.order.number != number or phase <= known.phase:
+        """Move a rollout forward to a phase; an earlier phase is ignored."""
+        rollout = self._tracked.get(service)
+        if rollout is None or rollout.order.number != number or phase <= rollout.phase:
             return
         self._log.info(
-            "roll-out phase",
+            "rollout phase changed",
             service=service,
-            version=known.order.version,
+            version=rollout.order.version,
             number=number,
             phase=phase.name.lower(),
-            before=known.phase.name.lower(),
+            before=rollout.phase.name.lower(),
             source=source,
-            **self._count_fields(known),
+            **self._count_fields(rollout),
         )
-        known.phase = phase
+        rollout.phase = phase
 
     @staticmethod
-    def _count_fields(known: _Rollout) -> dict[str, float]:
-        new, old = known.tally(_NEW), known.tally(_OLD)
+    def _count_fields(rollout: _Rollout) -> dict[str, float]:
+        new, old = rollout.tally(_NEW), rollout.tally(_OLD)
         return {
             "new_answers": new.total,
             "new_bad": new.bad,
@@ -175,29 +177,29 @@
             "old_bad": old.bad,
         }
 
-    # Word between processes
+    # Updates between processes
 
     def phase_update(self) -> dict[str, tuple[int, int]]:
-        """Return order number and phase by service, to tell the others."""
-        return {name: (each.order.number, int(each.phase)) for name, each in self._known.items()}
+        """Return order number and phase by service, for reports to peers."""
+        return {name: (each.order.number, int(each.phase)) for name, each in self._tracked.items()}
 
     def merge_update(self, update: Mapping[str, tuple[int, int]]) -> bool:
-        """Take a peer's word; True if it tells of an order that is not known here."""
+        """Merge a peer's phases; return True if the peer has an order that this process lacks."""
         has_unknown_order = False
         for service, (number, phase) in update.items():
-            known = self._known.get(service)
-            if known is None or known.order.number < number:
+            rollout = self._tracked.get(service)
+            if rollout is None or rollout.order.number < number:
                 has_unknown_order = True
             else:
                 self.advance_phase(service, number, Phase(phase), "peer")
         return has_unknown_order
 
     def local_counts(self) -> dict[str, int]:
-        """Return what this process has counted in all, to tell the others."""
+        """Return the responses counted by this process since its start, for reports to peers."""
         return dict(self._local_counts)
 
     def merge_counts(self, process: str, counts: Mapping[str, float], is_counted: bool) -> None:
-        """Take what others have counted in all; what it has grown is added if it counts."""
+        """Merge a process's total counts; their increase is added only if `is_counted`."""
         for name, total in counts.items():
             if not name.startswith(_SEPARATOR):
                 continue
@@ -208,68 +210,76 @@
 
     def _add_count(self, name: str, count: int) -> None:
         _, service, number, side, outcome = name.split(_SEPARATOR)
-        known = self._known.get(service)
-        if known is not None and str(known.order.number) == number:
-            known.counts[side, outcome] += count
-            self._check_new_version(known)
-
-    def _check_new_version(self, known: _Rollout) -> None:
-        """Stop by the evidence that is heard, before any verdict."""
-        if not known.stopped and seems_bad(known.tally(_NEW), known.tally(_OLD)):
-            known.stopped = True
+        rollout = self._tracked.get(service)
+        if rollout is not None and str(rollout.order.number) == number:
+            rollout.counts[side, outcome] += count
+            self._check_new_version(rollout)
+
+    def _check_new_version(self, rollout: _Rollout) -> None:
+        """Stop sending requests to a new version that seems bad, before the leader decides."""
+        if not rollout.stopped and seems_bad(rollout.tally(_NEW), rollout.tally(_OLD)):
+            rollout.stopped = True
             self._log.warning(
-                "new version stopped here", service=known.order.service, **self._count_fields(known)
+                "new version stopped locally",
+                service=rollout.order.service,
+                **self._count_fields(rollout),
             )
 
     # Requests
 
     def version_rule(self, service: str, is_first: bool) -> VersionRule | None:
-        """Return which endpoints an attempt may go to; None if that makes no difference.
+        """Return which endpoints an attempt may go to; None without a rollout.
 
         Parameters
         ----------
         is_first : bool
-            False for further attempts of a request: they go to the old version, so that the new one
-            gets no more than its share.
+            False for retries and hedges of a request: they go to the old version, so that the new
+            one gets no more than its share.
         """
-        known = self._known.get(service)
-        if known is None:
+        rollout = self._tracked.get(service)
+        if rollout is None:
             return None
-        exposed = known.phase in (Phase.MOVING, Phase.COMPLETED)
-        if known.phase is Phase.RUNNING and is_first and not known.stopped:
+        exposed = rollout.phase in (Phase.MOVING, Phase.COMPLETED)
+        if rollout.phase is Phase.RUNNING and is_first and not rollout.stopped:
             exposed = self._rng.random() < self._part
-        return VersionRule(known.order.version, exposed, known.withheld)
+        return VersionRule(rollout.order.version, exposed, rollout.withheld)
 
     def record_response(self, service: str, version: str, is_bad: bool) -> None:
-        """Count an answer of an endpoint."""
-        known = self._known.get(service)
-        if known is None or known.phase.is_final:
+        """Count a response of an endpoint for the rollout of its service."""
+        rollout = self._tracked.get(service)
+        if rollout is None or rollout.phase.is_final:
             return
-        side = _NEW if version == known.order.version else _OLD
+        side = _NEW if version == rollout.order.version else _OLD
         outcome = _BAD if is_bad else _GOOD
-        name = _SEPARATOR.join(("", service, str(known.order.number), side, outcome))
+        name = _SEPARATOR.join(("", service, str(rollout.order.number), side, outcome))
         self._local_counts[name] += 1
         self._add_count(name, 1)
 
     def collect_evidence(self, service: str, old_idle_seconds: float) -> Evidence:
-        """Return what is known of a service's roll-out."""
-        known = self._known[service]
-        age = self._now() - known.seen_at
-        return Evidence(known.tally(_NEW), known.tally(_OLD), age, old_idle_seconds)
+        """Return the evidence on a service's rollout.
+
+        Parameters
+        ----------
+        old_idle_seconds : float
+            Time for which no request has run at the old version.
+        """
+        rollout = self._tracked[service]
+        age = self._now() - rollout.seen_at
+        return Evidence(rollout.tally(_NEW), rollout.tally(_OLD), age, old_idle_seconds)
 
 
 @dataclass(frozen=True)
 class RolloutRows:
-    """Where the platform keeps roll-outs, and how their rows are decoded.
+    """Where the platform keeps rollouts, and how their rows are decoded.
 
     Parameters
     ----------
     service_of : callable
-        Returns the service that a key of the table of orders is about, empty for other keys.
+        Returns the service of a key in the table of orders, empty for other keys.
     decode_order : callable
         Returns the `RolloutOrder` in a row's service, value and version.
     status_table : str
-        Where the system tells how far a roll-out is.
+        Table in which this system stores the phases of rollouts.
     """
 
     service_of: Callable[[str], str]
@@ -281,16 +291,16 @@
 
 
 class RolloutController:
-    """Gives the verdicts, as holder of the duty lease.
+    """Leader task that decides the phases of rollouts.
 
-    Each step is one conditional write of the row that tells it: of two holders one fails, and a
-    successor goes on where the row stands.
+    Each step is one conditional write of the status row: of two lease holders one fails, and a
+    successor continues from the row.
 
     Parameters
     ----------
     old_in_flight : callable
-        Returns the requests that run at endpoints of a service that have not a version, over all
-        processes; None while some processes cannot be heard.
+        Returns the number of requests, over all processes, that run at endpoints of a service
+        without the given version; None while some processes are unreachable.
     wall : callable
         Wall clock, agreed with the other processes.
     """
@@ -315,43 +325,44 @@
         self._old_in_flight = old_in_flight
         self._now = now
         self._versions: dict[str, int] = {}
-        # The phases that the rows tell, as they were read or written last.
+        # Phases in the rows, as last read or written.
         self._stored_phases: dict[str, Phase] = {}
         self._idle_since: dict[str, float] = {}
         self._fencing = 0
 
     def run(self) -> Task:
-        """Look at all roll-outs again and again; never returns."""
+        """Step all rollouts periodically; never returns."""
         while True:
             yield Sleep(STEP_SECONDS, relaxed=True)
             try:
                 yield from self.step()
             except PlatformError as exc:
-                self._log.warning("status of a roll-out not written", detail=str(exc))
+                self._log.warning("rollout status not written", detail=str(exc))
 
     def load_status(self) -> Task:
-        """Find out how far roll-outs are, when an order has just become known.
+        """Read the status of all rollouts, with retries, when a new order arrives.
 
         Notes
         -----
-        A process that started after the end of a roll-out, together with all others, would leave
-        the endpoints of the new version alone until a holder had taken over: they are all there is.
+        After a rollout, only endpoints of the new version may be left. If all processes had
+        restarted, they would send nothing to them until a process had acquired the leader lease and
+        read the status.
         """
         while True:
             try:
                 yield from self._load_rows()
             except PlatformError as exc:
-                self._log.warning("status of roll-outs not read", detail=str(exc))
+                self._log.warning("rollout status not read", detail=str(exc))
                 yield Sleep(STEP_SECONDS, relaxed=True)
             else:
                 return
 
     def invalidate_rows(self) -> None:
-        """Read the rows before the next step: the store has come back from an older copy."""
+        """Reload the rows before the next step, after a restore of the store."""
         self._versions.clear()
 
     def step(self) -> Task:
-        """Take each roll-out one phase further, if what is known says so."""
+        """Advance each rollout by at most one phase, as the evidence allows."""
         lease = self._lease.usable_lease()
         if lease is None:
             return
@@ -366,13 +377,13 @@
             if phase is Phase.ORDERED and evidence.age < PEER_UPDATE_SECONDS:
                 continue
             following = next_phase(phase, order, evidence)
-            # A row that a copy has set back is written again.
+            # A row set back by a restore of the store is written again.
             is_behind = self._stored_phases.get(order.service, Phase.ORDERED) < phase
             if (following is not phase or is_behind) and self._lease.usable_lease() is not None:
                 yield from self._write_phase(order, following)
 
     def _current_evidence(self, order: RolloutOrder, phase: Phase) -> Evidence:
-        """Return what is known, with the time since which the old version is clear."""
+        """Return the evidence with the time for which the old version has been idle."""
         now = self._now()
         running = self._old_in_flight(order.service, order.version)
         if phase is not Phase.MOVING or running != 0:
@@ -382,13 +393,13 @@
         return self._rollouts.collect_evidence(order.service, now - since)
 
     def _load_rows(self) -> Task:
-        """Read how far all roll-outs are, as an earlier holder left them."""
-        found = yield from self._store.read(self._rows.status_table)
+        """Read the status of all rollouts, as an earlier lease holder stored it."""
+        status_rows = yield from self._store.read(self._rows.status_table)
         for order in self._rollouts.list_orders():
             self._versions[order.service] = 0
             self._stored_phases[order.service] = Phase.ORDERED
             key = self._rows.status_key(order.service)
-            for row in found.rows:
+            for row in status_rows.rows:
                 if row.key == key and row.value is not None:
                     self._apply_row(order.service, row.value, row.version)
 
@@ -397,14 +408,14 @@
         try:
             status = self._rows.decode_status(value)
         except PlatformError as exc:
-            # The next write takes its place.
-            self._log.warning("status of a roll-out refused", service=service, detail=str(exc))
+            # The next write replaces the malformed row.
+            self._log.warning("malformed rollout status ignored", service=service, detail=str(exc))
             return
         self._stored_phases[service] = status.phase
         self._rollouts.apply_status(service, status, self._wall())
 
     def _write_phase(self, order: RolloutOrder, phase: Phase) -> Task:
-        """Write a phase if the row is as it was seen last; if not, take over what it says now."""
+        """Write a phase if the row is unchanged since last seen; otherwise reload later."""
         table, key = self._rows.status_table, self._rows.status_key(order.service)
         condition = RowCondition(table, key, self._versions[order.service])
         status = self._rollouts.make_status(order.service, phase, self._wall())
--- a/flamingofront/process/forwarding/scaling.py
+++ b/flamingofront/process/forwarding/scaling.py
@@ -1,6 +1,6 @@
-"""Orders for endpoints, sent by the holder of the duty lease.
+"""Scaling requests for endpoints, sent by the holder of the leader lease.
 
-What is wanted is worked out in `flamingofront.decisions.fleet_plan`.
+The wanted numbers are computed in `flamingofront.decisions.fleet_plan`.
 """
 
 import math
@@ -23,36 +23,38 @@
 __all__ = ["ScalingController"]
 
 STEP_SECONDS = 0.5
-# Orders for a service wait for so long after its first endpoint was seen, so that what was set up
-# is known: endpoints write their rows about every second, and begin to do so one after the other.
-# With many it takes longer: the wait goes on until for half of this time none was new. Of 45 that
+# Requests for a service wait this long after its first endpoint was seen, so that existing
+# endpoints are known: they write their rows about once a second and start one after the other. The
+# wait is extended until no new endpoint was seen for half of this time. Of 45 endpoints that
 # registered within 3.6 s only 35 were counted after three, and half of the requests of seconds two
 # to eight were late.
 REGISTER_SECONDS = 3.0
-# The same where only this process began: the rows are there and are read in one call. With three
-# seconds nobody ordered for that long after the holder of the duties was killed and came back.
+# The same wait where only this process restarted: all rows exist and are read in one call. With
+# three seconds no scaling request was sent for that long after the lease holder was killed and came
+# back.
 RESTART_SECONDS = 0.3
-# An order that the cloud could not fill is sent again after this time, and its zone counts as
-# without reclaimable endpoints until then; the platform refuses for ten seconds and more at a time.
+# A request that the cloud could not grant is sent again after this time, and until then its zone
+# counts as exhausted of reclaimable capacity; the platform rejects for ten seconds and more at a
+# time.
 RETRY_SECONDS = 2.0
-# Orders are repeated now and then: nothing can be read back, and one may have been lost.
+# Requests are repeated periodically: the cloud's state cannot be read back, and one may be lost.
 REPEAT_SECONDS = 20.0
-# Scaling in waits until the lower number has been enough for so long: longer than a burst (3 to
-# 5 s), several times an endpoint's start.
+# Scaling in waits until the lower number has sufficed for this long: longer than a burst (3 to 5 s)
+# and several times the start time of an endpoint.
 SCALE_IN_SECONDS = 8.0
-# Firm ones cost several times as much, and are given back sooner: they are kept for as long as one
-# starts, so that a clump does not make them come and go.
+# On-demand endpoints cost several times as much and are released sooner: they are kept for the
+# start time of an endpoint, so that bursts do not cause flapping.
 ON_DEMAND_SCALE_IN_SECONDS = 4.0
-# The demand is averaged over about this time: requests come in clumps, and an endpoint that is
-# ordered for one of them comes four seconds later and is paid for eight seconds and more.
+# Time constant of the demand average. Requests come in bursts, and an endpoint requested for one of
+# them starts four seconds later and is paid for at least eight seconds.
 SMOOTHING_SECONDS = 2.0
-# Demand of a shorter time says little: requests come in clumps of some seconds.
+# Demand observed for a shorter time is unreliable, since bursts last some seconds.
 MIN_OBSERVED_SECONDS = 15.0
 
 
 @dataclass(frozen=True)
 class _RequestKey:
-    """What orders are kept apart by."""
+    """Identifies the series of scaling requests that replace one another."""
 
     service: str
     zone: str
@@ -61,7 +63,7 @@
 
 @dataclass
 class _LastRequest:
-    """Last order for a subject.
+    """State of the last scaling request for a key.
 
     Parameters
     ----------
@@ -70,9 +72,9 @@
     sent_at : float
         Time of the last call.
     refused : int or None
-        Number that was refused since.
+        Number of endpoints that was rejected since.
     wanted_at : float
-        Last time at which the plan wanted all that was granted.
+        Last time at which the plan wanted all granted endpoints.
     """
 
     granted: int
@@ -82,12 +84,12 @@
 
 
 class ScalingController:
-    """Sends the orders that bring the endpoints to the wanted numbers.
+    """Leader task that requests the planned number of endpoints.
 
     Parameters
     ----------
     first_start : bool
-        True if the whole deployment has just been set up, so that endpoints are still registering.
+        True if the whole deployment is starting, so that endpoints are still registering.
     """
 
     def __init__(
@@ -124,7 +126,7 @@
         self._register_seconds = REGISTER_SECONDS if first_start else RESTART_SECONDS
 
     def run(self) -> Task:
-        """Plan and order again and again; never returns."""
+        """Plan and send scaling requests periodically; never returns."""
         while True:
             yield Sleep(STEP_SECONDS, relaxed=True)
             self._track_demand()
@@ -138,10 +140,10 @@
                 try:
                     yield from self._send_request(request)
                 except PlatformError as exc:
-                    self._log.warning("order failed", order=str(request), detail=str(exc))
+                    self._log.warning("scaling request failed", order=str(request), detail=str(exc))
 
     def plan_requests(self) -> Iterable[EndpointOrder]:
-        """Return the orders that are to be sent now."""
+        """Return the scaling requests to send now."""
         now = self._now()
         requests = []
         for service in self._configuration().services.values():
@@ -162,15 +164,17 @@
         return sorted(requests, key=self._send_priority)
 
     def _estimate_demand(self, service: str) -> Demand:
-        """Return the demand, and whether requests were seen for long enough to trust it."""
+        """Return the smoothed demand, marked as known once observed for long enough."""
         now = self._now()
-        known = now - self._first_seen.get(service, now) >= MIN_OBSERVED_SECONDS
+        is_reliable = now - self._first_seen.get(service, now) >= MIN_OBSERVED_SECONDS
         return replace(
-            self._demand(service), in_flight=self._mean_in_flight.get(service, 0.0), known=known
+            self._demand(service),
+            in_flight=self._mean_in_flight.get(service, 0.0),
+            known=is_reliable,
         )
 
     def _track_demand(self) -> None:
-        """Note demand and endpoints, holder of the duties or not: the next holder then knows."""
+        """Track demand and endpoints even without the lease, so that the next holder has them."""
         now = self._now()
         for service in self._configuration().services.values():
             in_flight = self._demand(service.name).in_flight
@@ -192,11 +196,11 @@
             self._initial_counts[service.name] = found | live
 
     def _is_registering(self, service: str, now: float) -> bool:
-        """Tell whether endpoints of a service may not have registered yet."""
+        """Return True if endpoints of a service may not have registered yet."""
         return now <= self._registering_until.get(service, now)
 
     def _exhausted_zones(self, service: str, now: float) -> frozenset[str]:
-        """Return the zones whose reclaimable endpoints are being taken back or were refused."""
+        """Return the zones whose reclaimable endpoints are being reclaimed or were not granted."""
         refused = {
             zone
             for (name, zone), until in self._exhausted_until.items()
@@ -205,12 +209,12 @@
         return frozenset(refused | self._reclaimed_zones(service))
 
     def _reclaimed_zones(self, service: str) -> set[str]:
-        """Return the zones whose reclaimable endpoints all leave.
+        """Return the zones whose reclaimable endpoints are all leaving.
 
         Notes
         -----
-        The notice comes two to three seconds before, a replacement starts for four: to wait for a
-        refused order would lose a second of them.
+        The notice comes two to three seconds before the reclaim, and a replacement takes four to
+        start: waiting for a rejected request would lose one second of them.
         """
         states: dict[str, set[bool]] = {}
         for each in self._endpoints():
@@ -219,7 +223,7 @@
         return {zone for zone, ready in states.items() if ready == {False}}
 
     def _live_counts(self, service: str, reclaimable: bool) -> Counter[str]:
-        """Return the endpoints of one kind that serve now, by zone."""
+        """Return the number of ready endpoints of one kind, by zone."""
         return Counter(
             each.zone
             for each in self._endpoints()
@@ -227,42 +231,43 @@
         )
 
     def _send_priority(self, request: EndpointOrder) -> int:
-        """Return in which order to send: first what makes room within the limits at a start."""
-        known = self._last_requests.get(_request_key(request))
-        if known is None:
+        """Return the sort key of a request: at a start, first what makes room within the limits."""
+        last = self._last_requests.get(_request_key(request))
+        if last is None:
             return 0 if request.count == 0 else 1
-        return 2 if request.count < known.granted else 1
+        return 2 if request.count < last.granted else 1
 
     def _should_send(self, request: EndpointOrder, start_seconds: float, now: float) -> bool:
-        """Tell whether an order is to be sent now.
+        """Return True if a scaling request is to be sent now.
 
         Notes
         -----
-        A new number is sent at once if it is higher, and after a while if it is lower. A refused
-        order, and one that was granted but is not carried out, is sent again: the limits hold for
-        both kinds of endpoints together, so that what is granted depends on what else runs, and
-        endpoints that were just starting are not taken away.
+        A higher number is sent at once, a lower one after a delay. A rejected request, and a
+        granted one that the cloud has not carried out, is sent again: the limits hold for both
+        kinds of endpoints together, so the grant depends on what else runs, and endpoints that were
+        just starting are not removed.
         """
         live = self._live_counts(request.service, request.reclaimable)[request.zone]
-        known = self._last_requests.get(_request_key(request))
-        if known is None:
-            takes_away = live > request.count
-            if not takes_away or (request.count == 0 and not self._has_demand(request.service)):
+        last = self._last_requests.get(_request_key(request))
+        if last is None:
+            removes_live = live > request.count
+            if not removes_live or (request.count == 0 and not self._has_demand(request.service)):
                 return True
-            # Another process may have ordered these for a reason that still holds.
-            known = self._last_requests[_request_key(request)] = _LastRequest(
+            # A previous lease holder may have requested these endpoints for a reason that still
+            # holds.
+            last = self._last_requests[_request_key(request)] = _LastRequest(
                 live, now, wanted_at=now
             )
-        if request.count >= known.granted:
-            known.wanted_at = now
-        if request.count < known.granted:
+        if request.count >= last.granted:
+            last.wanted_at = now
+        if request.count < last.granted:
             kept = SCALE_IN_SECONDS if request.reclaimable else ON_DEMAND_SCALE_IN_SECONDS
-            return now - known.wanted_at >= kept
-        if known.refused is not None and request.count >= known.refused:
-            return now - known.sent_at >= RETRY_SECONDS
-        if request.count > known.granted:
+            return now - last.wanted_at >= kept
+        if last.refused is not None and request.count >= last.refused:
+            return now - last.sent_at >= RETRY_SECONDS
+        if request.count > last.granted:
             return True
-        return now - known.sent_at >= _repeat_delay(live, request.count, start_seconds)
+        return now - last.sent_at >= _repeat_delay(live, request.count, start_seconds)
 
     def _has_demand(self, service: str) -> bool:
         return service in self._first_seen
@@ -275,16 +280,16 @@
         result = "granted" if granted else "refused"
         self._metrics.count("orders_total", kind="endpoints", result=result)
         now = self._now()
-        known = self._last_requests.setdefault(_request_key(request), _LastRequest(0, now))
-        known.sent_at = now
-        known.refused = None if granted else request.count
+        last = self._last_requests.setdefault(_request_key(request), _LastRequest(0, now))
+        last.sent_at = now
+        last.refused = None if granted else request.count
         if granted:
-            known.granted = request.count
-            known.wanted_at = now
+            last.granted = request.count
+            last.wanted_at = now
         elif request.reclaimable:
             self._exhausted_until[request.service, request.zone] = now + RETRY_SECONDS
         self._log.info(
-            "endpoints ordered",
+            "scaling request sent",
             service=request.service,
             at_zone=request.zone,
             count=request.count,
@@ -295,7 +300,7 @@
         )
 
     def _decision_fields(self, service: str, now: float) -> dict[str, object]:
-        """Return what decided on an order, for its line in the log."""
+        """Return the inputs of a scaling decision, for its log line."""
         demand = self._demand(service)
         return {
             "in_flight": demand.in_flight,
@@ -307,7 +312,7 @@
 
 
 def _repeat_delay(live: int, wanted: int, start_seconds: float) -> float:
-    """Return the seconds after which an order is repeated, by the endpoints that serve now."""
+    """Return the seconds after which a request is repeated, given the endpoints that serve now."""
     if live > wanted:
         return RETRY_SECONDS
     return start_seconds + RETRY_SECONDS if live < wanted else REPEAT_SECONDS
--- a/flamingofront/process/forwarding/settings.py
+++ b/flamingofront/process/forwarding/settings.py
@@ -1,4 +1,4 @@
-"""Settings of an entry process that forwards routes kept in the platform's store."""
+"""Settings of an entry process that forwards along routes kept in the platform's store."""
 
 from dataclasses import dataclass
 
@@ -9,22 +9,22 @@
 
 @dataclass(frozen=True)
 class SharedRules:
-    """Figures that all entry processes keep together; times in seconds.
+    """Limits that all entry processes keep together; times in seconds.
 
     Parameters
     ----------
     retry_ratio, retry_window, retry_allowance : float
-        In each window a service gets at most ratio times its requests, plus the allowance, of
-        further attempts.
+        In each window a service gets at most ratio times its requests, plus the allowance, in
+        retries and hedges.
     lease_seconds : float
-        Shortest time between two holders of a duty.
+        Shortest time between two holders of the leader lease.
     usage_window, usage_due : float
-        Length of a usage window, and how long after its end the report is due.
+        Length of a usage window, and the time after its end at which the report is due.
     quota_window, quota_over, quota_allowance : float
-        Span over which quotas are measured, and the part and the units by which one may be
+        Span over which quotas are measured, and the fraction and the units by which a quota may be
         exceeded.
     expose_share : float
-        Part of a service's requests that a bad version may get at most during a roll-out.
+        Largest fraction of a service's requests that a bad version may get during a rollout.
     """
 
     retry_ratio: float = 0.2
@@ -41,22 +41,22 @@
 
 @dataclass(frozen=True)
 class DeploymentSettings:
-    """Where an entry process listens, and what it depends on.
+    """Addresses of an entry process, and the platform services it depends on.
 
     Parameters
     ----------
     caller_bind, ready_bind, control_bind : Address
-        Addresses for callers, for the balancer's readiness question, and for operators.
+        Addresses for callers, for the balancer's readiness check, and for operators.
     peer_port : int
-        UDP port at which entry processes talk to one another; the same on all VMs.
+        UDP port for gossip between entry processes; the same on all VMs.
     seeds : tuple of Address
         Addresses of some entry VMs; they may be out of date.
     first_start : bool
         True when the whole deployment starts for the first time.
     store, cloud : Address
-        The platform's table store, and the cloud's interface for duties.
+        The platform's table store, and the cloud API for leader tasks.
     duties : tuple of str
-        Duties that one entry process at a time has to do.
+        Names of the leader tasks, each done by one entry process at a time.
     stop_grace : float
         Seconds from SIGTERM until the process is killed.
     """
--- a/flamingofront/process/forwarding/shutdown.py
+++ b/flamingofront/process/forwarding/shutdown.py
@@ -1,4 +1,4 @@
-"""Graceful stop of an entry process behind a balancer that asks whether it is ready."""
+"""Graceful shutdown of an entry process behind a balancer that checks its readiness."""
 
 from collections.abc import Callable
 
@@ -8,19 +8,20 @@
 
 __all__ = ["GracefulShutdown"]
 
-# The balancer asks once a second and turns away after two misses; until then new connections still
-# come here, and kept ones carry new requests.
+# The balancer checks once a second and removes the process after two failures. Until then new
+# connections arrive here, and kept ones carry new requests.
 BALANCER_REACTION_SECONDS = 2.5
 CHECK_SECONDS = 0.05
-# What is begun ends so long before the process would be killed.
+# Requests in flight must complete this long before the process would be killed.
 ANSWER_MARGIN_SECONDS = 0.4
-# What has no answer by then is told that the process ends; the last bytes have time to leave.
+# Remaining requests are answered with an error this long before the kill, so that the last bytes
+# can leave.
 FINAL_ANSWER_MARGIN_SECONDS = 0.2
 EXIT_MARGIN_SECONDS = 0.05
 
 
 class GracefulShutdown:
-    """Stops being ready, goes on serving, and exits once nothing is left to answer.
+    """Stops being ready, goes on serving, and exits once no request is left.
 
     Parameters
     ----------
@@ -29,7 +30,7 @@
     on_exit : callable
         Ends the process.
     reject_unread : callable
-        Refuses the requests that have not come whole.
+        Rejects the requests that have not been received completely, and returns their number.
     """
 
     def __init__(
@@ -49,7 +50,7 @@
         self._has_answered_remaining = False
 
     def begin(self) -> None:
-        """Begin to stop; a second call has no effect."""
+        """Start the shutdown; a second call has no effect."""
         if self._started_at is not None:
             return
         timers = self._node.timers
@@ -63,16 +64,17 @@
         timers.once(BALANCER_REACTION_SECONDS, self._close_idle)
 
     def _close_idle(self) -> None:
-        """Close idle connections: their callers come back at another VM."""
+        """Close idle connections: the balancer sends their callers to another VM by now."""
         closed = self._callers.close_idle()
-        self._node.log.info("balancer has turned away", closed=closed)
+        self._node.log.info("idle connections closed", closed=closed)
         self._check()
 
     def _remaining(self, margin: float) -> float:
-        """Return the seconds until so long before this process would be killed."""
+        """Return the seconds left until `margin` seconds before this process would be killed."""
         return self._started_at + self._grace - margin - self._node.timers.now()
 
     def _check(self) -> None:
+        """Exit if no request or connection is left or time is up; otherwise check again later."""
         self._callers.close_idle()
         timers = self._node.timers
         if not self._has_answered_remaining and self._remaining(FINAL_ANSWER_MARGIN_SECONDS) <= 0:
@@ -87,13 +89,13 @@
         self._on_exit()
 
     def _answer_remaining(self) -> None:
-        """Answer what would lose its connection without an answer: only begun streams are left."""
+        """Answer all requests whose response has not started; only started streams are left."""
         unanswered = len(self._node.hub.active)
         for request in list(self._node.hub.active.values()):
             request.process_ends()
         unread = self._reject_unread(RequestError(ErrorKind.DRAINING))
         self._node.log.info(
-            "last answers",
+            "remaining requests answered",
             unanswered=unanswered,
             unread=unread,
             broken_off=len(self._node.hub.active),
--- a/flamingofront/process/forwarding/usage.py
+++ b/flamingofront/process/forwarding/usage.py
@@ -1,4 +1,4 @@
-"""Usage: how many requests of each workspace began to run, by window of the wall clock."""
+"""Usage: how many requests of each workspace started to run, by window of the wall clock."""
 
 from collections import Counter
 from collections.abc import Callable, Collection, Iterable, Mapping
@@ -16,30 +16,30 @@
 
 __all__ = ["KEPT_WINDOWS", "UsageCoverage", "UsageBook", "UsageReporter"]
 
-# Windows that are told to peers and kept for a successor: a report is due ten seconds after a
-# window of five seconds, so that four cover all that may still be reported.
+# Windows that are reported to peers and kept for a successor. A report is due ten seconds after the
+# end of a window of five seconds, so four windows cover all that may still be reported.
 KEPT_WINDOWS = 4
-# Time after the end of a window in which the last reports of all processes usually arrive: one, a
-# relay's turn each second, and their ways.
+# Time after the end of a window by which the last reports of all processes usually arrive: one
+# report period, a relay's period of one second, and network delays.
 SETTLE_SECONDS = 2.0
-# The longest wait for counts that are received to be missing: so long after its end a window is told.
-# A report is due ten seconds after it, and a successor needs five if its holder is lost.
+# Longest wait after the end of a window for counts known to be missing. The report is due ten
+# seconds after the end, and a successor needs five if the lease holder is lost.
 MAX_MISSING_WAIT_SECONDS = 4.5
-# A report is so old at most when it is heard, with its turn in an even sender.
+# Largest age of a report on receipt, including its wait in the rate-limited sender.
 REPORT_DELAY_SECONDS = 0.15
 STEP_SECONDS = 0.25
-# Processes whose counts are told at a time, so that a report stays within a datagram also when all
-# of a large deployment restart.
+# Processes without a live report whose counts are forwarded at a time, so that a report fits in a
+# datagram even when all of a large deployment restart.
 MAX_DEPARTED = 16
 
 
 class UsageBook:
-    """Counts of all processes, by window.
+    """Usage counts of all processes, by window.
 
     Parameters
     ----------
     process : str
-        This process.
+        Name of this process.
     window : float
         Length of a window in seconds.
     """
@@ -51,32 +51,32 @@
         self._received_until: dict[str, float] = {}
 
     def window_at(self, wall: float) -> int:
-        """Return the number of the window that a time of the wall clock lies in."""
+        """Return the number of the window that contains a wall-clock time."""
         return int(wall // self._window)
 
     def end_of(self, window: int) -> float:
-        """Return the wall clock's time at which a window ends."""
+        """Return the wall-clock time at which a window ends."""
         return (window + 1) * self._window
 
     def count_started(self, workspace: str, wall: float) -> None:
-        """Count a request that began to run."""
+        """Count a request that started to run."""
         local = self._counts.setdefault(self.window_at(wall), {}).setdefault(
             self._process, Counter()
         )
         local[workspace] += 1
 
     def collect_counts(self, live: Collection[str], wall: float) -> ProcessCounts:
-        """Return what the others are told: own counts, and those of processes that are gone.
+        """Return the counts to report to peers: those of this process and of departed ones.
 
         Notes
         -----
-        A process that starts in the middle of a rolling restart learns so what those that were
-        stopped before it came had counted.
+        A process that starts in the middle of a rolling restart thus learns the counts of processes
+        that were stopped before it started.
 
         Parameters
         ----------
         live : collection of str
-            Processes that tell their counts themselves.
+            Processes that report their own counts.
         """
         self._drop_old_windows(self.window_at(wall))
         found: dict[str, dict[str, Mapping[str, int]]] = {}
@@ -89,7 +89,7 @@
     def collect_recent_counts(
         self, processes: Iterable[str], wall: float, windows: int
     ) -> ProcessCounts:
-        """Return the counts that some processes were heard to have, in the newest windows."""
+        """Return the received counts of some processes in the newest `windows` windows."""
         newest = self.window_at(wall)
         self._drop_old_windows(newest)
         found: dict[str, dict[str, Mapping[str, int]]] = {}
@@ -107,21 +107,21 @@
             del self._received_until[process]
 
     def received_until(self, processes: Iterable[str]) -> dict[str, float]:
-        """Return up to which time of the wall clock the counts of some processes are received."""
+        """Return the wall-clock time up to which the counts of each process were received."""
         received = self._received_until
         return {each: round(received[each], 3) for each in processes if each in received}
 
     def merge_report(self, update: ProcessCounts, process: str, wall: float) -> None:
-        """Take the counts in that a process has reported directly, at a time of the wall clock."""
+        """Merge the counts that a process has reported directly at a wall-clock time."""
         self.merge_counts(update, {process: wall - REPORT_DELAY_SECONDS})
 
     def is_complete_until(self, until: float, process_count: int, wall: float) -> bool:
-        """Tell whether the counts of so many processes are received up to a time.
+        """Return True if the counts of `process_count` processes are complete to a time.
 
         Parameters
         ----------
         wall : float
-            Wall clock now: this process's own counts are received up to it.
+            Wall clock now: the counts of this process are complete up to it.
         """
         local = {self._process: wall}
         return (
@@ -130,12 +130,12 @@
         )
 
     def merge_counts(self, update: ProcessCounts, received_until: Mapping[str, float]) -> None:
-        """Take other processes' counts in; counts only grow.
+        """Merge other processes' counts; counts only grow.
 
         Parameters
         ----------
         received_until : mapping of str to float
-            Up to which time of the wall clock the counts of a process are told.
+            Wall-clock time up to which the counts of a process are complete.
         """
         for process, wall in received_until.items():
             self._received_until[process] = max(wall, self._received_until.get(process, wall))
@@ -147,7 +147,7 @@
                 received[process] = Counter(received.get(process, {})) | Counter(counts)
 
     def total_counts(self, window: int) -> dict[str, int]:
-        """Return the counts of a window over all processes."""
+        """Return the counts of a window over all processes, by workspace."""
         total: Counter[str] = Counter()
         for counts in self._counts.get(window, {}).values():
             total.update(counts)
@@ -156,16 +156,16 @@
 
 @dataclass(frozen=True)
 class UsageCoverage:
-    """How far the counts of the other processes are received.
+    """How far the counts of the other processes were received.
 
     Parameters
     ----------
     true_time : callable
         Wall clock, agreed with the other processes.
-    wait : callable
-        Returns the seconds after which a new holder has heard the counts of all processes.
-    processes : callable
-        Returns the number of processes that are heard, this one included.
+    settle_wait : callable
+        Returns the seconds after which a new lease holder has received the counts of all processes.
+    live_count : callable
+        Returns the number of live processes, this one included.
     """
 
     true_time: Callable[[], float]
@@ -174,15 +174,15 @@
 
 
 class UsageReporter:
-    """Reports each window once, by the holder of the duty lease.
+    """Leader task that reports each usage window once.
 
-    What will be reported is written to the store first, with the renewal of the lease, so that a
-    successor repeats it exactly.
+    A report is first written to the store, with a renewal of the lease, so that a successor repeats
+    it exactly.
 
     Parameters
     ----------
     coverage : UsageCoverage
-        How far the counts of the other processes are received.
+        How far the counts of the other processes were received.
     now : callable
         Time of the timer service.
     """
@@ -210,20 +210,20 @@
         self._log = log
         self._confirmed: set[str] = set()
         self._first = book.window_at(coverage.true_time())
-        # Windows before this one may have been reported by holders of which the store lost word.
+        # Earlier windows may have been reported by holders whose record the store has lost.
         self._first_known_window = 0
         lease.on_restore = self._skip_unknown_windows
 
     def _skip_unknown_windows(self) -> None:
-        """Leave windows out that another holder may have reported: the store lost its word of it.
+        """Skip windows that may have been reported, since a restore has removed the record of it.
 
         Notes
         -----
-        A window that is reported with other counts breaks what the cloud is promised; one that is
-        not is only missing.
+        The cloud requires that repeated reports of a window agree: a report with other counts
+        violates this, while a skipped window is only missing.
         """
         self._first_known_window = self._book.window_at(self._coverage.true_time())
-        self._log.warning("usage windows left out", before=self._first_known_window)
+        self._log.warning("usage windows skipped", before=self._first_known_window)
 
     def run(self) -> Task:
         """Report whenever a window is due; never returns."""
@@ -235,7 +235,7 @@
             yield Sleep(STEP_SECONDS, relaxed=True)
 
     def step(self) -> Task:
-        """Write the window that is due into the store, then report what is not yet confirmed."""
+        """Store the window that is due, then send the reports that are not confirmed yet."""
         lease = self._lease.usable_lease()
         if lease is None:
             return
@@ -248,12 +248,12 @@
                 yield from self._send_report(name, counts)
 
     def _next_due_window(self) -> int | None:
-        """Return the next window whose counts are complete and not yet in the store.
+        """Return the next window to store, with complete counts; None if there is none.
 
         Notes
         -----
-        Among many processes some counts come late: on a day with trouble of 89 VMs 9 to 66 in 100
-        were missing in six windows that were told two seconds after their ends.
+        In a large deployment some counts come late: on a day with failures, among 89 VMs, 9 to 66
+        percent were missing in six windows that were reported two seconds after their ends.
         """
         wall = self._coverage.true_time()
         last = self._book.window_at(wall - SETTLE_SECONDS) - 1
@@ -268,6 +268,7 @@
         return due if due <= last else None
 
     def _store_window(self, window: int) -> Task:
+        """Store the counts of a window with a renewal of the lease; return True on success."""
         reports = dict(self._lease.state.reports)
         reports[str(window)] = self._book.total_counts(window)
         kept = dict(sorted(reports.items(), key=lambda item: int(item[0]))[-KEPT_WINDOWS:])
