--- a/flamingofront/process/forwarding/inquiries.py
+++ b/flamingofront/process/forwarding/inquiries.py
@@ -62,6 +62,8 @@
 
 @dataclass(eq=False)
 class _PendingRequest(Generic[RequestT]):
+    """A request that waits for a decision, and the processes that were asked."""
+
     number: int
     request: RequestT
     candidates: list[str]
@@ -130,7 +132,7 @@
         return next(self._numbers)
 
     def submit(self, request: RequestT) -> None:
-        """Have a request decided on; returns after the decision if it is made in this process."""
+        """Submit a request for a decision; returns after the decision if this process makes it."""
         candidates = self._candidates(request.key)
         self._try_next(_PendingRequest(self.next_number(), request, candidates))
 
@@ -164,6 +166,7 @@
         self._send(self._protocol.encode_request(pending.number, pending.request), pending.arbiter)
 
     def _on_timeout(self, pending: _PendingRequest[RequestT]) -> None:
+        """Ask the next candidate; one that missed two replies is excluded for a while."""
         self._metrics.count(f"{self._name}_questions_unanswered_total")
         if pending.arbiter in pending.unresponsive:
             self._exclude(pending.arbiter, "no reply")
@@ -171,17 +174,19 @@
         self._try_next(pending)
 
     def _exclude(self, ip: str, reason: str) -> None:
+        """Leave a process out of the candidates for a while."""
         self._excluded_until[ip] = self._timers.now() + EXCLUSION_SECONDS
         self._log.info(f"{self._name} arbiter excluded", arbiter=ip, reason=reason)
 
     def _finish(self, pending: _PendingRequest[RequestT], arbiter: str) -> None:
+        """Remember who decided on a request, for late replies."""
         self._pending.pop(pending.number, None)
         self._decided[pending.number] = (pending.request, arbiter)
         while len(self._decided) > MAX_REMEMBERED:
             self._decided.popitem(last=False)
 
     def accept_reply(self, number: int, ip: str) -> RequestT | None:
-        """Finish the request that a decision replies to; None if no reply is expected from `ip`."""
+        """Return the request that a reply decides; None if no reply is expected from `ip`."""
         pending = self._match_reply(number, ip)
         if pending is None:
             return None
@@ -206,7 +211,7 @@
         return pending
 
     def late_request(self, number: int, ip: str) -> RequestT | None:
-        """Return the request of a late grant that is not used; None if it is used."""
+        """Return the request of a grant to be returned, as another process was asked; else None."""
         pending = self._pending.get(number)
         if pending is not None:
             return pending.request
--- a/flamingofront/process/forwarding/limit_arbiter.py
+++ b/flamingofront/process/forwarding/limit_arbiter.py
@@ -121,7 +121,7 @@
 
     def decide_as_arbiter(self, request: _PendingPermit) -> bool:
         """Decide on an attempt for all processes; return False if not an arbiter."""
-        share = self._decided_share(request.claim.endpoint_id)
+        share = self._arbitrated_share(request.claim.endpoint_id)
         if share <= 0:
             return False
         verdict = self._shared_limiter.decide(request.claim, share, self._timers.now())
@@ -138,7 +138,7 @@
         verdict = self._local_limiter.decide(request.claim, share, now)
         request.then(RateDecision(verdict.delay, min(MAX_LOCAL_WAIT_SECONDS, verdict.wait)))
 
-    def _decided_share(self, endpoint_id: str) -> float:
+    def _arbitrated_share(self, endpoint_id: str) -> float:
         """Return the share of a limit that this process arbitrates; 0 if none."""
         ranked = self._context.arbiters.rank_arbiters(endpoint_id)[:2]
         local_ip = self._context.arbiters.local_ip
@@ -208,9 +208,10 @@
         self._send(encode_permit_reply(reply), ip)
 
     def _make_reply(self, request: PermitRequest, ip: str) -> PermitReply:
+        """Return the decision on a permit request of another process."""
         self._limits.merge((request.limit,))
         endpoint_id = request.limit.endpoint_id
-        share = self._decided_share(endpoint_id)
+        share = self._arbitrated_share(endpoint_id)
         if share <= 0:
             return PermitReply(request.number, Verdict.NOT_HERE)
         current = self._limits.limit(endpoint_id) or request.limit
--- a/flamingofront/process/forwarding/limit_messages.py
+++ b/flamingofront/process/forwarding/limit_messages.py
@@ -90,12 +90,12 @@
         If they are malformed.
     """
     try:
-        return tuple(_limit(*each) for each in values)
+        return tuple(_parse_limit(*each) for each in values)
     except (TypeError, ValueError) as exc:
         raise ValueError(f"malformed limits: {exc!r:.100}") from exc
 
 
-def _limit(endpoint_id: str, born: int, rate: float | None, named_at: float) -> EndpointLimit:
+def _parse_limit(endpoint_id: str, born: int, rate: float | None, named_at: float) -> EndpointLimit:
     checked_rate = None if rate is None else float(rate)
     if checked_rate is not None and checked_rate < 0:
         raise ValueError(f"rate is {checked_rate}, expected at least 0")
@@ -125,7 +125,7 @@
     """
     try:
         number, priority, patience, limit = orjson.loads(data[len(_REQUEST) :])[:4]
-        return PermitRequest(int(number), _limit(*limit), int(priority), float(patience))
+        return PermitRequest(int(number), _parse_limit(*limit), int(priority), float(patience))
     except (TypeError, ValueError) as exc:
         raise ValueError(f"malformed permit request: {exc!r:.100}") from exc
 
--- a/flamingofront/process/forwarding/node.py
+++ b/flamingofront/process/forwarding/node.py
@@ -234,13 +234,13 @@
         """Record that an endpoint has announced in a response that it leaves."""
         self.knowledge.endpoints.mark_leaving(endpoint_id, "answer", request)
 
-    def _on_endpoint_restarted(self, row: EndpointRow, before: EndpointRow) -> None:
+    def _on_endpoint_restarted(self, row: EndpointRow, previous: EndpointRow) -> None:
         """Drop the state and the requests of an endpoint's earlier incarnation."""
         self.directory.forget(row.endpoint_id)
         self.hub.limits.forget(row.endpoint_id)
         self.hub.pauses.forget(row.endpoint_id)
         self.observations.endpoint_restarted(row.endpoint_id)
-        for address in {row.address, before.address}:
+        for address in {row.address, previous.address}:
             self._dependencies.transport.drop_idle(address)
         ago = self.peers.true_time() - row.born / 1000
         at = self.timers.now() - ago
@@ -250,6 +250,7 @@
         )
 
     def _retry_budget(self, service: Service) -> RetryBudget:
+        """Return the budget for retries and hedges of a service."""
         rules = self.settings.rules
         return SharedRetryBudget(
             rules.retry_ratio,
@@ -459,6 +460,7 @@
         self.leader_tasks.append(rollout_controller)
 
     def _cache_tokens(self, service: str) -> float:
+        """Return the tokens that an endpoint of a service can cache; infinite if not configured."""
         config = self.configuration.services.get(service)
         return config.cache_tokens if config is not None and config.cache_tokens else math.inf
 
--- a/flamingofront/process/forwarding/quota_arbiter.py
+++ b/flamingofront/process/forwarding/quota_arbiter.py
@@ -238,6 +238,7 @@
     def _make_reply(
         self, request: QuotaRequest, workspace: ForwardedWorkspace | None
     ) -> QuotaReply:
+        """Return the decision on a quota request of another process."""
         if workspace is None or not self._is_candidate(workspace.name):
             return QuotaReply(request.number, Verdict.NOT_HERE)
         now = self._timers.now()
--- a/flamingofront/process/forwarding/quota_members.py
+++ b/flamingofront/process/forwarding/quota_members.py
@@ -56,8 +56,8 @@
         live = self._live_members()
         new = {
             each.ip
-            for each in (*live, *self._relays(), self._current_local())
-            if self._is_new(each)
+            for each in (*live, *self._relay_reports(), self._local_report())
+            if self._started_in_window(each)
         }
         return sorted(self.rank_by_hash(workspace), key=lambda ip: ip in new)
 
@@ -65,13 +65,14 @@
         live = self._peers.table.heard(self._timers.now())
         return [each for each in live if not each.leaving]
 
-    def _relays(self) -> list[PeerReport]:
+    def _relay_reports(self) -> list[PeerReport]:
         return self._peers.relaying.relays_heard() if self._peers.many else []
 
-    def _current_local(self) -> PeerReport:
+    def _local_report(self) -> PeerReport:
         return replace(self._local, wall=self._timers.wall())
 
-    def _is_new(self, report: PeerReport) -> bool:
+    def _started_in_window(self, report: PeerReport) -> bool:
+        """Return True if a process started within the quota window."""
         return report.wall - report.incarnation / 1000 < self._window
 
     def has_recent_restart(self) -> bool:
@@ -81,12 +82,12 @@
 
     def is_newcomer(self) -> bool:
         """Return True if others may know what was consumed before this process started."""
-        if not self._is_new(self._current_local()):
+        if not self._started_in_window(self._local_report()):
             return False
-        candidates = [*self._live_members(), *self._relays()]
+        candidates = [*self._live_members(), *self._relay_reports()]
         if not candidates:
             return self._peers.member_count() > 1
-        return any(not self._is_new(each) for each in candidates)
+        return any(not self._started_in_window(each) for each in candidates)
 
     def partition_count(self, workspace: str) -> int:
         """Return into how many groups a partition may have divided the arbiters of a quota.
@@ -105,6 +106,7 @@
         return 1 + sum(now - at > late for zone, at in zones.items() if zone != self._local.zone)
 
     def _late_after_seconds(self) -> float:
+        """Return the age from which the last report of a zone counts as late."""
         return LATE_REPORT_PERIODS * self._peers.period()
 
     def _last_received_by_zone(self, now: float) -> dict[str, float]:
@@ -120,6 +122,7 @@
         return found
 
     def _has_recent_report(self, ip: str, now: float) -> bool:
+        """Return True if a report of the process at an IP address is recent enough."""
         table = self._peers.table
         gaps = [table.gap(each.vm_id, now) for each in table.heard(now) if each.ip == ip]
         if self._peers.many:
--- a/flamingofront/process/forwarding/rollouts.py
+++ b/flamingofront/process/forwarding/rollouts.py
@@ -169,6 +169,7 @@
 
     @staticmethod
     def _count_fields(rollout: _Rollout) -> dict[str, float]:
+        """Return the response counts of both versions, as log fields."""
         new, old = rollout.tally(_NEW), rollout.tally(_OLD)
         return {
             "new_answers": new.total,
@@ -209,6 +210,7 @@
                 self._add_count(name, round(total - before))
 
     def _add_count(self, name: str, count: int) -> None:
+        """Add responses to the rollout that their key names, if it is still tracked."""
         _, service, number, side, outcome = name.split(_SEPARATOR)
         rollout = self._tracked.get(service)
         if rollout is not None and str(rollout.order.number) == number:
--- a/flamingofront/process/forwarding/scaling.py
+++ b/flamingofront/process/forwarding/scaling.py
@@ -231,7 +231,7 @@
         )
 
     def _send_priority(self, request: EndpointOrder) -> int:
-        """Return the sort key of a request: at a start, first what makes room within the limits."""
+        """Return the sort key: at a start removals first, to free the limits, later last."""
         last = self._last_requests.get(_request_key(request))
         if last is None:
             return 0 if request.count == 0 else 1
@@ -273,6 +273,7 @@
         return service in self._first_seen
 
     def _send_request(self, request: EndpointOrder) -> Task:
+        """Send a scaling request while the lease is held, and record whether it was granted."""
         lease = self._lease.usable_lease()
         if lease is None:
             return
--- a/flamingofront/process/forwarding/tests/test_duties.py
+++ b/flamingofront/process/forwarding/tests/test_duties.py
@@ -1,4 +1,4 @@
-"""The duty lease, usage reports and orders, over several entry processes under failure."""
+"""Leader lease, usage reports and scaling over several entry processes with failures."""
 
 import pytest
 
@@ -10,28 +10,30 @@
 from flamingofront.tests.forwarding_world import ForwardingWorld, ready_world
 from flamingofront.version.forwarding import ScalingLimits
 
-LEASE = 3.0
+LEASE_SECONDS = 3.0
 
 
-def calls(world, path):
+def cloud_calls(world, path):
+    """Return the calls of the leader tasks to one path of the cloud API."""
     return [each for each in world.store.duty_calls if each.path == path]
 
 
 def usage(world):
-    """Return the reported counts by window; a repeat must be exact."""
+    """Return the reported counts by window; repeated reports must agree."""
     found = {}
-    for each in calls(world, "/usage"):
+    for each in cloud_calls(world, "/usage"):
         window, counts = each.body["window_id"], each.body["counts"]
         assert found.setdefault(window, counts) == counts
     return found
 
 
 def holder(world):
+    """Return the VM that holds a valid leader lease."""
     return next(name for name, each in world.fronts.items() if each.lease.valid_lease() is not None)
 
 
 def assert_one_holder_at_a_time(world):
-    """Fencing numbers never fall, and nobody acts before and after another within a lease."""
+    """Check that fencing tokens never fall and no VM acts around another within one lease."""
     last = None
     last_of = {}
     for each in world.store.duty_calls:
@@ -40,7 +42,7 @@
             if each.holder != last.holder:
                 assert each.fencing > last.fencing
                 before = last_of.get(each.holder)
-                assert before is None or each.at - before >= LEASE
+                assert before is None or each.at - before >= LEASE_SECONDS
         last = each
         last_of[each.holder] = each.at
 
@@ -57,22 +59,22 @@
         assert windows == list(range(windows[0], windows[-1] + 1))
         assert_one_holder_at_a_time(world)
 
-    @pytest.mark.parametrize("way", ["kill", "cut", "freeze"])
-    def test_successor_goes_on_without_a_gap(self, way):
+    @pytest.mark.parametrize("failure", ["kill", "cut", "freeze"])
+    def test_successor_reports_without_a_gap(self, failure):
         world = ready_world(fronts=3)
         world.run(6.0)
         first = holder(world)
         others = [name for name in world.fronts if name != first]
-        if way == "kill":
+        if failure == "kill":
             world.kill(first)
-        elif way == "cut":
+        elif failure == "cut":
             world.cut(first, "store")
         else:
             world.pause(first)
         for number in range(40):
             world.finish(world.ask(others[number % 2], "/read/x"))
             world.run(0.5)
-        if way == "freeze":
+        if failure == "freeze":
             world.resume(first)
         world.heal()
         world.run(15.0)
@@ -83,7 +85,7 @@
         assert_one_holder_at_a_time(world)
 
     @pytest.mark.parametrize("seed", range(6))
-    def test_only_one_of_many_takes_a_lost_lease(self, seed):
+    def test_only_one_of_many_acquires_an_expired_lease(self, seed):
         world = ready_world(fronts=6, seed=seed)
         world.run(4.0)
         world.kill(holder(world))
@@ -114,7 +116,7 @@
         assert windows == list(range(windows[0], windows[-1] + 1))
         assert_one_holder_at_a_time(world)
 
-    def test_lost_answers_lead_to_exact_repeats_only(self):
+    def test_lost_responses_cause_only_exact_repeats(self):
         world = ready_world(fronts=2)
         world.store.fault = StoreFault.LOSE_ANSWERS
         world.store.cloud_fault = StoreFault.LOSE_ANSWERS
@@ -127,7 +129,7 @@
         usage(world)
         assert_one_holder_at_a_time(world)
 
-    def test_clock_that_is_set_wrong_is_outvoted(self):
+    def test_wrong_clock_is_outvoted(self):
         world = ready_world(fronts=3)
         front = world.fronts["front-2"]
         own = front.timers.wall
@@ -137,7 +139,7 @@
 
 
 class TestLease:
-    def test_row_is_rarely_read_by_those_that_hear_the_holder(self):
+    def test_row_is_rarely_read_while_the_holder_is_live(self):
         world = ready_world(fronts=6)
         world.run(5.0)
         before = world.store.calls
@@ -145,7 +147,7 @@
         renewals, feeds, reports = 20, 2 * 6 * 20 / 3.5, 2 * 5
         assert world.store.calls - before < 1.3 * (renewals + feeds + reports)
 
-    def test_released_lease_is_taken_soon(self):
+    def test_released_lease_is_acquired_soon(self):
         world = ready_world(fronts=3)
         world.run(5.0)
         first = holder(world)
@@ -154,7 +156,7 @@
         node.tasks.start(node.lease.release())
         world.run(0.1)
         node.peers.tell_now()
-        world.run(LEASE + 1.5)
+        world.run(LEASE_SECONDS + 1.5)
         second = holder(world)
         assert second != first
         world.run(20.0)
@@ -170,46 +172,51 @@
 class TestScaling:
     LIMITS = ScalingLimits(1, 3, 4.0, 0.2, {"zone-a": 1.0, "zone-b": 0.8, "zone-c": 1.2})
 
-    def plan(self, work, limits=LIMITS, known=True, in_flight=0.0, slots=48, **state):
+    def make_plan(self, work, limits=LIMITS, known=True, in_flight=0.0, slots=48, **state):
         demand = Demand(in_flight, slots, Work(work, work), known)
         return CheapestSafeFleet().plan(limits, demand, FleetState(**state))
 
-    def total(self, plan):
+    def count_endpoints(self, plan):
         return sum(plan.reclaimable.values()) + sum(plan.firm.values())
 
-    def test_slots_bound_what_an_endpoint_serves_only_where_they_are_few(self):
+    def test_slots_bound_endpoint_load_only_when_few(self):
         limits = ScalingLimits(1, 50, 4.0, 0.2, {"zone-a": 1.0})
         counts = [
-            self.total(self.plan(1.0, limits, in_flight=60.0, slots=slots)) for slots in (4, 8, 100)
+            self.count_endpoints(self.make_plan(1.0, limits, in_flight=60.0, slots=slots))
+            for slots in (4, 8, 100)
         ]
         assert counts[0] > counts[1] > counts[2]
-        assert counts[2] == self.total(self.plan(1.0, limits))
+        assert counts[2] == self.count_endpoints(self.make_plan(1.0, limits))
 
-    def test_large_fleets_need_less_to_spare(self):
+    def test_large_fleets_need_fewer_spares(self):
         limits = ScalingLimits(1, 50, 4.0, 0.2, self.LIMITS.zone_prices)
-        ratios = [self.total(self.plan(work, limits)) / work for work in (1.5, 4.0, 16.0)]
+        ratios = [
+            self.count_endpoints(self.make_plan(work, limits)) / work for work in (1.5, 4.0, 16.0)
+        ]
         assert ratios[0] >= 4.0 and ratios[1] > ratios[2] and ratios[2] <= 2.1
 
-    def test_queue_alone_is_no_demand(self):
-        """A queue that is left of a reclaim needs no more endpoints than the work that comes."""
-        calm, queued = (self.plan(1.0, in_flight=each) for each in (5.0, 60.0))
+    def test_queue_alone_adds_no_endpoints(self):
+        """A queue left by a reclaim must not add endpoints beyond the incoming load."""
+        calm, queued = (self.make_plan(1.0, in_flight=each) for each in (5.0, 60.0))
         assert calm == queued
 
-    def test_nothing_is_ordered_before_the_endpoints_have_registered(self):
+    def test_no_request_is_sent_before_endpoints_have_registered(self):
         world = ForwardingWorld()
         world.configure_routes()
         world.endpoint("plain-1", "records", "zone-a")
         world.front("front-1")
         world.run(2.0)
-        assert not calls(world, "/scale")
+        assert not cloud_calls(world, "/scale")
         for number in range(4):
             world.endpoint(f"engine-{number}", "engines", "zone-a")
             world.run(0.4)
         world.run(3.0)
-        orders = [each.body for each in calls(world, "/scale") if each.body["zone"] == "zone-a"]
+        orders = [
+            each.body for each in cloud_calls(world, "/scale") if each.body["zone"] == "zone-a"
+        ]
         assert [each["desired"] for each in orders if each.get("spot")] == [3]
 
-    def test_all_that_register_are_counted_also_where_it_takes_longer(self):
+    def test_slow_registration_extends_the_wait(self):
         world = ForwardingWorld()
         world.configure_routes()
         world.endpoint("plain-1", "records", "zone-a")
@@ -218,62 +225,64 @@
         for number in range(6):
             world.endpoint(f"engine-{number}", "engines", "zone-b" if number > 3 else "zone-a")
             world.run(0.9)
-        assert not calls(world, "/scale")
+        assert not cloud_calls(world, "/scale")
         world.run(3.0)
         assert world.fronts["front-1"].leader_tasks[1]._initial_counts["engines"].total() == 6
-        assert calls(world, "/scale")
+        assert cloud_calls(world, "/scale")
 
-    def test_one_reclaimable_endpoint_a_zone_while_calm(self):
-        plan = self.plan(0.1)
+    def test_one_reclaimable_endpoint_per_zone_at_low_demand(self):
+        plan = self.make_plan(0.1)
         assert set(plan.reclaimable.values()) == {1}
         assert sum(plan.firm.values()) == 0
 
     def test_demand_adds_endpoints_within_the_limits(self):
-        counts = [sum(self.plan(work).reclaimable.values()) for work in (0, 0.8, 1.6, 2.0, 50)]
+        counts = [sum(self.make_plan(work).reclaimable.values()) for work in (0, 0.8, 1.6, 2.0, 50)]
         assert counts == sorted(counts) and counts[-1] == 9
 
-    def test_most_of_what_was_found_stays_until_the_demand_is_known(self):
+    def test_most_initial_endpoints_stay_until_the_demand_is_known(self):
         found = {"zone-a": 4, "zone-b": 3}
-        first = self.plan(0, known=False, found=found).reclaimable
+        first = self.make_plan(0, known=False, found=found).reclaimable
         assert first == {"zone-a": 3, "zone-b": 2, "zone-c": 2}
-        later = self.plan(0, found=found).reclaimable
+        later = self.make_plan(0, found=found).reclaimable
         assert set(later.values()) == {1}
 
-    def test_dry_zones_are_made_up_for_elsewhere(self):
-        plan = self.plan(0.4, dry=frozenset({"zone-a"}), reclaimable={"zone-b": 1, "zone-c": 1})
+    def test_other_zones_compensate_exhausted_zones(self):
+        plan = self.make_plan(
+            0.4, dry=frozenset({"zone-a"}), reclaimable={"zone-b": 1, "zone-c": 1}
+        )
         assert plan.reclaimable["zone-b"] + plan.reclaimable["zone-c"] >= 2
-        # The platform keeps the least number of a zone in any case.
+        # The platform always keeps the minimum number of a zone.
         assert plan.firm == {"zone-b": 0, "zone-a": 1, "zone-c": 0}
 
-    def test_firm_endpoints_make_up_where_none_are_to_be_had_anywhere(self):
+    def test_on_demand_endpoints_compensate_when_all_zones_are_exhausted(self):
         live = {"zone-a": 0, "zone-b": 1, "zone-c": 2}
-        plan = self.plan(2.4, dry=frozenset(self.LIMITS.zone_prices), reclaimable=live)
+        plan = self.make_plan(2.4, dry=frozenset(self.LIMITS.zone_prices), reclaimable=live)
         assert plan.reclaimable == live
-        # 2.4 busy endpoints at 0.75 of their time are four that must be left without zone-c's two.
+        # A load of 2.4 at 75% utilization needs four endpoints after the loss of zone-c's two.
         assert sum(plan.firm.values()) == 3
         for zone in self.LIMITS.zone_prices:
             assert plan.reclaimable[zone] + plan.firm[zone] <= self.LIMITS.most
 
-    def test_loss_of_the_next_zone_is_borne(self):
+    def test_fleet_survives_the_loss_of_a_zone(self):
         for work in (0.5, 1.0, 1.5, 2.0, 3.0):
-            plan = self.plan(work)
-            survivors = self.total(plan) - max(plan.reclaimable.values())
+            plan = self.make_plan(work)
+            survivors = self.count_endpoints(plan) - max(plan.reclaimable.values())
             assert survivors * 0.75 >= work
 
     def test_spare_endpoints_follow_the_price(self):
-        """Where reclaimable ones cost nearly as much, firm ones are cheaper than spares."""
+        """If reclaimable endpoints cost nearly as much, on-demand ones are cheaper than spares."""
         expensive = ScalingLimits(1, 3, 4.0, 0.9, self.LIMITS.zone_prices)
-        assert sum(self.plan(1.7).firm.values()) == 0
-        assert sum(self.plan(1.7, expensive).firm.values()) > 0
+        assert sum(self.make_plan(1.7).firm.values()) == 0
+        assert sum(self.make_plan(1.7, expensive).firm.values()) > 0
 
-    def test_firm_endpoints_stay_until_others_have_taken_their_place(self):
+    def test_on_demand_endpoints_stay_until_replaced(self):
         firm = {"zone-a": 2, "zone-b": 1}
-        assert sum(self.plan(1.5, firm=firm).firm.values()) == 3
+        assert sum(self.make_plan(1.5, firm=firm).firm.values()) == 3
         started = {"zone-a": 1, "zone-b": 1, "zone-c": 2}
-        assert sum(self.plan(1.5, firm=firm, reclaimable=started).firm.values()) == 0
+        assert sum(self.make_plan(1.5, firm=firm, reclaimable=started).firm.values()) == 0
 
-    def test_firm_endpoints_are_ordered_at_the_notice(self):
-        """All reclaimable endpoints of a zone leave: a replacement starts for four seconds."""
+    def test_on_demand_endpoints_are_requested_at_the_reclaim_notice(self):
+        """Waiting for the reclaim itself is too late: a replacement takes four seconds to start."""
         world = ready_world(fronts=2, engines=0)
         for zone in ("zone-a", "zone-b"):
             world.endpoint(f"engine-{zone}", "engines", zone)
@@ -283,11 +292,11 @@
         leaving = {"spot": True, "state": "draining", "sequence": 5}
         world.register("engine-zone-a", "engines", "zone-a", **leaving)
         world.run(1.0)
-        orders = [each for each in calls(world, "/scale") if each.at >= noticed]
+        orders = [each for each in cloud_calls(world, "/scale") if each.at >= noticed]
         firm = [each for each in orders if not each.body.get("spot")]
         assert [(each.body["zone"], each.body["desired"]) for each in firm] == [("zone-a", 1)]
 
-    def test_holder_that_comes_back_orders_within_a_second(self):
+    def test_restarted_holder_sends_requests_within_a_second(self):
         world = ready_world(fronts=2)
         world.run(4.0)
         first = holder(world)
@@ -295,11 +304,11 @@
         world.front(first, first_start=False)
         began = world.clock.now()
         world.run(1.5)
-        orders = [each for each in calls(world, "/scale") if each.at >= began]
+        orders = [each for each in cloud_calls(world, "/scale") if each.at >= began]
         assert orders and {each.holder for each in orders} == {first}
 
-    def test_process_that_knows_no_endpoints_yet_orders_nothing(self):
-        """Its numbers would take away what serves."""
+    def test_process_without_endpoint_rows_sends_no_requests(self):
+        """Its requests would remove endpoints that serve."""
         world = ready_world(fronts=1)
         world.run(4.0)
         world.kill("front-1")
@@ -308,9 +317,9 @@
         world.front("front-1", first_start=False)
         began = world.clock.now()
         world.run(1.5)
-        assert not [each for each in calls(world, "/scale") if each.at >= began]
+        assert not [each for each in cloud_calls(world, "/scale") if each.at >= began]
 
-    def test_new_holder_knows_the_demand(self):
+    def test_every_process_tracks_the_demand(self):
         world = ready_world(fronts=3)
         for number in range(200):
             world.ask(f"front-{1 + number % 3}", "/stream/again/x")
@@ -319,28 +328,28 @@
         assert all(each._estimate_demand("engines").known for each in scaling.values())
         assert all(each._estimate_demand("engines").work.slow > 0 for each in scaling.values())
 
-    def test_orders_are_sent_once_and_an_unfilled_one_is_repeated_after_a_while(self):
+    def test_requests_are_sent_once_and_unfilled_ones_repeated(self):
         world = ready_world(fronts=2, engines=0)
         world.run(4.0)
-        orders = calls(world, "/scale")
+        orders = cloud_calls(world, "/scale")
         assert {(each.body["zone"], each.body.get("spot", False)) for each in orders} == {
             (zone, spot) for zone in ("zone-a", "zone-b") for spot in (True, False)
         }
         assert len(orders) == 4
         world.run(6.0)
-        repeated = calls(world, "/scale")[4:]
+        repeated = cloud_calls(world, "/scale")[4:]
         assert {(each.body["desired"], each.body.get("spot")) for each in repeated} == {(2, True)}
         assert len(repeated) == 2
         assert_one_holder_at_a_time(world)
 
-    def test_endpoints_that_were_not_taken_away_are_ordered_away_again(self):
+    def test_scale_in_is_repeated_if_endpoints_remain(self):
         world = ready_world(fronts=1, engines=0)
         world.endpoint("engine-1", "engines", "zone-a")
-        # Three seconds in which endpoints register, then an order and its repeats.
+        # Three seconds for endpoints to register, then a request and its repeats.
         world.run(15.0)
         firm = [
             each.at
-            for each in calls(world, "/scale")
+            for each in cloud_calls(world, "/scale")
             if each.body["zone"] == "zone-a" and not each.body.get("spot")
         ]
         assert len(firm) >= 3 and firm[1] - firm[0] < 6.0
--- a/flamingofront/process/forwarding/tests/test_lease_fuzz.py
+++ b/flamingofront/process/forwarding/tests/test_lease_fuzz.py
@@ -1,8 +1,8 @@
-"""The duty lease under any interleaving of calls, lost answers, late word and frozen processes.
+"""The leader lease under any interleaving of calls, lost responses and suspended processes.
 
-Several processes run the real `LeaderLease` over a naive store. The fuzzer decides which call is
-carried out when, whether its answer arrives, which announcements are heard and who stands still.
-The oracle looks only at acts: a process acts whenever it believes that it may.
+Several processes run the real `LeaderLease` over a naive store. The fuzzer decides when a call is
+carried out, whether its response arrives, which peer reports are received and which processes are
+suspended. The oracle checks only acts: a process acts whenever it holds a usable lease.
 """
 
 import random
@@ -29,7 +29,7 @@
 DURATION = 3.0
 PROCESSES = 3
 CALL_TIMEOUT = 1.0
-NO_ANSWER = object()  # a call whose answer never comes
+NO_ANSWER = object()  # a call whose response never arrives
 
 
 class _Read:
@@ -42,7 +42,7 @@
 
 
 class NaiveStore(TableStore):
-    """One row; calls are yielded to the fuzzer, which carries them out."""
+    """A store with one row; calls are yielded to the fuzzer, which carries them out."""
 
     def __init__(self):
         self.version, self.row = 0, None
@@ -68,6 +68,8 @@
 
 
 class Process:
+    """A process under test; the test resumes its lease task step by step."""
+
     def __init__(self, index, store, clock):
         self.vm, self.clock = f"vm-{index}", clock
         self.lease = LeaderLease(
@@ -80,7 +82,7 @@
         self.step(None)
 
     def step(self, answer, error=None):
-        """Go on with the task until its next wait."""
+        """Resume the task until its next call or sleep."""
         try:
             wanted = self.task.throw(error) if error else self.task.send(answer)
         except StopIteration:
@@ -106,15 +108,15 @@
 
 
 class Clock:
-    """Time that the test moves."""
+    """Clock that the test advances."""
 
     def __init__(self):
         self.time = 0.0
 
 
 class TestRace:
-    def test_word_of_a_new_holder_during_the_look_is_no_old_evidence(self):
-        """The row and the announcement of its new version arrive at the same time."""
+    def test_report_received_during_the_read_resets_the_wait(self):
+        """The row read is older than the report of the new holder that arrives during the read."""
         clock, store = Clock(), NaiveStore()
         first, second, third = (Process(index, store, clock) for index in range(3))
         for process in (first, first, second, third):
@@ -123,12 +125,12 @@
         clock.time += DURATION + 2.0
         second.step(None)
         third.step(None)
-        third_reads = third.call
+        third_read = third.call
         for _ in range(2):
             second.step(store.carry_out(second.call))
         assert second.lease.usable_lease() is not None
         third.lease.observe_report(second.report())
-        third.step(store.carry_out(third_reads))
+        third.step(store.carry_out(third_read))
         assert not isinstance(third.call, _Write)
 
 
@@ -140,17 +142,17 @@
             self.holder.step(self.store.carry_out(self.holder.call))
         assert self.holder.lease.usable_lease() is not None
 
-    def stored(self):
+    def stored_reports(self):
         return orjson.loads(self.store.row.value)["reports"]
 
-    def renewal(self):
-        """Let the holder send its next renewal."""
+    def start_renewal(self):
+        """Run the holder until it sends its next renewal."""
         self.clock.time = max(self.clock.time, self.holder.wake_at)
         self.holder.step(None)
         assert isinstance(self.holder.call, _Write)
 
-    def record(self, reports):
-        """Store reports; return the outcome, and None if the call must wait for its answer."""
+    def store_reports(self, reports):
+        """Start to store reports; return the task and its call, or the outcome and None."""
         task = self.holder.lease.renew(reports)
         try:
             return task, next(task)
@@ -158,8 +160,8 @@
             return exc.value, None
 
     def test_renewal_in_flight_does_not_undo_reports(self):
-        self.renewal()
-        task, call = self.record({"7": {"desk": 3}})
+        self.start_renewal()
+        task, call = self.store_reports({"7": {"desk": 3}})
         if call is None:
             assert task is False
         else:
@@ -171,29 +173,29 @@
         while isinstance(self.holder.call, _Write):
             self.holder.step(self.store.carry_out(self.holder.call))
         if call is not None:
-            assert self.stored() == {"7": {"desk": 3}}
+            assert self.stored_reports() == {"7": {"desk": 3}}
         else:
-            task, call = self.record({"7": {"desk": 3}})
+            task, call = self.store_reports({"7": {"desk": 3}})
             with pytest.raises(StopIteration):
                 task.send(self.store.carry_out(call))
-            assert self.stored() == {"7": {"desk": 3}}
+            assert self.stored_reports() == {"7": {"desk": 3}}
 
-    def test_reports_whose_answer_was_lost_stay_as_they_were_stored(self):
-        task, call = self.record({"7": {"desk": 3}})
+    def test_stored_reports_stay_after_a_lost_response(self):
+        task, call = self.store_reports({"7": {"desk": 3}})
         self.store.carry_out(call)
         with pytest.raises(PlatformError):
             task.throw(PlatformError("timeout", maybe_done=True))
-        task, call = self.record({"7": {"desk": 4}})
+        task, call = self.store_reports({"7": {"desk": 4}})
         with pytest.raises(StopIteration):
             while True:
                 call = task.send(self.store.carry_out(call))
-        assert self.stored() == {"7": {"desk": 3}}
+        assert self.stored_reports() == {"7": {"desk": 3}}
         assert self.holder.lease.state.reports == {"7": {"desk": 3}}
         assert self.holder.lease.usable_lease() is not None
 
 
 class LeaseMachine(RuleBasedStateMachine):
-    """Processes that take, renew and lose one lease."""
+    """Processes that acquire, renew and lose one lease."""
 
     def __init__(self):
         super().__init__()
@@ -205,7 +207,7 @@
 
     @rule(index=st.integers(0, PROCESSES - 1), answered=st.sampled_from([True, True, True, False]))
     def carry_out(self, index, answered):
-        """Carry a call out; a lost answer shows as a timeout."""
+        """Carry a call out; a lost response leads to a timeout."""
         process = self.processes[index]
         if process.call in (None, NO_ANSWER) or index in self.frozen:
             return
@@ -229,28 +231,28 @@
                     process.step(None)
                 elif process.call and self.clock.time - process.sent_at >= CALL_TIMEOUT:
                     process.step(None, PlatformError("timeout", maybe_done=True))
-                self._act(process)
+                self._record_act(process)
 
     @rule(source=st.integers(0, PROCESSES - 1))
     def send_report(self, source):
-        """Send word of the lease to all others; it arrives later, or never."""
+        """Send a report to all others; it arrives later, or never."""
         if source not in self.frozen:
             self.sent_reports.append(self.processes[source].report())
 
     @rule(listener=st.integers(0, PROCESSES - 1), pick=st.integers(0, 1000))
-    def receive(self, listener, pick):
+    def receive_report(self, listener, pick):
         if self.sent_reports and listener not in self.frozen:
             report = self.sent_reports[pick % len(self.sent_reports)]
             if report.vm_id != self.processes[listener].vm:
                 self.processes[listener].lease.observe_report(replace(report))
 
     @rule(index=st.integers(0, PROCESSES - 1))
-    def freeze_or_wake(self, index):
+    def toggle_frozen(self, index):
         self.frozen ^= {index}
 
     @rule()
-    def lose_the_holder(self):
-        """Freeze the holder for longer than its lease, so that all others look at the row."""
+    def freeze_holder(self):
+        """Suspend the holder for longer than its lease, so that all others read the row."""
         for index, process in enumerate(self.processes):
             if process.lease.valid_lease() is not None:
                 self.frozen = {index}
@@ -258,20 +260,20 @@
                 return
 
     @rule()
-    def settle(self):
-        """Carry out all calls that wait, one after another."""
+    def deliver_all(self):
+        """Carry out all pending calls, one after another."""
         for index in range(PROCESSES):
             for _ in range(3):
                 self.carry_out(index, True)
         self._advance(0.05)
 
-    def _act(self, process):
+    def _record_act(self, process):
         held = process.lease.usable_lease()
         if held is not None:
             self.acts.append((self.clock.time, process.vm, held.fencing))
 
     @invariant()
-    def fencing_never_falls_and_nobody_acts_around_another(self):
+    def fencing_is_monotonic_and_acts_are_a_lease_apart(self):
         last, last_of = None, {}
         for at, vm, fencing in self.acts:
             if last is not None:
--- a/flamingofront/process/forwarding/tests/test_limit_messages.py
+++ b/flamingofront/process/forwarding/tests/test_limit_messages.py
@@ -1,4 +1,4 @@
-"""Questions for permits, their replies, and word of limits in reports and digests."""
+"""Permit requests and replies, and limits in reports and digests."""
 
 from dataclasses import replace
 
@@ -28,7 +28,7 @@
 
 
 class TestMessages:
-    def test_question_and_reply_come_as_they_were_sent(self):
+    def test_request_and_reply_round_trip(self):
         request = PermitRequest(7, LIMIT, 2, 0.08)
         data = encode_permit_request(request)
         assert is_permit_request(data) and not is_permit_reply(data)
@@ -39,7 +39,7 @@
         assert decode_permit_reply(data) == reply
 
     @given(st.binary(max_size=60))
-    def test_malformed_ones_are_refused(self, data):
+    def test_malformed_messages_raise_only_value_error(self, data):
         for decode in (decode_permit_request, decode_permit_reply):
             try:
                 decode(b"L?" + data)
@@ -47,18 +47,18 @@
                 continue
 
     @pytest.mark.parametrize("limit", [["e", 1, -2.0, 0.0], ["e", 1], "text", ["e", "x", 1, 1]])
-    def test_limits_that_are_none_are_refused(self, limit):
+    def test_malformed_limits_are_rejected(self, limit):
         with pytest.raises(ValueError):
             decode_permit_request(b"L?" + orjson.dumps([1, 1, 0.0, limit]))
 
 
-class TestWord:
-    def test_report_and_digest_tell_limits(self):
+class TestGossip:
+    def test_report_and_digest_carry_limits(self):
         assert decode_report(encode_report(REPORT)).limits == REPORT.limits
         digest = decode_digest(DigestWriter(Digest(REPORT, "zone-a", 1.0, 1, 1)).datagram())
         assert digest.relay.limits == REPORT.limits
 
-    def test_processes_of_an_earlier_version_tell_none(self):
+    def test_messages_of_an_earlier_version_carry_no_limits(self):
         report = orjson.dumps(orjson.loads(encode_report(REPORT))[:-4])
         assert decode_report(report).limits == ()
         head, _, body = (
--- a/flamingofront/process/forwarding/tests/test_quota_arbiter.py
+++ b/flamingofront/process/forwarding/tests/test_quota_arbiter.py
@@ -1,8 +1,8 @@
-"""One process decides on the quota of a workspace for all, as long as it can be reached.
+"""One process arbitrates the quota of a workspace for all, as long as it is reachable.
 
-A workspace that sent 12 and 30 times its quota to 64 processes, all of which were killed in the
-middle, got 30 and 5 in 100 more through than the limit of a window: each process let through what
-came before the first word of the others, and those that started anew knew nothing of it.
+Guards against overshoot: when 64 processes were killed during a surge of 12 and 30 times the quota,
+30 and 5 percent more than the limit of a window were admitted, since each process admitted requests
+before the first report of the others, and restarted ones did not know what was consumed.
 """
 
 import random
@@ -40,7 +40,7 @@
 
 
 class QuotaWorld(ForwardingWorld):
-    """Entry processes that a workspace asks as often as a test wants."""
+    """Entry processes that get requests of one workspace at a chosen rate."""
 
     def __init__(self, fronts=8, seed=1):
         super().__init__(seed)
@@ -63,7 +63,7 @@
         self.host(endpoint.endpoint_id).handler = handle
 
     def send_requests(self, factor, seconds, fronts=None):
-        """Let the workspace ask for a multiple of its rate, at any process that runs."""
+        """Send requests at a multiple of the quota to random running processes."""
         callers = []
         end = self.clock.now() + seconds
         while self.clock.now() < end:
@@ -81,7 +81,7 @@
             self.front(name, zone, QUOTA_RULES, first_start=False)
 
     def max_in_window(self):
-        """Return the most requests that endpoints got within a window."""
+        """Return the largest number of requests that reached endpoints within a window."""
         return max(
             (sum(at <= each < at + 8.0 for each in self.ran_at) for at in self.ran_at), default=0
         )
@@ -90,13 +90,13 @@
 class TestSurge:
     @pytest.mark.parametrize("factor", [2, 10, 50])
     @pytest.mark.parametrize("fronts", [7, 30])
-    def test_limit_holds_from_the_first_request_on(self, fronts, factor):
+    def test_limit_holds_from_the_first_request(self, fronts, factor):
         world = QuotaWorld(fronts, seed=factor)
         world.send_requests(factor, 9.0 if factor == 2 else 4.0)
         world.run(1.0)
         assert world.max_in_window() <= LIMIT
 
-    def test_two_surges_that_overlap(self):
+    def test_limit_holds_over_overlapping_surges(self):
         world = QuotaWorld()
         world.send_requests(3, 2.0)
         world.send_requests(30, 3.0)
@@ -104,7 +104,7 @@
         assert world.max_in_window() <= LIMIT
 
     @pytest.mark.parametrize("seed", range(3))
-    def test_all_processes_are_killed_in_the_middle_twice(self, seed):
+    def test_limit_holds_when_all_processes_are_killed_twice(self, seed):
         world = QuotaWorld(seed=seed)
         world.send_requests(12, 1.0 + 2 * world.rng.random())
         for _ in range(2):
@@ -114,7 +114,7 @@
         assert world.max_in_window() <= LIMIT
 
     @pytest.mark.parametrize("seed", range(3))
-    def test_arbiter_is_killed_in_the_middle(self, seed):
+    def test_limit_holds_when_the_arbiter_is_killed(self, seed):
         world = QuotaWorld(seed=seed)
         world.send_requests(12, 1.0 + world.rng.random())
         first = world.fronts["front-0"].quota_members.rank_arbiters("desk")[0]
@@ -123,17 +123,17 @@
         assert world.max_in_window() <= LIMIT
 
     @pytest.mark.parametrize("seed", range(3))
-    def test_half_of_them_are_killed_in_the_middle(self, seed):
+    def test_limit_holds_when_half_are_killed(self, seed):
         world = QuotaWorld(seed=seed)
         world.send_requests(12, 2.0)
         world.restart(*world.rng.sample(list(world.fronts), 4))
         world.send_requests(12, 5.0)
         assert world.max_in_window() <= LIMIT
 
-    def test_half_of_many_are_killed_in_the_middle(self):
-        """Those that began anew asked anyone, or decided alone, and their arbiters did not add up.
+    def test_limit_holds_when_half_of_many_are_killed(self):
+        """Restarted processes asked different arbiters, or decided locally.
 
-        Of 64 processes 32 that were killed in a surge let 283 through where 230 are allowed.
+        With 32 of 64 processes killed in a surge, 283 requests were admitted where 230 are allowed.
         """
         world = QuotaWorld(30, seed=2)
         world.send_requests(12, 1.5)
@@ -142,7 +142,7 @@
         assert world.max_in_window() <= LIMIT
 
     @pytest.mark.parametrize("moment", [0.0, 1.0])
-    def test_zones_that_hear_nobody(self, moment):
+    def test_limit_holds_between_partitioned_zones(self, moment):
         world = QuotaWorld()
         world.send_requests(12, moment)
         for number, zone in enumerate(ZONES):
@@ -154,7 +154,7 @@
         assert world.max_in_window() <= LIMIT
 
     @pytest.mark.parametrize("lost", [0.1, 0.5])
-    def test_questions_and_replies_are_lost(self, lost):
+    def test_limit_holds_when_datagrams_are_lost(self, lost):
         world = QuotaWorld()
         world.lost_datagrams = lost
         callers = world.send_requests(12, 8.0)
@@ -162,18 +162,18 @@
         assert world.max_in_window() <= LIMIT
         assert all(each.done for each in callers)
 
-    def test_much_is_taken_of_what_is_owed(self):
-        """A bound that is kept by refusing what is owed is half a mend."""
+    def test_most_of_the_quota_is_admitted(self):
+        """The limit must not be kept by rejecting requests within the quota."""
         world = QuotaWorld()
         callers = world.send_requests(12, 9.0)
         world.run(1.0)
-        passed = sum(each.status == 200 for each in callers)
-        assert passed >= 0.95 * (9.0 * RATE + BURST)
+        admitted = sum(each.status == 200 for each in callers)
+        assert admitted >= 0.95 * (9.0 * RATE + BURST)
 
 
-class TestQuestion:
-    def test_process_that_none_would_ask_does_not_decide(self):
-        """Among many only relays hear all others; a new process may take anyone for a relay."""
+class TestRequest:
+    def test_process_outside_the_ranking_declines(self):
+        """Only relays receive all reports; a new process may take any process for a relay."""
         world = QuotaWorld(24)
         front = world.fronts["front-0"]
         relays = set(front.quota_members.rank_arbiters("desk"))
@@ -189,20 +189,20 @@
 
 class TestCalm:
     @pytest.mark.parametrize("fronts", [7, 30])
-    def test_nothing_is_refused_well_below_the_quota(self, fronts):
-        """With parts for each process alone, a request was refused where its part was smaller."""
+    def test_nothing_is_rejected_well_below_the_quota(self, fronts):
+        """With a fixed share per process, requests were rejected where the share was too small."""
         world = QuotaWorld(fronts)
         callers = world.send_requests(0.7, 20.0)
         world.run(1.0)
         assert [each.status for each in callers].count(429) == 0
 
-    def test_little_is_refused_close_to_the_quota(self):
+    def test_little_is_rejected_close_to_the_quota(self):
         world = QuotaWorld()
         callers = world.send_requests(0.95, 30.0)
         world.run(1.0)
         assert [each.status for each in callers].count(429) <= 0.02 * len(callers)
 
-    def test_restart_of_the_arbiter_refuses_nothing(self):
+    def test_restart_of_the_arbiter_rejects_almost_nothing(self):
         world = QuotaWorld()
         callers = world.send_requests(0.7, 3.0)
         first = world.fronts["front-0"].quota_members.rank_arbiters("desk")[0]
@@ -211,7 +211,7 @@
         world.run(1.0)
         assert [each.status for each in callers].count(429) <= 0.02 * len(callers)
 
-    def test_processes_that_stop_in_turn_refuse_nothing(self):
+    def test_rolling_restart_rejects_almost_nothing(self):
         world = QuotaWorld()
         callers = []
         for name in list(world.fronts):
@@ -224,7 +224,7 @@
         world.run(1.0)
         assert [each.status for each in callers].count(429) <= 0.02 * len(callers)
 
-    def test_caller_that_leaves_while_it_is_decided_on_runs_nothing(self):
+    def test_caller_that_disconnects_before_the_decision_runs_nothing(self):
         world = QuotaWorld()
         arbiter = world.fronts["front-0"].quota_members.rank_arbiters("desk")[0]
         asked = next(each for each in world.fronts if world.host(each).address != arbiter)
@@ -240,8 +240,8 @@
 
 
 class TestStop:
-    def test_process_that_ends_asks_nobody_about_what_it_refuses(self):
-        """The reply came after its end, and the caller's connection was closed unanswered."""
+    def test_stopping_process_rejects_without_asking_an_arbiter(self):
+        """A reply after the exit would leave the caller without a response."""
         world = QuotaWorld()
         arbiter = world.fronts["front-0"].quota_members.rank_arbiters("desk")[0]
         asked = next(each for each in world.fronts if world.host(each).address != arbiter)
@@ -251,7 +251,7 @@
 
 
 class ArbiterPair:
-    """Two processes of which the second decides, joined by hand."""
+    """Two processes of which the second is the arbiter; the test delivers their messages."""
 
     WORKSPACE = ForwardedWorkspace("desk", ("k",), rate=RATE, burst=BURST)
 
@@ -262,11 +262,11 @@
         self.should_defer = {"1": False, "2": False}
         self.ranked = ["2", "1"]
         self.quotas = {ip: SharedQuota(lambda: 1.0, rng=random.Random(1)) for ip in "12"}
-        self.processes = {ip: self._process(ip) for ip in "12"}
+        self.processes = {ip: self._make_process(ip) for ip in "12"}
         self.decisions = []
-        self.pass_time(5.0)
+        self.advance(5.0)
 
-    def _process(self, ip):
+    def _make_process(self, ip):
         self.quotas[ip].prepare((self.WORKSPACE,), 0.0)
         view = QuotaContext(
             ip,
@@ -288,22 +288,22 @@
         arbiters.start()
         return arbiters
 
-    def pass_time(self, seconds):
+    def advance(self, seconds):
         end = self.clock.time + seconds
         while self.clock.time < end:
             self.clock.time = min(end, self.clock.time + 0.005)
             self.timers.run_due()
 
-    def deliver_messages(self, lost_count=0):
-        """Hand over what was sent, but for the first ones."""
-        sent, self.sent[:] = self.sent[lost_count:], []
+    def deliver_messages(self, drop_first=0):
+        """Deliver the sent messages except the first `drop_first`."""
+        sent, self.sent[:] = self.sent[drop_first:], []
         for source, target, data in sent:
             process = self.processes[target]
             (process.handle_request if is_quota_request(data) else process.handle_reply)(
                 data, source
             )
 
-    def ask(self, units=1.0):
+    def request_units(self, units=1.0):
         self.processes["1"].decide(self.WORKSPACE, units, self.decisions.append)
 
     def consumed(self, ip="2"):
@@ -311,9 +311,9 @@
 
 
 class TestArbitration:
-    def test_question_is_answered_and_charged_once(self):
+    def test_request_is_replied_to_and_charged_once(self):
         pair = ArbiterPair()
-        pair.ask(5.0)
+        pair.request_units(5.0)
         pair.deliver_messages()
         pair.deliver_messages()
         assert [each.wait for each in pair.decisions] == [0.0]
@@ -323,82 +323,82 @@
         pair.quotas["2"].heard("1", {"desk": 7.0}, True, pair.timers.now())
         assert pair.consumed() == 7
 
-    def test_question_that_is_repeated_is_charged_once(self):
+    def test_duplicate_request_is_charged_once(self):
         pair = ArbiterPair()
-        pair.ask(5.0)
+        pair.request_units(5.0)
         pair.deliver_messages()
-        pair.deliver_messages(lost_count=1)
-        pair.pass_time(0.035)
+        pair.deliver_messages(drop_first=1)
+        pair.advance(0.035)
         pair.deliver_messages()
         pair.deliver_messages()
         assert [each.wait for each in pair.decisions] == [0.0]
         assert pair.consumed() == 5
 
-    def test_reply_to_an_earlier_process_is_not_given_to_the_next_one(self):
-        """Its first question had the number of another one, whose permission it got.
+    def test_restarted_process_does_not_get_earlier_replies(self):
+        """Request numbers that repeat after a restart match cached replies of the arbiter.
 
-        Of a workspace that had used up its quota, four processes that had begun anew let 643,000
-        units through within 1.5 s, all by old replies of an arbiter that refused the others.
+        After the quota was used up, four restarted processes admitted 643,000 units within 1.5 s by
+        cached grants, while the arbiter rejected the others.
         """
         pair = ArbiterPair()
-        pair.ask(5.0)
+        pair.request_units(5.0)
         pair.deliver_messages()
         pair.deliver_messages()
         pair.quotas["2"].spend(pair.WORKSPACE, 100.0, pair.timers.now())
-        pair.processes["1"] = pair._process("1")
-        pair.ask(5.0)
+        pair.processes["1"] = pair._make_process("1")
+        pair.request_units(5.0)
         pair.deliver_messages()
         pair.deliver_messages()
         assert pair.decisions[0].wait == 0.0 and pair.decisions[1].wait > 0
 
-    def test_late_permission_is_given_back(self):
+    def test_late_grant_is_returned(self):
         pair = ArbiterPair()
-        pair.ask(5.0)
+        pair.request_units(5.0)
         pair.deliver_messages()
         late, pair.sent[:] = list(pair.sent), []
-        pair.pass_time(0.1)
+        pair.advance(0.1)
         assert [each.arbiter for each in pair.decisions] == [""]
         pair.sent[:] = late
         pair.deliver_messages()
         pair.deliver_messages()
         assert pair.consumed() == 0
 
-    def test_one_that_does_not_reply_is_not_waited_for_again(self):
+    def test_unresponsive_arbiter_is_excluded(self):
         pair = ArbiterPair()
-        pair.ask()
-        pair.pass_time(0.1)
+        pair.request_units()
+        pair.advance(0.1)
         pair.sent.clear()
-        pair.ask()
+        pair.request_units()
         assert len(pair.decisions) == 2 and not pair.sent
 
-    def test_one_that_knows_less_passes_the_question_on(self):
+    def test_newcomer_declines(self):
         pair = ArbiterPair()
         pair.should_defer["2"] = True
-        pair.ask()
+        pair.request_units()
         pair.deliver_messages()
         pair.deliver_messages()
         assert [(each.wait, each.arbiter) for each in pair.decisions] == [(0.0, "")]
 
-    def test_what_was_not_used_is_given_back(self):
+    def test_unused_units_are_returned(self):
         pair = ArbiterPair()
-        pair.ask(5.0)
+        pair.request_units(5.0)
         pair.deliver_messages()
         pair.deliver_messages()
         pair.processes["1"].unused(pair.WORKSPACE, 5.0, pair.decisions[0])
         pair.deliver_messages()
         assert pair.consumed() == 0
 
-    def test_refusal_tells_what_decided(self):
+    def test_rejection_carries_the_quota_state(self):
         pair = ArbiterPair()
         for _ in range(60):
-            pair.ask()
+            pair.request_units()
             pair.deliver_messages()
             pair.deliver_messages()
         last = pair.decisions[-1]
         assert last.wait > 0 and last.arbiter == "2"
         assert last.state.taken >= BURST and last.state.bucket < 1
 
-    def test_workspace_without_a_quota_asks_nobody(self):
+    def test_workspace_without_a_quota_asks_no_arbiter(self):
         pair = ArbiterPair()
         free = ForwardedWorkspace("free", ("k",))
         pair.processes["1"].decide(free, 1e9, pair.decisions.append)
@@ -407,7 +407,7 @@
 
 class TestMessages:
     @given(st.integers(0, 1 << 50), st.text(max_size=30), st.floats(-1e9, 1e9))
-    def test_question_reads_as_it_was_written(self, number, workspace, units):
+    def test_request_round_trips(self, number, workspace, units):
         data = encode_quota_request(QuotaRequest(number, workspace, units))
         read = decode_quota_request(data)
         assert is_quota_request(data) and not is_quota_reply(data)
@@ -415,7 +415,7 @@
         assert read.units == pytest.approx(units, abs=1e-3)
 
     @given(st.integers(0, 1 << 50), st.sampled_from(Verdict), st.floats(0, 1e6))
-    def test_reply_reads_as_it_was_written(self, number, verdict, wait):
+    def test_reply_round_trips(self, number, verdict, wait):
         state = QuotaState(1.0, 2.0, 3.0, 0.5, 0.0, QuotaRule.START, 4.0)
         data = encode_quota_reply(QuotaReply(number, verdict, wait, state))
         read = decode_quota_reply(data)
@@ -423,12 +423,12 @@
         assert (read.number, read.verdict, read.state) == (number, verdict, state)
         assert read.wait == pytest.approx(wait, abs=1e-3)
 
-    def test_reply_of_an_earlier_version_is_understood(self):
+    def test_reply_of_an_earlier_version_is_decoded(self):
         read = decode_quota_reply(b"![7,1,0.5,1,2,3]")
         assert read.state == QuotaState(1.0, 2.0, 3.0)
 
     @given(st.binary(max_size=40))
-    def test_anything_else_is_refused(self, data):
+    def test_malformed_messages_raise_only_value_error(self, data):
         for mark, decode in ((b"?", decode_quota_request), (b"!", decode_quota_reply)):
             try:
                 decode(mark + data)
--- a/flamingofront/process/forwarding/tests/test_rollouts.py
+++ b/flamingofront/process/forwarding/tests/test_rollouts.py
@@ -1,4 +1,4 @@
-"""Roll-outs over whole entry processes: a good version, bad ones, orders that are wrong."""
+"""Rollouts over whole entry processes: good versions, bad ones, malformed orders."""
 
 import random
 
@@ -43,36 +43,36 @@
             assert phase_after(phase, new, age=99.0, clear=99.0) is phase
 
     @pytest.mark.parametrize("phase", [Phase.ORDERED, Phase.RUNNING, Phase.MOVING])
-    def test_bad_answers_or_the_deadline_take_it_back(self, phase):
+    def test_bad_responses_or_the_deadline_roll_it_back(self, phase):
         assert phase_after(phase, FAILING) is Phase.ROLLED_BACK
         assert phase_after(phase, FINE, age=40.0, clear=99.0) is Phase.ROLLED_BACK
 
-    def test_answers_as_bad_as_those_of_the_old_version_do_not(self):
+    def test_responses_as_bad_as_the_old_version_keep_it_running(self):
         assert phase_after(Phase.RUNNING, Tally(90, 10), Tally(900, 100)) is Phase.RUNNING
 
-    def test_it_moves_when_it_was_watched_long_enough(self):
+    def test_it_moves_when_observed_long_enough(self):
         assert phase_after(Phase.RUNNING, age=19.0) is Phase.RUNNING
         assert phase_after(Phase.RUNNING, age=20.0) is Phase.MOVING
 
-    def test_few_requests_are_watched_longer(self):
+    def test_few_requests_are_observed_longer(self):
         few = Tally(30, 0)
         assert phase_after(Phase.RUNNING, few, age=21.0) is Phase.RUNNING
         assert phase_after(Phase.RUNNING, few, age=26.0) is Phase.MOVING
         assert phase_after(Phase.RUNNING, Tally(5, 0), age=39.0) is Phase.RUNNING
 
-    def test_it_is_complete_only_when_nothing_runs_at_the_old_version(self):
+    def test_it_completes_only_when_the_old_version_is_idle(self):
         assert phase_after(Phase.MOVING, age=25.0, clear=CLEAR_SECONDS - 0.1) is Phase.MOVING
         assert phase_after(Phase.MOVING, age=25.0, clear=CLEAR_SECONDS) is Phase.COMPLETED
 
 
-class TestKnownRollouts:
-    def rollouts(self, order=ORDER):
+class TestTrackedRollouts:
+    def make_rollouts(self, order=ORDER):
         known = Rollouts(0.1, lambda: 10.0, random.Random(1), Log("entry"))
         known.apply_order(order)
         return known
 
-    def test_nothing_goes_to_the_new_version_before_it_runs_or_after_it_was_taken_back(self):
-        known = self.rollouts()
+    def test_new_version_gets_requests_only_while_running(self):
+        known = self.make_rollouts()
         assert not any(known.version_rule("records", True).exposed for _ in range(500))
         known.advance_phase("records", 7, Phase.RUNNING, "test")
         assert any(known.version_rule("records", True).exposed for _ in range(500))
@@ -80,30 +80,30 @@
         known.advance_phase("records", 7, Phase.ROLLED_BACK, "test")
         assert not any(known.version_rule("records", True).exposed for _ in range(500))
 
-    def test_old_word_does_not_revive_it(self):
-        known = self.rollouts()
+    def test_late_update_does_not_reopen_it(self):
+        known = self.make_rollouts()
         known.advance_phase("records", 7, Phase.ROLLED_BACK, "test")
         for phase in (Phase.RUNNING, Phase.MOVING, Phase.COMPLETED):
             known.merge_update({"records": (7, int(phase))})
         assert known.get_phase("records") is Phase.ROLLED_BACK
 
-    def test_process_stops_by_its_own_evidence(self):
-        known = self.rollouts()
+    def test_process_stops_by_local_evidence(self):
+        known = self.make_rollouts()
         known.advance_phase("records", 7, Phase.RUNNING, "test")
         for _ in range(6):
             known.record_response("records", "v2", is_bad=True)
         assert not any(known.version_rule("records", True).exposed for _ in range(500))
 
-    def test_evidence_of_others_counts_once(self):
-        one, other = self.rollouts(), self.rollouts()
+    def test_counts_of_peers_are_added_once(self):
+        one, other = self.make_rollouts(), self.make_rollouts()
         for _ in range(5):
             other.record_response("records", "v2", is_bad=True)
         for _ in range(2):
             one.merge_counts("other/1", other.local_counts(), True)
         assert one.collect_evidence("records", 0.0).new == Tally(0, 5)
 
-    def test_another_order_begins_anew(self):
-        known = self.rollouts()
+    def test_another_order_starts_a_new_rollout(self):
+        known = self.make_rollouts()
         known.advance_phase("records", 7, Phase.ROLLED_BACK, "test")
         assert known.merge_update({"records": (9, int(Phase.RUNNING))})
         known.apply_order(RolloutOrder("records", "v3", 40.0, 9))
@@ -127,18 +127,18 @@
             b'{"to": "v2", "duration_s": 30, "service": "another"}',
         ],
     )
-    def test_malformed_order_is_refused(self, data):
+    def test_malformed_order_is_rejected(self, data):
         with pytest.raises(PlatformError):
             decode_rollout("records", data, 7)
 
-    def test_status_is_read_as_it_was_written(self):
+    def test_status_round_trips(self):
         for phase in Phase:
             if phase is not Phase.ORDERED:
                 status = RolloutStatus(7, "v2", phase, 1234.5, frozenset({"v1"}))
                 assert decode_status(encode_status("records", status)) == status
 
     @pytest.mark.parametrize("word", [[1], {"s": 3}, {"s": [1]}, {"s": [1, 77]}])
-    def test_malformed_word_is_refused(self, word):
+    def test_malformed_update_is_rejected(self, word):
         with pytest.raises(ValueError):
             rollout_word(word)
         report = orjson.loads(encode_report(PeerReport("vm", 1, 1, "zone-a", "1.2.3.4", "a:1")))
@@ -147,7 +147,7 @@
 
 
 class Rollout:
-    """A world with traffic in which a service is rolled out to new endpoints."""
+    """A simulated deployment with traffic in which a service is rolled out to new endpoints."""
 
     def __init__(self, fault=ForwardFault.NONE, fronts=3, seconds=40.0, gap=0.02):
         self.world = ready_world(fronts=fronts, plains=2)
@@ -163,14 +163,14 @@
             self.world.endpoints[name].fail(fault)
 
     def serve(self, seconds):
-        """Send callers' requests, forty a second."""
+        """Send requests of callers, 40 per second."""
         for _ in range(int(seconds * 40)):
             front = self.world.rng.choice(sorted(self.world.fronts))
             self.callers.append(self.world.ask(front, "/read/x", "GET"))
             self.world.run(0.025)
 
     def serve_until(self, state, seconds):
-        """Go on until the status says so; return the seconds since the order."""
+        """Send requests until the status is `state`; return the seconds since the order."""
         while self.state() != state and self.age() < seconds:
             self.serve(0.5)
         assert self.state() == state
@@ -202,7 +202,7 @@
         assert {each.status for each in rollout.callers} == {200}
 
     @pytest.mark.parametrize("fault", [ForwardFault.ERROR, ForwardFault.LOSE_ANSWER])
-    def test_bad_version_gets_little_and_is_taken_back(self, fault):
+    def test_bad_version_gets_little_and_is_rolled_back(self, fault):
         rollout = Rollout(fault)
         assert rollout.serve_until("rolled_back", 40.0) <= 25.0
         exposed = rollout.runs("new")
@@ -211,12 +211,12 @@
         assert rollout.runs("new") == exposed
         assert rollout.state() == "rolled_back"
 
-    def test_version_that_is_several_times_slower_is_taken_back(self):
+    def test_much_slower_version_is_rolled_back(self):
         rollout = Rollout(gap=0.25)
         rollout.serve_until("rolled_back", 25.0)
         assert rollout.runs("new") <= 0.1 * len(rollout.callers) + 10
 
-    def test_order_to_go_back_takes_the_traffic_from_the_new_version_at_once(self):
+    def test_reverse_order_stops_traffic_to_the_new_version_at_once(self):
         rollout = Rollout()
         rollout.serve(8.0)
         rollout.world.store.put("op", "rollout/records", {**rollout.order, "to": "v1"})
@@ -229,7 +229,7 @@
         assert {each.status for each in rollout.callers} == {200}
 
     @pytest.mark.parametrize("restart", [False, True])
-    def test_version_whose_order_was_replaced_gets_nothing(self, restart):
+    def test_version_of_a_replaced_order_gets_nothing(self, restart):
         rollout = Rollout()
         rollout.serve(8.0)
         rollout.world.store.put("op", "rollout/records", {**rollout.order, "to": "v3"})
@@ -242,7 +242,7 @@
         rollout.serve(4.0)
         assert rollout.runs("new") == exposed
 
-    def test_version_that_turns_bad_later_is_taken_back(self):
+    def test_version_that_turns_bad_later_is_rolled_back(self):
         rollout = Rollout()
         rollout.serve(12.0)
         assert rollout.state() == "running"
@@ -264,7 +264,7 @@
         assert rollout.state() == "rolled_back"
 
     def test_new_version_serves_at_once_after_a_restart_of_all(self):
-        """Nobody knows by then that the roll-out is over, and no other endpoints are there."""
+        """No process remembers that the rollout is complete, and there are no other endpoints."""
         rollout = Rollout()
         rollout.serve_until("completed", 40.0)
         for name in ("plain-1", "plain-2"):
@@ -281,7 +281,7 @@
         rollout.world.run(1.0)
         assert {each.status for each in rollout.callers} == {200}
 
-    def test_next_holder_keeps_the_time_of_the_order(self):
+    def test_next_holder_keeps_the_start_of_the_order(self):
         rollout = Rollout(seconds=20.0)
         rollout.serve(8.0)
         for name in list(rollout.world.fronts):
--- a/flamingofront/process/forwarding/tests/test_stopping.py
+++ b/flamingofront/process/forwarding/tests/test_stopping.py
@@ -1,4 +1,4 @@
-"""A process that stops while callers keep their connections."""
+"""Graceful shutdown while callers keep their connections."""
 
 import math
 import random
@@ -35,72 +35,72 @@
             (0.1, 0.1, -1.0, False),
         ],
     )
-    def test_it_is_ended_by_its_deadline_or_by_its_own_size(self, deadline_left, bound, left, ends):
+    def test_request_ends_by_its_deadline_or_by_its_size(self, deadline_left, bound, left, ends):
         assert ends_in_time(deadline_left, bound, left) is ends
 
 
 class TestStreamBound:
     short = (0.1, 0.1, 24)
 
-    def test_nothing_is_said_of_a_stream_that_names_no_tokens(self):
-        """Any number of short ones says nothing of the next."""
+    def test_stream_without_a_token_count_is_unbounded(self):
+        """Short streams observed before must not bound it."""
         assert bound_after(*[self.short] * 100).seconds(0) == math.inf
 
-    def test_few_answers_say_nothing_of_the_next(self):
+    def test_few_responses_give_no_bound(self):
         assert bound_after(*[self.short] * 19).seconds(24) == math.inf
         assert bound_after(*[self.short] * 20).seconds(24) < math.inf
 
-    def test_streams_without_named_tokens_are_not_counted(self):
+    def test_streams_without_a_token_count_are_not_observed(self):
         assert bound_after(*[(0.1, 5.0, 0)] * 100).seconds(24) == math.inf
 
-    def test_long_stream_is_expected_after_short_ones_alone(self):
-        """At the same pace it takes a hundred times as long."""
+    def test_bound_grows_with_the_token_count(self):
+        """At the same token rate it takes a hundred times as long."""
         assert bound_after(*[self.short] * 100).seconds(2400) > 10.0
 
     @given(st.lists(st.tuples(st.floats(0, 2), st.floats(0, 9), st.integers(1, 900)), min_size=20))
-    def test_hardly_any_stream_that_was_seen_lately_is_longer(self, streams):
+    def test_bound_covers_recent_streams(self, streams):
         bound, lately = bound_after(*streams), streams[-128:]
         longer = [each for each in lately if bound.seconds(each[2]) < each[0] + each[1]]
         assert len(longer) <= len(lately) // 100
 
-    def test_slower_pace_shows_at_the_second_of_a_hundred(self):
+    def test_slower_rate_shows_after_two_of_a_hundred(self):
         assert bound_after(*[self.short] * 100, *[(0.1, 4.0, 100)] * 2).seconds(200) > 7.0
 
-    def test_change_of_the_endpoints_is_forgotten(self):
+    def test_old_observations_expire(self):
         assert bound_after((5.0, 9.0, 10), *[self.short] * 128).seconds(24) < 2.0
 
 
-class TestGracefulStop:
+class TestGracefulShutdown:
     @pytest.mark.parametrize("seed", range(3))
-    def test_streams_that_would_outlast_the_process_are_refused_as_not_run(self, seed):
-        """One was broken off 7.6 s after the signal: it had been taken long after it."""
+    def test_streams_that_would_outlast_the_process_are_rejected(self, seed):
+        """A stream admitted late in the shutdown was cut off 7.6 s after the signal."""
         world = ready_world(engines=2, seed=seed)
         for each in world.endpoints.values():
             each.gap = 0.3
         for _ in range(6):
             world.finish(world.ask("front-1", "/stream/once/x"))
         front = world.fronts["front-1"]
-        left_at_exit = []
+        active_at_exit = []
         callers = SimpleNamespace(closing=False, connections=1, close_idle=lambda: 0)
         stop = GracefulShutdown(
-            front, callers, 8.0, lambda: left_at_exit.append(len(front.hub.active))
+            front, callers, 8.0, lambda: active_at_exit.append(len(front.hub.active))
         )
         stop.begin()
         asked = []
-        while not left_at_exit:
+        while not active_at_exit:
             if len(asked) < 200:
                 asked.append(world.ask("front-1", "/stream/once/x"))
             world.run(0.2)
-        assert left_at_exit == [0]
+        assert active_at_exit == [0]
         refused = [each for each in asked if each.status == 503]
-        whole = [each for each in asked if each.status == 200]
-        assert refused and whole and len(refused) + len(whole) == len(asked)
+        complete = [each for each in asked if each.status == 200]
+        assert refused and complete and len(refused) + len(complete) == len(asked)
 
-    def test_stream_many_times_longer_than_usual_is_not_broken_off(self):
-        """A chat of 93 events shares its engines with answers of 8 and 17.
+    def test_unusually_long_stream_is_not_cut_off(self):
+        """Streams of one service differ: 93 events beside streams of 8 and 17.
 
-        Four seconds after the signal it was taken, since the mean of all its service's streams
-        ends in time, and it was broken off 3.6 s later, when the process ended.
+        One was admitted four seconds after the signal, since the mean of its service's streams ends
+        in time, and was cut off 3.6 s later, when the process ended.
         """
         world = ready_world(engines=1)
         engine = world.endpoints["engine-1"]
@@ -108,53 +108,53 @@
         for _ in range(60):
             world.finish(world.ask("front-1", "/stream/once/x"))
         front = world.fronts["front-1"]
-        left_at_exit = []
+        active_at_exit = []
         callers = SimpleNamespace(closing=False, connections=1, close_idle=lambda: 0)
         stop = GracefulShutdown(
-            front, callers, 8.0, lambda: left_at_exit.append(len(front.hub.active))
+            front, callers, 8.0, lambda: active_at_exit.append(len(front.hub.active))
         )
         stop.begin()
-        # One that runs all the while keeps the process until its end.
+        # A long stream keeps the process running until its deadline.
         engine.events = 400
         world.ask("front-1", "/stream/once/x", X_Flamingofront_Deadline_Ms="9000")
         world.run(4.0)
         engine.events = 160
         caller = world.ask("front-1", "/stream/once/x", X_Flamingofront_Deadline_Ms="9000")
-        world.run_until(lambda: left_at_exit)
+        world.run_until(lambda: active_at_exit)
         assert caller.done and not caller.broken
 
 
 class StoppingProcess:
-    """A process that is asked for anything while it stops, on connections that stay open.
+    """A stopping process that gets random requests on connections that stay open.
 
-    The tokens that a request names decide how many events its stream has, as an engine would.
+    The token count of a request determines the number of events of its stream.
     """
 
     GAP = 0.03
     GRACE = 8.0
     TOKENS_PER_EVENT = 6
 
-    def __init__(self, seed, learned):
+    def __init__(self, seed, warmup_requests):
         self.rng = random.Random(seed)
         self.count = 0
         self.world = ready_world(engines=3, plains=2, seed=seed)
         self.front = self.world.fronts["front-1"]
         for name, each in self.world.endpoints.items():
             each.gap = self.GAP if name.startswith("engine") else 0.2
-            self._answer_by_size(each)
-        for _ in range(learned):
+            self._size_streams_by_tokens(each)
+        for _ in range(warmup_requests):
             self.world.finish(self.ask(events=self.rng.randrange(1, 6)))
-        self.left_at_exit = []
+        self.active_at_exit = []
         self.asked = []
         callers = SimpleNamespace(closing=False, connections=1, close_idle=lambda: 0)
-        self.stop = GracefulShutdown(self.front, callers, self.GRACE, self._exited)
+        self.stop = GracefulShutdown(self.front, callers, self.GRACE, self._record_exit)
 
-    def _exited(self):
-        self.left_at_exit.append(len(self.front.hub.active))
+    def _record_exit(self):
+        self.active_at_exit.append(len(self.front.hub.active))
         self.cut_off = [at for at, each in self.asked if not each.done]
 
     @staticmethod
-    def _answer_by_size(endpoint):
+    def _size_streams_by_tokens(endpoint):
         inner = endpoint._answer
 
         def answer(req, exchange, fault):
@@ -178,7 +178,7 @@
         caller.request_id = f"r-{self.count}"
         return caller
 
-    def ask_anything(self):
+    def send_random_request(self):
         path = self.rng.choice(["/stream/once/x", "/stream/again/x", "/read/x", "/write/x"])
         is_stream = path.startswith("/stream")
         events = self.rng.choice([0, 2, 4, 20, 120]) if is_stream else 0
@@ -186,34 +186,34 @@
         self.asked.append((self.world.clock.now(), self.ask(events, path, deadline)))
 
     def run_to_exit(self, begin=0.0, pause=0.1):
-        """Stop, and ask from some seconds after the signal on until the process has ended."""
+        """Stop, and send requests from `begin` seconds after the signal until the exit."""
         self.stop.begin()
-        # One that runs all the while keeps the process until its end.
+        # A long stream keeps the process running until its deadline.
         self.world.ask("front-1", "/stream/once/x", X_Flamingofront_Deadline_Ms="9000")
         self.world.run(begin)
-        while not self.left_at_exit:
-            self.ask_anything()
+        while not self.active_at_exit:
+            self.send_random_request()
             self.world.run(pause * 2 * self.rng.random())
         return self
 
 
-class TestAnythingThatComesInAStop:
-    """Answers were cut off at the exit: what a request takes was judged by the mean."""
+class TestRequestsDuringShutdown:
+    """Estimating a request by the mean of its service let the exit cut off responses."""
 
-    @pytest.mark.parametrize("learned", [0, 30])
+    @pytest.mark.parametrize("warmup_requests", [0, 30])
     @pytest.mark.parametrize("seed", range(6))
-    def test_no_answer_is_cut_off(self, seed, learned):
-        process = StoppingProcess(seed, learned).run_to_exit()
+    def test_no_response_is_cut_off(self, seed, warmup_requests):
+        process = StoppingProcess(seed, warmup_requests).run_to_exit()
         assert len(process.asked) > 30
         assert process.cut_off == []
 
     @pytest.mark.parametrize("seed", range(4))
-    def test_none_is_cut_off_that_comes_in_the_last_moments(self, seed):
+    def test_no_late_response_is_cut_off(self, seed):
         process = StoppingProcess(seed, 30).run_to_exit(begin=7.6, pause=0.01)
         assert process.cut_off == []
 
     @pytest.mark.parametrize("seed", range(4))
-    def test_what_is_refused_has_not_run(self, seed):
+    def test_rejected_requests_have_not_run(self, seed):
         process = StoppingProcess(seed, 30).run_to_exit()
         ran = {
             req.header("x-flamingofront-request-id")
@@ -224,8 +224,8 @@
         assert refused and all("retry-after" in each.headers for each in refused)
         assert not ran & {each.request_id for each in refused}
 
-    def test_what_ends_in_time_is_taken_until_shortly_before_the_end(self):
-        """Refusing all from the signal on would keep the promise and fail the callers."""
+    def test_requests_that_end_in_time_are_admitted_until_near_the_exit(self):
+        """Rejecting all requests after the signal would fail callers without need."""
         stopping = StoppingProcess(1, 30)
         stopping.stop.begin()
         for moment in (0.5, 2.0, 4.0, 5.5):
@@ -235,8 +235,8 @@
             stopping.world.finish(short, plain)
             assert (short.status, plain.status) == (200, 200)
 
-    def test_request_that_waits_for_an_endpoint_is_refused_as_not_run(self):
-        """Taken in time, it found no endpoint until it could not end any more."""
+    def test_request_waiting_for_an_endpoint_is_rejected(self):
+        """It was admitted in time, but found no endpoint until too late to complete."""
         stopping = StoppingProcess(1, 30)
         stopping.stop.begin()
         stopping.world.run(5.0)
@@ -244,17 +244,17 @@
         request = next(iter(stopping.front.hub.active.values()))
         assert not request.done
         request.carry(request.machine.postponed(request.machine.attempt_id, 0.0, 2.5))
-        stopping.world.run_until(lambda: stopping.left_at_exit)
+        stopping.world.run_until(lambda: stopping.active_at_exit)
         assert caller.done and not caller.broken and caller.status == 503
 
 
-class TestLastAnswers:
+class TestFinalErrors:
     @pytest.mark.parametrize(
         ("path", "kind"),
         [("/read/x", "endpoint_failed"), ("/write/x", "outcome_unknown")],
     )
-    def test_request_that_outlasts_the_process_is_told_so(self, path, kind):
-        """Its caller saw a connection that closed without an answer."""
+    def test_request_that_outlasts_the_process_gets_an_error(self, path, kind):
+        """Its caller would see a connection that closes without a response."""
         world = ready_world()
         for each in world.endpoints.values():
             each.fail(ForwardFault.HANG)
@@ -268,9 +268,9 @@
         assert (caller.error["kind"], caller.error["ran"]) == (kind, "unknown")
 
 
-class TestRequestThatIsStillComing:
-    def test_it_is_refused_before_the_process_ends(self):
-        """Its caller saw a reset, which leaves open whether the request was taken."""
+class TestUnreadRequest:
+    def test_it_is_rejected_before_the_exit(self):
+        """Its caller would see a reset, which leaves open whether the request ran."""
         world = ready_world()
         front = world.fronts["front-1"]
         callers = SimpleNamespace(closing=False, connections=1, close_idle=lambda: 0)
--- a/flamingofront/process/forwarding/usage.py
+++ b/flamingofront/process/forwarding/usage.py
@@ -54,7 +54,7 @@
         """Return the number of the window that contains a wall-clock time."""
         return int(wall // self._window)
 
-    def end_of(self, window: int) -> float:
+    def window_end(self, window: int) -> float:
         """Return the wall-clock time at which a window ends."""
         return (window + 1) * self._window
 
@@ -102,7 +102,7 @@
     def _drop_old_windows(self, window: int) -> None:
         for old in [each for each in self._counts if each <= window - KEPT_WINDOWS]:
             del self._counts[old]
-        kept_from = self.end_of(window - KEPT_WINDOWS)
+        kept_from = self.window_end(window - KEPT_WINDOWS)
         for process in [each for each, wall in self._received_until.items() if wall < kept_from]:
             del self._received_until[process]
 
@@ -257,7 +257,7 @@
         """
         wall = self._coverage.true_time()
         last = self._book.window_at(wall - SETTLE_SECONDS) - 1
-        end = self._book.end_of(last)
+        end = self._book.window_end(last)
         live = self._coverage.live_count()
         if wall < end + MAX_MISSING_WAIT_SECONDS and not self._book.is_complete_until(
             end, live, wall
@@ -275,6 +275,7 @@
         return (yield from self._lease.renew(kept))
 
     def _send_report(self, name: str, counts: Mapping[str, int]) -> Task:
+        """Send a stored report to the cloud while the lease is held."""
         lease = self._lease.usable_lease()
         if lease is None:
             return
