--- a/flamingofront/process/forwarding/duty.py
+++ b/flamingofront/process/forwarding/duty.py
@@ -175,11 +175,13 @@
             yield Sleep(self._next_delay(), relaxed=True)
 
     def _next_delay(self) -> float:
+        """Return the seconds until the next renewal or check of the row."""
         if self._lease is not None:
             return self._duration / RENEWALS_PER_LEASE
         return RETRY_SECONDS * (0.5 + self._rng.random())
 
     def _renew_or_poll(self) -> Task:
+        """Renew a held lease; otherwise read the row if the holder's lease may have expired."""
         if self._lease is not None:
             if self._now() < self._lease.valid_until or not (yield from self._lost_in_restore()):
                 yield from self.renew()
--- a/flamingofront/process/forwarding/limit_messages.py
+++ b/flamingofront/process/forwarding/limit_messages.py
@@ -96,6 +96,7 @@
 
 
 def _parse_limit(endpoint_id: str, born: int, rate: float | None, named_at: float) -> EndpointLimit:
+    """Return the limit in its JSON values; raises ValueError if the rate is negative."""
     checked_rate = None if rate is None else float(rate)
     if checked_rate is not None and checked_rate < 0:
         raise ValueError(f"rate is {checked_rate}, expected at least 0")
--- a/flamingofront/process/forwarding/node.py
+++ b/flamingofront/process/forwarding/node.py
@@ -155,6 +155,7 @@
         return IntentRecorder(self.hub, rows, services, sender, self.member_share, vanished.read)
 
     def _build_requests(self) -> None:
+        """Build what handles requests: endpoints, routing, quotas and the gateway."""
         settings, dependencies = self.settings, self._dependencies
         self.facts = FactTable()
         self.directory = EndpointDirectory(self.facts, self._rng, settings.zone)
@@ -261,6 +262,7 @@
         )
 
     def _build_peers(self) -> None:
+        """Build what exchanges data with peers: reports, arbitration and anti-entropy."""
         self.peers = Peers(
             self._report_builder.identity,
             self.settings.peer_port,
@@ -396,6 +398,7 @@
         self._has_unsent_leaving = True
 
     def _build_leader_tasks(self) -> None:
+        """Build the leader lease and the leader tasks that this deployment needs."""
         settings, dependencies = self.settings, self._dependencies
         self.lease = LeaderLease(
             dependencies.store,
@@ -525,6 +528,7 @@
         return self.knowledge.configuration
 
     def _on_configuration_change(self, cfg: ForwardingConfiguration) -> None:
+        """Apply a new active configuration."""
         self.gateway.configuration = cfg
         self.quota.prepare(cfg.workspaces, self.timers.now())
         self.on_configuration(cfg)
--- a/flamingofront/process/forwarding/quota_arbiter.py
+++ b/flamingofront/process/forwarding/quota_arbiter.py
@@ -34,7 +34,7 @@
 
 __all__ = ["QuotaArbiters", "QuotaContext"]
 
-# After this time as first in rank a process knows all that was consumed without it.
+# Time as first in rank after which a process has received all that others have consumed.
 SETTLED_SECONDS = 2.0
 ROLE_CHECK_SECONDS = 0.5
 
@@ -136,7 +136,7 @@
         self._first_rank_since = {name: previous.get(name, now) for name in local}
         self._update_settled(now)
         if self._first_rank_since.keys() != previous.keys():
-            self._log.info("arbiter of quotas", workspaces=sorted(local))
+            self._log.info("quota arbiter role changed", workspaces=sorted(local))
 
     def _update_settled(self, now: float) -> None:
         """Become sole arbiter of workspaces after ranking first for long enough."""
--- a/flamingofront/process/forwarding/quota_members.py
+++ b/flamingofront/process/forwarding/quota_members.py
@@ -62,6 +62,7 @@
         return sorted(self.rank_by_hash(workspace), key=lambda ip: ip in new)
 
     def _live_members(self) -> list[PeerReport]:
+        """Return the reports of the live peers that are not leaving."""
         live = self._peers.table.heard(self._timers.now())
         return [each for each in live if not each.leaving]
 
--- a/flamingofront/process/forwarding/rollouts.py
+++ b/flamingofront/process/forwarding/rollouts.py
@@ -406,6 +406,7 @@
                     self._apply_row(order.service, row.value, row.version)
 
     def _apply_row(self, service: str, value: bytes, version: int) -> None:
+        """Apply a status row; a malformed one is ignored."""
         self._versions[service] = version
         try:
             status = self._rows.decode_status(value)
--- a/flamingofront/process/forwarding/scaling.py
+++ b/flamingofront/process/forwarding/scaling.py
@@ -231,7 +231,7 @@
         )
 
     def _send_priority(self, request: EndpointOrder) -> int:
-        """Return the sort key: at a start removals first, to free the limits, later last."""
+        """Return the sort key: removals first at a start, to free the limits, otherwise last."""
         last = self._last_requests.get(_request_key(request))
         if last is None:
             return 0 if request.count == 0 else 1
--- a/flamingofront/process/forwarding/usage.py
+++ b/flamingofront/process/forwarding/usage.py
@@ -100,6 +100,7 @@
         return found
 
     def _drop_old_windows(self, window: int) -> None:
+        """Drop windows that are too old to be reported at the given current window."""
         for old in [each for each in self._counts if each <= window - KEPT_WINDOWS]:
             del self._counts[old]
         kept_from = self.window_end(window - KEPT_WINDOWS)
