--- a/bench/answer_mutations.py
+++ b/bench/answer_mutations.py
@@ -15,7 +15,7 @@
     Mutation(
         "Limit: an attempt at a limited endpoint needs a permit",
         "request/active.py",
-        "elif self.hub.permits.needed(chosen.endpoint_id):",
+        "elif self.hub.permits.is_required(chosen.endpoint_id):",
         "elif False:",
         LIMITS,
     ),
@@ -36,7 +36,7 @@
     Mutation(
         "Limit: an answer to an earlier request does not end a limit",
         "request/endpoint_limits.py",
-        "return sent_wall > known.named_at + OVERTAKING_SECONDS",
+        "return sent_wall > known.advertised_at + OVERTAKING_SECONDS",
         "return True",
         KNOWN_LIMITS,
     ),
@@ -64,7 +64,7 @@
     Mutation(
         "Leave: an answer ends new work",
         "process/forwarding/endpoints.py",
-        "        self.put(replace(row, ready=False), by_peer=True)\n",
+        "        self.merge_row(replace(row, ready=False), from_peer=True)\n",
         "        pass\n",
         LEAVING,
     ),
@@ -72,7 +72,7 @@
         "Leave: leaving is final though the row had gone",
         "process/forwarding/endpoints.py",
         "if row.born == before.born and not before.ready and row.ready:",
-        "if is_known and row.born == before.born and not before.ready and row.ready:",
+        "if is_present and row.born == before.born and not before.ready and row.ready:",
         LEAVING,
     ),
     Mutation(
@@ -85,7 +85,7 @@
     Mutation(
         "Pause: nothing is sent in a pause",
         "request/hub.py",
-        " | self.pauses.closed()",
+        " | self.pauses.endpoints_in_backoff()",
         "",
         PAUSES,
     ),
@@ -106,7 +106,7 @@
     Mutation(
         "Pause: no refusal tells a time before an endpoint opens",
         "request/active.py",
-        "        if self.hub.time_until_open(service, priority) <= 0:\n",
+        "        if self.hub.seconds_until_open(service, priority) <= 0:\n",
         "        if True:\n",
         PAUSES,
     ),
--- a/bench/known_failure_mutations.py
+++ b/bench/known_failure_mutations.py
@@ -63,7 +63,7 @@
     Mutation(
         "S what is allowed is charged at once",
         "process/forwarding/quota_arbiter.py",
-        "            self._quota.charge_ahead(workspace, request.units, is_alone, now)",
+        "            self._quota.charge_grant(workspace, request.units, is_alone, now)",
         "            pass",
         ARBITER,
     ),
--- a/bench/quarantine_mutations.py
+++ b/bench/quarantine_mutations.py
@@ -24,14 +24,14 @@
     Mutation(
         "Q an endpoint that still sends has not ended",
         "request/endpoint_ends.py",
-        "if self._directory.reached_at(endpoint_id) > doubt.at + LAST_BYTES_SECONDS:",
+        "if self._directory.last_contact_at(endpoint_id) > doubt.at + LAST_BYTES_SECONDS:",
         "if False:",
         ENDS,
     ),
     Mutation(
         "Q an endpoint that leaves is no evidence",
         "request/endpoint_ends.py",
-        "if self._directory.leaving(endpoint_id):",
+        "if self._directory.is_unavailable(endpoint_id):",
         "if False:",
         ENDS,
     ),
@@ -73,7 +73,7 @@
     Mutation(
         "Q others are told",
         "process/forwarding/peer_word.py",
-        "        self._reported.hub.guard.hear(report.quarantine)\n",
+        "        self._reported.hub.guard.merge_update(report.quarantine)\n",
         "",
         WORLD,
     ),
@@ -94,7 +94,7 @@
     Mutation(
         "Q what is held is refused at once",
         "request/guard.py",
-        "        if self.standing(fingerprint) is Standing.HELD:\n            raise",
+        "        if self.standing(fingerprint) is QuarantineStatus.QUARANTINED:\n            raise",
         "        if False:\n            raise",
         WORLD,
     ),
@@ -108,7 +108,7 @@
     Mutation(
         "Q processes of the product tell one another",
         "process/node.py",
-        "        self.gossip.on_word = guard.hear\n",
+        "        self.gossip.on_word = guard.merge_update\n",
         "",
         PRODUCT,
     ),
@@ -129,7 +129,7 @@
     Mutation(
         "Q what was recorded before is evidence",
         "process/former_sends.py",
-        "        self._guard.take_evidence(ends)\n",
+        "        self._guard.load_evidence(ends)\n",
         "        pass\n",
         SERIES,
     ),
--- a/flamingofront/forward_daemon.py
+++ b/flamingofront/forward_daemon.py
@@ -101,7 +101,7 @@
         )
 
     def _datagram(self, data: bytes, ip: str) -> None:
-        self.node.peers.received(data, ip)
+        self.node.peers.receive_datagram(data, ip)
 
     def _server(self, bind: Address, handler, channel: str) -> HTTPServer:
         return HTTPServer(
--- a/flamingofront/process/drain.py
+++ b/flamingofront/process/drain.py
@@ -135,8 +135,8 @@
         self._metrics.count("handovers_total", result=result.value)
         if result is HandoverResult.NOT_TAKEN:
             # Nobody else has the text, so it may go on here after all.
-            self._hub.thaw(request)
+            self._hub.resume_frozen(request)
             return
-        self._hub.note_moved(request.request_id, target.vm_id)
+        self._hub.record_move(request.request_id, target.vm_id)
         request.moved()
         self.check()
--- a/flamingofront/process/former_sends.py
+++ b/flamingofront/process/former_sends.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass
 
 from flamingofront.connection.interfaces import Reach
-from flamingofront.decisions.quarantine_facts import EndpointEnd, RecordedSends
+from flamingofront.decisions.quarantine_facts import EndpointCrash, IntentSummary
 from flamingofront.decisions.send_intents import IntentRecord, SendIntent
 from flamingofront.errors import PlatformError
 from flamingofront.messages import Sleep
@@ -57,7 +57,7 @@
 
     Attributes
     ----------
-    seen_alive : dict
+    last_alive : dict
         Wall clock seconds at which endpoints were found to be there.
     on_read : callable
         Called once the records of former lives are known, if there are any.
@@ -72,7 +72,7 @@
         known: KnownRecords,
         vanished: Callable[[], Task] | None,
     ):
-        self.seen_alive: dict[str, float] = {}
+        self.last_alive: dict[str, float] = {}
         self.on_read: Callable[[], None] = lambda: None
         self._guard = hub.guard
         self._directory = hub.directory
@@ -133,9 +133,9 @@
 
     def _probed(self, endpoint_id: str, reach: Reach) -> None:
         if reach is Reach.CONNECTED:
-            self.seen_alive[endpoint_id] = self._guard.wall()
+            self.last_alive[endpoint_id] = self._guard.wall()
         elif reach is Reach.REFUSED:
-            self._guard.ends.found_ended(endpoint_id)
+            self._guard.crash_detector.record_closed_port(endpoint_id)
 
     def _read_vanished(self) -> Task:
         """Take note of endpoints that vanished while no entry process ran."""
@@ -145,7 +145,7 @@
             self._log.info("vanished endpoints not known", detail=str(exc))
             return
         for endpoint_id in found:
-            self._guard.ends.found_ended(endpoint_id)
+            self._guard.crash_detector.record_closed_port(endpoint_id)
 
     def _read_former(self) -> Task:
         """Read all records once."""
@@ -202,9 +202,9 @@
             # The rows of endpoints are not read yet.
             self._timers.once(TOGETHER_SECONDS, lambda: self._former_probed(endpoint_id, reach))
         elif reach is Reach.REFUSED or not self._directory.zone_of(endpoint_id):
-            self._guard.ends.found_ended(endpoint_id)
+            self._guard.crash_detector.record_closed_port(endpoint_id)
         elif reach is Reach.CONNECTED:
-            self.seen_alive[endpoint_id] = self._guard.wall()
+            self.last_alive[endpoint_id] = self._guard.wall()
 
     def _read_again(self) -> Task:
         """Take evidence from the records of endpoints that have ended, as they are now."""
@@ -226,8 +226,8 @@
                 if send.endpoint_id in self._ended and not self.is_own(send):
                     named = (kept.record.fingerprint, send)
                     at_endpoint.setdefault(send.endpoint_id, []).append(named)
-            recorded = RecordedSends(len(kept.record.sends), frozenset(kept.record.unseen))
-            self._guard.quarantine.take_record(kept.record.fingerprint, recorded)
+            recorded = IntentSummary(len(kept.record.sends), frozenset(kept.record.unobserved))
+            self._guard.quarantine.merge_intents(kept.record.fingerprint, recorded)
         ends = tuple(_end(each) for each in at_endpoint.values())
         for end in ends:
             self._log.info(
@@ -236,14 +236,14 @@
                 work=end.requests,
                 ago=round(self._guard.wall() - end.at, 3),
             )
-            self._guard.intents.unseen_end(end.endpoint_id)
-        self._guard.take_evidence(ends)
+            self._guard.intents.record_unobserved_crash(end.endpoint_id)
+        self._guard.load_evidence(ends)
 
 
-def _end(sends: list[tuple[str, SendIntent]]) -> EndpointEnd:
+def _end(sends: list[tuple[str, SendIntent]]) -> EndpointCrash:
     """Return the end of an endpoint as the records of what was there tell it."""
     first = sends[0][1]
     names = tuple(dict.fromkeys(fingerprint for fingerprint, _ in sends))
     at = max(send.at for _, send in sends)
     # Others may have been there: what was answered before needed no record.
-    return EndpointEnd(first.endpoint_id, first.zone, at, names, untold=1)
+    return EndpointCrash(first.endpoint_id, first.zone, at, names, omitted=1)
--- a/flamingofront/process/forwarding/held_requests.py
+++ b/flamingofront/process/forwarding/held_requests.py
@@ -7,7 +7,7 @@
 
 from collections.abc import Callable, Iterable
 
-from flamingofront.process.forwarding.follower import TableFollower, TableListener
+from flamingofront.process.forwarding.follower import TableListener, TableWatcher
 from flamingofront.process.forwarding.peers import Peers
 from flamingofront.process.holds import HOLD_TABLE, HoldKeeper, TableHolds
 from flamingofront.process.intent_rows import IntentRows, TableIntents
@@ -44,7 +44,7 @@
 
     Attributes
     ----------
-    follower : TableFollower
+    follower : TableWatcher
         Watches the quarantine table.
     """
 
@@ -58,16 +58,16 @@
         make_recorder: Callable[[IntentRows, Services], IntentRecorder],
         first_start: float | None = None,
     ):
-        guard.wall = peers.true_time
-        guard.on_news = peers.tell_now
-        guard.restarts = lambda: _restart_times(peers.starts(), first_start)
+        guard.wall = peers.cluster_time
+        guard.on_update = peers.broadcast_report
+        guard.entry_start_times = lambda: _restart_times(peers.start_times(), first_start)
         self._keeper = HoldKeeper(
             guard, TableHolds(store), services, FEED_LATENCY_SECONDS, is_standby
         )
         store.on_return(self._keeper.write_again)
         self._recorder = make_recorder(TableIntents(store), services)
         store.on_return(self._recorder.write_again)
-        self.follower = TableFollower(
+        self.follower = TableWatcher(
             store,
             HOLD_TABLE,
             TableListener(
--- a/flamingofront/process/forwarding/limit_arbiter.py
+++ b/flamingofront/process/forwarding/limit_arbiter.py
@@ -115,7 +115,7 @@
     def encode_request(self, number: int, request: _PendingPermit) -> bytes:
         """Return the datagram that asks for a permit."""
         claim = request.claim
-        current = self._limits.limit(claim.endpoint_id)
+        current = self._limits.limit_of(claim.endpoint_id)
         limit = current or EndpointLimit(claim.endpoint_id, 0, claim.rate, 0.0)
         return encode_permit_request(PermitRequest(number, limit, claim.priority, claim.patience))
 
@@ -155,7 +155,7 @@
             self._shared_limiter.give_back(endpoint_id)
 
     def _return_permit(self, endpoint_id: str, ip: str) -> None:
-        limit = self._limits.limit(endpoint_id) or EndpointLimit(endpoint_id, 0, None, 0.0)
+        limit = self._limits.limit_of(endpoint_id) or EndpointLimit(endpoint_id, 0, None, 0.0)
         request = PermitRequest(self._client.next_number(), limit, PERMIT_RETURNED)
         self._send(encode_permit_request(request), ip)
 
@@ -214,7 +214,7 @@
         share = self._arbitrated_share(endpoint_id)
         if share <= 0:
             return PermitReply(request.number, Verdict.NOT_HERE)
-        current = self._limits.limit(endpoint_id) or request.limit
+        current = self._limits.limit_of(endpoint_id) or request.limit
         if current.rate is None:
             return PermitReply(request.number, Verdict.ALLOWED)
         claim = RateClaim(endpoint_id, current.rate, request.priority, request.patience, ip)
--- a/flamingofront/process/forwarding/limit_members.py
+++ b/flamingofront/process/forwarding/limit_members.py
@@ -40,4 +40,4 @@
 
     def live_share(self) -> float:
         """Return the live fraction of all processes if a zone is unreachable, otherwise 1."""
-        return self._peers.heard_share() if self._peers.silent_zones() else 1.0
+        return self._peers.live_share() if self._peers.unreachable_zones() else 1.0
--- a/flamingofront/process/forwarding/limit_messages.py
+++ b/flamingofront/process/forwarding/limit_messages.py
@@ -78,7 +78,10 @@
 
 def encode_limits(limits: Iterable[EndpointLimit]) -> list[list]:
     """Return limits as JSON values; lists without keys, since limits are sent often."""
-    return [[each.endpoint_id, each.born, each.rate, round(each.named_at, 3)] for each in limits]
+    return [
+        [each.endpoint_id, each.started_ms, each.rate, round(each.advertised_at, 3)]
+        for each in limits
+    ]
 
 
 def decode_limits(values: Any) -> tuple[EndpointLimit, ...]:
--- a/flamingofront/process/forwarding/node.py
+++ b/flamingofront/process/forwarding/node.py
@@ -10,38 +10,38 @@
 from flamingofront.decisions.choice import BacklogChoice
 from flamingofront.decisions.fleet_plan import CheapestSafeFleet
 from flamingofront.decisions.quota import SharedQuota
-from flamingofront.decisions.quota_facts import QuotaRules
+from flamingofront.decisions.quota_facts import QuotaLimits
 from flamingofront.decisions.retry import RetryBudget
 from flamingofront.decisions.shared_retry import SharedRetryBudget
 from flamingofront.messages import InboundRequest
 from flamingofront.process.counted_store import CountedTableStore
 from flamingofront.process.former_sends import Sender
-from flamingofront.process.forwarding.control import ControlCalls
+from flamingofront.process.forwarding.control import ControlHandler
 from flamingofront.process.forwarding.duty import LeaderLease
 from flamingofront.process.forwarding.endpoint_row import EndpointRow
 from flamingofront.process.forwarding.endpoints import EndpointView
-from flamingofront.process.forwarding.exchange import WATCH_SECONDS, KnowledgeExchange
-from flamingofront.process.forwarding.freshness import ConfigurationCheck
+from flamingofront.process.forwarding.exchange import STALENESS_CHECK_SECONDS, PeerSync
+from flamingofront.process.forwarding.freshness import FreshnessCheck
 from flamingofront.process.forwarding.held_requests import QuarantineSync
 from flamingofront.process.forwarding.inquiries import ArbiterContext
-from flamingofront.process.forwarding.knowledge import Knowledge, SharedTables
+from flamingofront.process.forwarding.knowledge import SharedTables, StoreView
 from flamingofront.process.forwarding.limit_arbiter import LimitArbiters, LimitContext
 from flamingofront.process.forwarding.limit_members import LimitMembers
 from flamingofront.process.forwarding.observations import Observations
-from flamingofront.process.forwarding.own_report import OwnReport, ReportedParts
-from flamingofront.process.forwarding.peer_word import PeerWord, WordParts
+from flamingofront.process.forwarding.own_report import LocalReport, ReportSources
+from flamingofront.process.forwarding.peer_word import PeerDispatcher, UpdateReceivers
 from flamingofront.process.forwarding.peers import Peers
 from flamingofront.process.forwarding.quota_arbiter import QuotaArbiters, QuotaContext
 from flamingofront.process.forwarding.quota_members import QuotaMembers
-from flamingofront.process.forwarding.readers import StoreReaders
+from flamingofront.process.forwarding.readers import ZoneWatchers
 from flamingofront.process.forwarding.relaying import RelayListener
 from flamingofront.process.forwarding.reports import PeerReport
 from flamingofront.process.forwarding.rollouts import RolloutController, Rollouts
 from flamingofront.process.forwarding.scaling import ScalingController
 from flamingofront.process.forwarding.settings import DeploymentSettings
 from flamingofront.process.forwarding.usage import UsageBook, UsageCoverage, UsageReporter
-from flamingofront.process.forwarding.vanished import VanishedEndpoints
-from flamingofront.process.forwarding.whole_load import WholeLoad
+from flamingofront.process.forwarding.vanished import UnobservedRemovals
+from flamingofront.process.forwarding.whole_load import ClusterLoad
 from flamingofront.process.intent_rows import IntentRows
 from flamingofront.process.intents import IntentRecorder
 from flamingofront.process.logs import Log
@@ -123,7 +123,7 @@
             settings.ip,
             str(settings.control_bind or settings.ready_bind),
         )
-        self._report_builder = OwnReport(identity, dependencies.timers, rng)
+        self._report_builder = LocalReport(identity, dependencies.timers, rng)
         self.usage = UsageBook(identity.process, settings.rules.usage_window)
         self.rollouts = Rollouts(settings.rules.expose_share, self.timers.now, rng, log)
         self._build_requests()
@@ -140,18 +140,18 @@
             self._make_recorder,
             dependencies.incarnation / 1000 if settings.first_start else None,
         )
-        reported = ReportedParts(
-            self.hub, self.knowledge, self.lease, self.peers, self.rollouts, self.usage
+        reported = ReportSources(
+            self.hub, self.store_view, self.lease, self.peers, self.rollouts, self.usage
         )
-        parts = WordParts(reported, self.quota, self.exchange)
-        self._gossip = PeerWord(self._report_builder, parts, self.timers, self.metrics)
-        self.handle_control = ControlCalls(self).handle
+        parts = UpdateReceivers(reported, self.quota, self.exchange)
+        self._gossip = PeerDispatcher(self._report_builder, parts, self.timers, self.metrics)
+        self.handle_control = ControlHandler(self).handle
 
     def _make_recorder(self, rows: IntentRows, services: Services) -> IntentRecorder:
         """Return the recorder of send intents, which are written before each send."""
         settings = self.settings
         sender = Sender(settings.vm_id, self._dependencies.incarnation, settings.first_start)
-        vanished = VanishedEndpoints(self.store, self._dependencies.tables)
+        vanished = UnobservedRemovals(self.store, self._dependencies.tables)
         return IntentRecorder(self.hub, rows, services, sender, self.member_share, vanished.read)
 
     def _build_requests(self) -> None:
@@ -159,7 +159,7 @@
         settings, dependencies = self.settings, self._dependencies
         self.facts = FactTable()
         self.directory = EndpointDirectory(self.facts, self._rng, settings.zone)
-        self.knowledge = Knowledge(
+        self.store_view = StoreView(
             dependencies.store,
             dependencies.tables,
             EndpointView(
@@ -168,7 +168,7 @@
                 self.metrics,
                 self.log,
                 on_leaving=self._on_row_leaving,
-                on_gone=self._on_endpoint_removed,
+                on_removed=self._on_endpoint_removed,
                 on_restarted=self._on_endpoint_restarted,
             ),
             self._on_configuration_change,
@@ -177,14 +177,14 @@
             self.metrics,
             self.log,
             self._is_standby,
-            lambda: FEED_PAUSE_SECONDS if self.peers.many else 0.0,
+            lambda: FEED_PAUSE_SECONDS if self.peers.is_relayed else 0.0,
         )
         self.hub = RequestHub(
             HubSettings(
                 settings.vm_id,
                 settings.zone,
-                queue_patience=QUEUE_PATIENCE_SHARE,
-                choice_patience=QUEUE_PATIENCE_SHARE,
+                queue_wait_fraction=QUEUE_PATIENCE_SHARE,
+                choice_wait_fraction=QUEUE_PATIENCE_SHARE,
             ),
             dependencies.transport,
             self.timers,
@@ -196,16 +196,16 @@
             dependencies.protocol,
             self._retry_budget,
         )
-        self.knowledge.on_rollout = self.rollouts.apply_order
-        self.hub.on_leaving = self._on_endpoint_leaving
+        self.store_view.on_rollout = self.rollouts.apply_order
+        self.hub.on_endpoint_leaving = self._on_endpoint_leaving
         self.hub.on_outcome = self._record_outcome
         self.hub.cache_tokens = self._cache_tokens
         self.directory.sample_size = self._sample_size
         rules = settings.rules
         self.quota = SharedQuota(
-            lambda: self.peers.heard_share(),
-            QuotaRules(rules.quota_window, rules.quota_over, rules.quota_allowance),
-            lambda: self.peers.lag(),
+            lambda: self.peers.live_share(),
+            QuotaLimits(rules.quota_window, rules.quota_over, rules.quota_allowance),
+            lambda: self.peers.propagation_delay(),
             self._rng,
             lambda: self.peers.member_count(),
         )
@@ -220,34 +220,38 @@
 
     def _sample_size(self) -> int:
         """Return the number of endpoints to compare for one choice."""
-        return LATE_LOAD_CANDIDATES if self.peers.lag() > LATE_LOAD_SECONDS else MAX_CANDIDATES
+        return (
+            LATE_LOAD_CANDIDATES
+            if self.peers.propagation_delay() > LATE_LOAD_SECONDS
+            else MAX_CANDIDATES
+        )
 
     def _on_endpoint_removed(self, row: EndpointRow) -> None:
         """Drop all state of an endpoint whose row was deleted or expired."""
-        self.hub.guard.ends.gone(row.endpoint_id, announced=not row.ready)
+        self.hub.guard.crash_detector.record_row_removal(row.endpoint_id, announced=not row.ready)
         self.directory.forget(row.endpoint_id)
         self.hub.limits.forget(row.endpoint_id)
-        self.hub.pauses.forget(row.endpoint_id)
+        self.hub.backoffs.forget(row.endpoint_id)
         self._dependencies.transport.drop_idle(row.address)
-        self.knowledge.endpoint_gone(row.endpoint_id)
+        self.store_view.record_removed_endpoint(row.endpoint_id)
 
     def _on_endpoint_leaving(self, endpoint_id: str, request: str) -> None:
         """Record that an endpoint has announced in a response that it leaves."""
-        self.knowledge.endpoints.mark_leaving(endpoint_id, "answer", request)
+        self.store_view.endpoints.mark_leaving(endpoint_id, "answer", request)
 
     def _on_endpoint_restarted(self, row: EndpointRow, previous: EndpointRow) -> None:
         """Drop the state and the requests of an endpoint's earlier incarnation."""
         self.directory.forget(row.endpoint_id)
         self.hub.limits.forget(row.endpoint_id)
-        self.hub.pauses.forget(row.endpoint_id)
-        self.observations.endpoint_restarted(row.endpoint_id)
+        self.hub.backoffs.forget(row.endpoint_id)
+        self.observations.discard_earlier_loads(row.endpoint_id)
         for address in {row.address, previous.address}:
             self._dependencies.transport.drop_idle(address)
-        ago = self.peers.true_time() - row.born / 1000
+        ago = self.peers.cluster_time() - row.born / 1000
         at = self.timers.now() - ago
         # Responses in transit from the earlier incarnation are read first.
         self.timers.once(
-            LAST_RESPONSES_SECONDS, lambda: self.hub.endpoint_restarted(row.endpoint_id, at)
+            LAST_RESPONSES_SECONDS, lambda: self.hub.handle_endpoint_restart(row.endpoint_id, at)
         )
 
     def _retry_budget(self, service: Service) -> RetryBudget:
@@ -270,18 +274,18 @@
             self.own_report,
             self._dependencies.send,
             lambda report, gap: self._gossip.take_report(report, gap),
-            lambda note: self.observations.noted(note),
+            lambda note: self.observations.apply_load_delta(note),
             RelayListener(
                 self.own_report,
                 lambda relay, claim: self._gossip.take_belief(relay, claim),
                 lambda process, sums, counts: self._gossip.take_sums(process, sums, counts),
-                lambda: self.observations.loads_told(),
+                lambda: self.observations.mark_loads_stale(),
                 lambda counts, told_until: self.usage.merge_counts(counts, told_until),
                 lambda processes, windows: self.usage.collect_recent_counts(
-                    processes, self.peers.true_time(), windows
+                    processes, self.peers.cluster_time(), windows
                 ),
                 lambda processes: self.usage.received_until(processes),
-                lambda: self.peers.true_time(),
+                lambda: self.peers.cluster_time(),
             ),
             self._dependencies.store,
             self.tasks,
@@ -321,31 +325,29 @@
             self.log,
         )
         self.gateway.quota_gate = self.arbiters
-        self.peers.on_question = self.arbiters.handle_request
-        self.peers.on_reply = self.arbiters.handle_reply
+        self.peers.on_quota_request = self.arbiters.handle_request
+        self.peers.on_quota_reply = self.arbiters.handle_reply
         self._build_limits()
-        self.exchange = KnowledgeExchange(
-            self.knowledge, self.tasks, self.timers.now, self._rng, self.log
-        )
-        self.exchange.distant = self._remote_relays
-        self.exchange.near = self._zone_peers
-        self.gateway.unknown_gate = ConfigurationCheck(
-            self.knowledge, self.tasks, self.timers, self.log
+        self.exchange = PeerSync(self.store_view, self.tasks, self.timers.now, self._rng, self.log)
+        self.exchange.remote_watchers = self._remote_relays
+        self.exchange.zone_peers = self._zone_peers
+        self.gateway.unknown_gate = FreshnessCheck(
+            self.store_view, self.tasks, self.timers, self.log
         )
-        self.readers = StoreReaders(
+        self.readers = ZoneWatchers(
             self.settings.vm_id,
             self.settings.zone,
-            lambda: self.peers.table.heard(self.timers.now()),
+            lambda: self.peers.table.live_reports(self.timers.now()),
         )
-        self.knowledge.on_change = self._on_store_change
+        self.store_view.on_change = self._on_store_change
 
     def _remote_relays(self) -> list[str]:
         """Return the control addresses of the other zones' relays, in random order."""
-        return self._addresses(self.peers.relaying.relays_elsewhere() if self.peers.many else [])
+        return self._addresses(self.peers.relaying.remote_relays() if self.peers.is_relayed else [])
 
     def _zone_peers(self) -> list[str]:
         """Return the control addresses of the other processes in the zone, in random order."""
-        near = self.peers.relaying.near() if self.peers.many else {}
+        near = self.peers.relaying.zone_members() if self.peers.is_relayed else {}
         return self._addresses(sorted({*near.values()} - {self._report_builder.identity.ip}))
 
     def _addresses(self, ips: list[str]) -> list[str]:
@@ -358,8 +360,8 @@
     def _build_limits(self) -> None:
         """Build the arbitration of the rate limits that endpoints advertise."""
         limits, permits = self.hub.limits, self.hub.permits
-        limits.wall = self.peers.true_time
-        limits.born_of = self.knowledge.endpoints.born
+        limits.wall = self.peers.cluster_time
+        limits.start_ms_of = self.store_view.endpoints.start_time_ms
         local_ip = self.settings.ip
         members = LimitMembers(local_ip, self.quota_members, self.peers, lambda: self.stopping)
         context = ArbiterContext(local_ip, self._dependencies.incarnation, members.rank_arbiters)
@@ -372,8 +374,8 @@
             self.log,
         )
         permits.gate = self.limit_arbiters
-        permits.own_name = local_ip
-        self.peers.on_permit_question = self.limit_arbiters.handle_request
+        permits.process_name = local_ip
+        self.peers.on_permit_request = self.limit_arbiters.handle_request
         self.peers.on_permit_reply = self.limit_arbiters.handle_reply
 
     def _defers_quota_decisions(self) -> bool:
@@ -382,16 +384,16 @@
 
     def _is_standby(self) -> bool:
         """Return True if other processes watch the store for this one."""
-        if self.peers.many:
-            return self.peers.relaying.may_rest()
-        return self.readers.may_rest()
+        if self.peers.is_relayed:
+            return self.peers.relaying.has_watching_relay()
+        return self.readers.can_stand_by()
 
     def _on_store_change(self) -> None:
         """Report a store change to the zone, which may rely on this process as watcher."""
-        self.peers.tell_zone()
+        self.peers.notify_zone()
         if self._has_unsent_leaving:
             self._has_unsent_leaving = False
-            self.peers.tell_leaving()
+            self.peers.broadcast_leaving()
 
     def _on_row_leaving(self, row: EndpointRow) -> None:
         """Defer the report of a leaving endpoint until all changes of its poll are applied."""
@@ -409,7 +411,7 @@
             self._rng,
             self.log,
         )
-        load = WholeLoad(self.hub, self.peers, self.facts, self.timers)
+        load = ClusterLoad(self.hub, self.peers, self.facts, self.timers)
         self.leader_tasks: list[UsageReporter | ScalingController | RolloutController] = []
         if dependencies.cloud is None:
             return
@@ -422,9 +424,9 @@
                     settings.rules,
                     settings.vm_id,
                     UsageCoverage(
-                        self.peers.true_time,
-                        self.peers.counts_wait,
-                        lambda: self.peers.heard_count() + 1,
+                        self.peers.cluster_time,
+                        self.peers.usage_sync_delay,
+                        lambda: self.peers.live_count() + 1,
                     ),
                     self.timers.now,
                     self.metrics,
@@ -440,22 +442,22 @@
                     settings.vm_id,
                     self.timers.now,
                     lambda: self.configuration,
-                    self.knowledge.endpoints.rows,
-                    load.demand,
+                    self.store_view.endpoints.rows,
+                    load.compute_demand,
                     self.metrics,
                     self.log,
                     settings.first_start,
                 )
             )
-        self.rollouts.on_verdict = self.peers.tell_now
+        self.rollouts.on_verdict = self.peers.broadcast_report
         rollout_controller = RolloutController(
             self.lease,
             dependencies.store,
             dependencies.tables.rollouts,
             self.rollouts,
-            load.at_other_versions,
+            load.count_at_other_versions,
             self.timers.now,
-            self.peers.true_time,
+            self.peers.cluster_time,
             self.log,
         )
         self.store.on_return(rollout_controller.invalidate_rows)
@@ -476,7 +478,7 @@
         if not request.work.workspace:
             return
         ago = self.timers.now() - request.began_at()
-        self.usage.count_started(request.work.workspace, self.peers.true_time() - ago)
+        self.usage.count_started(request.work.workspace, self.peers.cluster_time() - ago)
 
     # Peers
 
@@ -494,7 +496,7 @@
         shrinks as their number grows. Half of the share is left for connections in use.
         """
         row = next(
-            (each for each in self.knowledge.endpoints.rows() if each.address == address), None
+            (each for each in self.store_view.endpoints.rows() if each.address == address), None
         )
         service = self.configuration.services.get(row.service) if row is not None else None
         if service is None or not service.max_connections:
@@ -511,10 +513,15 @@
             self.tasks.start(self.lease.run())
         for task in self.leader_tasks:
             self.tasks.start(task.run())
-        for follower in self.knowledge.followers:
+        for follower in self.store_view.watchers:
             self.tasks.start(follower.run())
         self.tasks.start(self.held.run())
-        self.timers.every(WATCH_SECONDS, self.exchange.watch, WATCH_SECONDS, relaxed=True)
+        self.timers.every(
+            STALENESS_CHECK_SECONDS,
+            self.exchange.check_staleness,
+            STALENESS_CHECK_SECONDS,
+            relaxed=True,
+        )
         self.log.info("started", zone=self.settings.zone, first=self.settings.first_start)
 
     def fault(self, exc: BaseException) -> None:
@@ -525,12 +532,12 @@
     @property
     def configuration(self) -> ForwardingConfiguration:
         """Active configuration."""
-        return self.knowledge.configuration
+        return self.store_view.configuration
 
     def _on_configuration_change(self, cfg: ForwardingConfiguration) -> None:
         """Apply a new active configuration."""
         self.gateway.configuration = cfg
-        self.quota.prepare(cfg.workspaces, self.timers.now())
+        self.quota.start_buckets(cfg.workspaces, self.timers.now())
         self.on_configuration(cfg)
 
     @property
--- a/flamingofront/process/forwarding/operators.py
+++ b/flamingofront/process/forwarding/operators.py
@@ -112,7 +112,7 @@
                 "zone": each.zone,
                 "ip": each.ip,
                 "incarnation": each.incarnation,
-                "heard": round(node.peers.table.gap(each.vm_id, now) or 0.0, 2),
+                "heard": round(node.peers.table.seconds_since_report(each.vm_id, now) or 0.0, 2),
                 "configuration": each.configuration,
                 "configuration_age": self._age_now(each, each.ages[0]),
                 "endpoints_age": self._age_now(each, each.ages[1]),
@@ -124,7 +124,10 @@
 
     def _age_now(self, report: PeerReport, age: float | None) -> float | None:
         """Return how old a process's knowledge is now, by what it told."""
-        gap = self._node.peers.table.gap(report.vm_id, self._node.timers.now()) or 0.0
+        gap = (
+            self._node.peers.table.seconds_since_report(report.vm_id, self._node.timers.now())
+            or 0.0
+        )
         return None if age is None else round(age + gap, 2)
 
     def _held(self) -> Rows:
@@ -132,7 +135,7 @@
 
     def _endpoints(self) -> Rows:
         directory = self._node.directory
-        backlog = directory.all_backlog()
+        backlog = directory.backlog_by_endpoint()
         return [
             {
                 "endpoint": fact.vm_id,
@@ -142,10 +145,10 @@
                 "address": fact.address,
                 "slots": fact.slots,
                 "reclaimable": fact.reclaimable,
-                "in_flight": directory.in_flight(fact.vm_id),
+                "in_flight": directory.in_flight_at(fact.vm_id),
                 "load": directory.load_of(fact.vm_id),
                 "backlog": backlog.get(fact.vm_id, 0),
-                "rate_limit": self._node.hub.limits.rate(fact.vm_id),
+                "rate_limit": self._node.hub.limits.rate_of(fact.vm_id),
                 **self._withheld(fact),
             }
             for fact in self._node.facts.all()
@@ -155,9 +158,11 @@
     def _withheld(self, fact: Fact) -> dict[str, Any]:
         """Return why an endpoint gets nothing from this process now, and for how long."""
         hub = self._node.hub
-        pause, permit = hub.pauses.remaining(fact.vm_id), hub.permits.wait((fact.vm_id,))
+        pause, permit = hub.backoffs.remaining_seconds(fact.vm_id), hub.permits.wait_seconds(
+            (fact.vm_id,)
+        )
         reason = None
-        if hub.directory.leaving(fact.vm_id):
+        if hub.directory.is_unavailable(fact.vm_id):
             reason = "leaves" if fact.state is VmState.LEAVING else "gone"
         elif pause > 0:
             reason = "requested a pause"
@@ -165,7 +170,7 @@
             reason = "no permit"
         elif not hub.directory.is_reachable(fact.vm_id, hub.now()):
             reason = "not reached"
-        elif hub.directory.health.ejected((fact.vm_id,), hub.now()):
+        elif hub.directory.health.list_ejected((fact.vm_id,), hub.now()):
             reason = "errors"
         return {"closed_for": round(max(pause, permit), 3) or None, "withheld": reason}
 
@@ -175,7 +180,7 @@
                 "name": each.name,
                 "kind": "model" if each.is_model else "plain",
                 "max_connections": each.max_connections,
-                "slots": each.slots or self._node.directory.slots(each.name),
+                "slots": each.slots or self._node.directory.advertised_slots(each.name),
                 "least": each.scaling.least if each.scaling else None,
                 "most": each.scaling.most if each.scaling else None,
             }
@@ -198,7 +203,7 @@
         ]
 
     def _workspaces(self) -> Rows:
-        spent = self._node.quota.spent()
+        spent = self._node.quota.get_consumed()
         return [
             {
                 "name": each.name,
@@ -226,7 +231,7 @@
 
     def _configuration(self) -> Rows:
         node = self._node
-        ages = (node.knowledge.configuration_age(), node.knowledge.endpoints_age())
+        ages = (node.store_view.configuration_age(), node.store_view.endpoints_age())
         return [
             {
                 "vm": node.settings.vm_id,
@@ -237,7 +242,7 @@
                 "age": None if age is None else round(age, 3),
                 "source": "others" if each.rests else "store",
             }
-            for each, age in zip(node.knowledge.followers, ages, strict=True)
+            for each, age in zip(node.store_view.watchers, ages, strict=True)
         ]
 
     def _requests(self) -> Rows:
@@ -262,6 +267,6 @@
 
 def _store_word(report: PeerReport) -> str:
     """Return how a process learns of the store's changes."""
-    if report.cut_off:
+    if report.store_unreachable:
         return "cut off"
-    return "reached" if report.follows else "by others"
+    return "reached" if report.watches_store else "by others"
--- a/flamingofront/process/forwarding/quota_arbiter.py
+++ b/flamingofront/process/forwarding/quota_arbiter.py
@@ -146,7 +146,7 @@
         workspaces = self._context.workspaces()
         if self._context.has_recent_restart():
             for name in settled - self._settled:
-                self._quota.begin_as_arbiter(workspaces[name], now)
+                self._quota.start_as_arbiter(workspaces[name], now)
         self._settled = settled
 
     # Requests to arbiters
@@ -177,7 +177,7 @@
     def decide_locally(self, request: _PendingCharge) -> None:
         """Decide within this process's share of the quota, since no arbiter can be reached."""
         is_newcomer = self._context.should_defer()
-        wait_of = self._quota.wait_as_newcomer if is_newcomer else self._quota.wait
+        wait_of = self._quota.get_wait_as_newcomer if is_newcomer else self._quota.get_wait
         request.then(QuotaDecision(wait_of(request.workspace, request.units, self._timers.now())))
 
     def unused(self, workspace: ForwardedWorkspace, units: float, decision: QuotaDecision) -> None:
@@ -227,7 +227,7 @@
         workspace = self._context.workspaces().get(request.workspace)
         if request.units < 0:
             if workspace is not None:
-                self._quota.give_back(workspace, -request.units, self._timers.now())
+                self._quota.refund_grant(workspace, -request.units, self._timers.now())
             return
         reply = self._replies.get_or_create(
             ip, request.number, lambda: self._make_reply(request, workspace)
@@ -245,9 +245,9 @@
         wait = self._wait_seconds(workspace, request.units)
         if wait <= 0:
             is_alone = workspace.name in self._settled or not self._context.has_recent_restart()
-            self._quota.charge_ahead(workspace, request.units, is_alone, now)
+            self._quota.charge_grant(workspace, request.units, is_alone, now)
         verdict = Verdict.REFUSED if wait > 0 else Verdict.ALLOWED
-        state = self._quota.state(workspace, now)
+        state = self._quota.get_state(workspace, now)
         return QuotaReply(request.number, verdict, max(0.0, wait), state)
 
     def _is_candidate(self, name: str) -> bool:
@@ -261,6 +261,6 @@
         """Return the seconds until the units are within the quota; 0 or less if they are now."""
         now = self._timers.now()
         if workspace.name in self._settled:
-            return self._quota.wait_as_arbiter(workspace, units, now)
+            return self._quota.get_wait_as_arbiter(workspace, units, now)
         partitions = self._context.partition_count(workspace.name)
-        return self._quota.wait_as_new_arbiter(workspace, units, partitions, now)
+        return self._quota.get_wait_as_new_arbiter(workspace, units, partitions, now)
--- a/flamingofront/process/forwarding/quota_members.py
+++ b/flamingofront/process/forwarding/quota_members.py
@@ -38,8 +38,8 @@
         -----
         In a large deployment these are the relays: only they receive reports from all processes.
         """
-        if self._peers.many:
-            return self._peers.relaying.ranked_relays(key)
+        if self._peers.is_relayed:
+            return self._peers.relaying.rank_relays(key)
         ips = {each.vm_id: each.ip for each in self._live_members()} | {
             self._local.vm_id: self._local.ip
         }
@@ -63,11 +63,11 @@
 
     def _live_members(self) -> list[PeerReport]:
         """Return the reports of the live peers that are not leaving."""
-        live = self._peers.table.heard(self._timers.now())
+        live = self._peers.table.live_reports(self._timers.now())
         return [each for each in live if not each.leaving]
 
     def _relay_reports(self) -> list[PeerReport]:
-        return self._peers.relaying.relays_heard() if self._peers.many else []
+        return self._peers.relaying.live_relays() if self._peers.is_relayed else []
 
     def _local_report(self) -> PeerReport:
         return replace(self._local, wall=self._timers.wall())
@@ -79,7 +79,7 @@
     def has_recent_restart(self) -> bool:
         """Return True if a live process, or this one, started within the quota window."""
         wall = self._timers.wall()
-        return any(wall - began < self._window for began in self._peers.starts())
+        return any(wall - began < self._window for began in self._peers.start_times())
 
     def is_newcomer(self) -> bool:
         """Return True if others may know what was consumed before this process started."""
@@ -108,24 +108,28 @@
 
     def _late_after_seconds(self) -> float:
         """Return the age from which the last report of a zone counts as late."""
-        return LATE_REPORT_PERIODS * self._peers.period()
+        return LATE_REPORT_PERIODS * self._peers.report_period()
 
     def _last_received_by_zone(self, now: float) -> dict[str, float]:
         """Return when the last report of each zone was received; -inf if never."""
         table, relaying = self._peers.table, self._peers.relaying
-        found = dict.fromkeys((self._local.zone, *relaying.zones()), -math.inf)
+        found = dict.fromkeys((self._local.zone, *relaying.known_zones()), -math.inf)
         for each in table.members(now):
-            at = now - (table.gap(each.vm_id, now) or 0.0)
+            at = now - (table.seconds_since_report(each.vm_id, now) or 0.0)
             found[each.zone] = max(at, found.get(each.zone, -math.inf))
-        if self._peers.many:
-            for zone, at in relaying.last_told().items():
+        if self._peers.is_relayed:
+            for zone, at in relaying.last_digest_times().items():
                 found[zone] = max(at, found.get(zone, -math.inf))
         return found
 
     def _has_recent_report(self, ip: str, now: float) -> bool:
         """Return True if a report of the process at an IP address is recent enough."""
         table = self._peers.table
-        gaps = [table.gap(each.vm_id, now) for each in table.heard(now) if each.ip == ip]
-        if self._peers.many:
-            gaps += [now - at for at in self._peers.relaying.heard_at(ip)]
+        gaps = [
+            table.seconds_since_report(each.vm_id, now)
+            for each in table.live_reports(now)
+            if each.ip == ip
+        ]
+        if self._peers.is_relayed:
+            gaps += [now - at for at in self._peers.relaying.digest_times(ip)]
         return any(gap <= self._late_after_seconds() for gap in gaps)
--- a/flamingofront/process/forwarding/quota_messages.py
+++ b/flamingofront/process/forwarding/quota_messages.py
@@ -5,7 +5,7 @@
 
 import orjson
 
-from flamingofront.decisions.quota_facts import QuotaRule, QuotaState
+from flamingofront.decisions.quota_facts import QuotaRejectReason, QuotaState
 
 __all__ = [
     "QuotaRequest",
@@ -134,10 +134,10 @@
         raise ValueError(f"malformed quota reply: {exc!r:.100}") from exc
 
 
-def _later_fields(values: list) -> tuple[float, float, QuotaRule, float | None]:
+def _later_fields(values: list) -> tuple[float, float, QuotaRejectReason, float | None]:
     """Return the state's fields that were added later, with defaults for older senders."""
     if len(values) < 3:
-        return 1.0, 0.0, QuotaRule.NONE, None
+        return 1.0, 0.0, QuotaRejectReason.NONE, None
     heard_share, rule, since_start = values
     left = None if since_start is None else float(since_start)
-    return float(heard_share), 0.0, QuotaRule(rule), left
+    return float(heard_share), 0.0, QuotaRejectReason(rule), left
--- a/flamingofront/process/forwarding/rollouts.py
+++ b/flamingofront/process/forwarding/rollouts.py
@@ -6,15 +6,15 @@
 from dataclasses import dataclass, field, replace
 
 from flamingofront.decisions.rollout import (
-    EXPOSED_PART,
-    Evidence,
+    EXPOSED_FRACTION,
     Phase,
-    RolloutOrder,
+    RolloutEvidence,
+    RolloutSpec,
     RolloutStatus,
     Tally,
     VersionRule,
+    is_worse,
     next_phase,
-    seems_bad,
 )
 from flamingofront.errors import PlatformError
 from flamingofront.messages import Sleep
@@ -39,25 +39,25 @@
 class _Rollout:
     """A rollout that this process tracks; times in seconds of the local monotonic clock."""
 
-    order: RolloutOrder
+    order: RolloutSpec
     seen_at: float
     phase: Phase = Phase.ORDERED
     counts: Counter[tuple[str, str]] = field(default_factory=Counter)
     stopped: bool = False
-    withheld: frozenset[str] = frozenset()
+    blocked: frozenset[str] = frozenset()
 
     def tally(self, side: str) -> Tally:
         return Tally(self.counts[side, _GOOD], self.counts[side, _BAD])
 
 
-def _blocked_versions(rollout: _Rollout | None, order: RolloutOrder) -> frozenset[str]:
+def _blocked_versions(rollout: _Rollout | None, order: RolloutSpec) -> frozenset[str]:
     """Return the versions that get no requests once an order has replaced another."""
     if rollout is None or rollout.phase is Phase.COMPLETED:
         return frozenset()
-    return (rollout.withheld | {rollout.order.version}) - {order.version}
+    return (rollout.blocked | {rollout.order.version}) - {order.version}
 
 
-def _is_renumbered(before: RolloutOrder, order: RolloutOrder) -> bool:
+def _is_renumbered(before: RolloutSpec, order: RolloutSpec) -> bool:
     """Return True if an order is an earlier one that the store reports under another number.
 
     Notes
@@ -82,7 +82,7 @@
     """
 
     def __init__(self, share: float, now: Callable[[], float], rng: random.Random, log: Log):
-        self._part = share * EXPOSED_PART
+        self._part = share * EXPOSED_FRACTION
         self._now = now
         self._rng = rng
         self._log = log
@@ -94,7 +94,7 @@
         self.on_order: Callable[[], None] = lambda: None
         self._peer_counts: dict[tuple[str, str], float] = {}
 
-    def list_orders(self) -> list[RolloutOrder]:
+    def list_orders(self) -> list[RolloutSpec]:
         """Return the tracked orders, at most one per service."""
         return [each.order for each in self._tracked.values()]
 
@@ -103,7 +103,7 @@
         rollout = self._tracked.get(service)
         return rollout.phase if rollout is not None else None
 
-    def apply_order(self, order: RolloutOrder) -> None:
+    def apply_order(self, order: RolloutSpec) -> None:
         """Track an order; one that replaces another starts a new rollout."""
         rollout = self._tracked.get(order.service)
         if rollout is not None and rollout.order.number >= order.number:
@@ -119,7 +119,7 @@
             )
             return
         self._tracked[order.service] = _Rollout(
-            order, self._now(), withheld=_blocked_versions(rollout, order)
+            order, self._now(), blocked=_blocked_versions(rollout, order)
         )
         self._log.info(
             "rollout ordered",
@@ -135,7 +135,7 @@
         rollout = self._tracked[service]
         since = round(wall - (self._now() - rollout.seen_at), 3)
         return RolloutStatus(
-            rollout.order.number, rollout.order.version, phase, since, rollout.withheld
+            rollout.order.number, rollout.order.version, phase, since, rollout.blocked
         )
 
     def apply_status(self, service: str, status: RolloutStatus, wall: float) -> None:
@@ -145,10 +145,10 @@
         if status.number == rollout.order.number or _is_renumbered(rewritten, rollout.order):
             ago = max(0.0, wall - status.since)
             rollout.seen_at = min(rollout.seen_at, self._now() - ago)
-            rollout.withheld |= status.withheld
+            rollout.blocked |= status.blocked
             self.advance_phase(service, rollout.order.number, status.phase, "store")
         elif status.number < rollout.order.number and status.phase is not Phase.COMPLETED:
-            rollout.withheld |= (status.withheld | {status.version}) - {rollout.order.version}
+            rollout.blocked |= (status.blocked | {status.version}) - {rollout.order.version}
 
     def advance_phase(self, service: str, number: int, phase: Phase, source: str) -> None:
         """Move a rollout forward to a phase; an earlier phase is ignored."""
@@ -219,7 +219,7 @@
 
     def _check_new_version(self, rollout: _Rollout) -> None:
         """Stop sending requests to a new version that seems bad, before the leader decides."""
-        if not rollout.stopped and seems_bad(rollout.tally(_NEW), rollout.tally(_OLD)):
+        if not rollout.stopped and is_worse(rollout.tally(_NEW), rollout.tally(_OLD)):
             rollout.stopped = True
             self._log.warning(
                 "new version stopped locally",
@@ -244,7 +244,7 @@
         exposed = rollout.phase in (Phase.MOVING, Phase.COMPLETED)
         if rollout.phase is Phase.RUNNING and is_first and not rollout.stopped:
             exposed = self._rng.random() < self._part
-        return VersionRule(rollout.order.version, exposed, rollout.withheld)
+        return VersionRule(rollout.order.version, exposed, rollout.blocked)
 
     def record_response(self, service: str, version: str, is_bad: bool) -> None:
         """Count a response of an endpoint for the rollout of its service."""
@@ -257,7 +257,7 @@
         self._local_counts[name] += 1
         self._add_count(name, 1)
 
-    def collect_evidence(self, service: str, old_idle_seconds: float) -> Evidence:
+    def collect_evidence(self, service: str, old_idle_seconds: float) -> RolloutEvidence:
         """Return the evidence on a service's rollout.
 
         Parameters
@@ -267,7 +267,7 @@
         """
         rollout = self._tracked[service]
         age = self._now() - rollout.seen_at
-        return Evidence(rollout.tally(_NEW), rollout.tally(_OLD), age, old_idle_seconds)
+        return RolloutEvidence(rollout.tally(_NEW), rollout.tally(_OLD), age, old_idle_seconds)
 
 
 @dataclass(frozen=True)
@@ -279,13 +279,13 @@
     service_of : callable
         Returns the service of a key in the table of orders, empty for other keys.
     decode_order : callable
-        Returns the `RolloutOrder` in a row's service, value and version.
+        Returns the `RolloutSpec` in a row's service, value and version.
     status_table : str
         Table in which this system stores the phases of rollouts.
     """
 
     service_of: Callable[[str], str]
-    decode_order: Callable[[str, bytes, int], RolloutOrder]
+    decode_order: Callable[[str, bytes, int], RolloutSpec]
     status_table: str
     status_key: Callable[[str], str]
     encode_status: Callable[[str, RolloutStatus], bytes]
@@ -384,7 +384,7 @@
             if (following is not phase or is_behind) and self._lease.usable_lease() is not None:
                 yield from self._write_phase(order, following)
 
-    def _current_evidence(self, order: RolloutOrder, phase: Phase) -> Evidence:
+    def _current_evidence(self, order: RolloutSpec, phase: Phase) -> RolloutEvidence:
         """Return the evidence with the time for which the old version has been idle."""
         now = self._now()
         running = self._old_in_flight(order.service, order.version)
@@ -417,7 +417,7 @@
         self._stored_phases[service] = status.phase
         self._rollouts.apply_status(service, status, self._wall())
 
-    def _write_phase(self, order: RolloutOrder, phase: Phase) -> Task:
+    def _write_phase(self, order: RolloutSpec, phase: Phase) -> Task:
         """Write a phase if the row is unchanged since last seen; otherwise reload later."""
         table, key = self._rows.status_table, self._rows.status_key(order.service)
         condition = RowCondition(table, key, self._versions[order.service])
--- a/flamingofront/process/forwarding/scaling.py
+++ b/flamingofront/process/forwarding/scaling.py
@@ -156,7 +156,7 @@
                 self._initial_counts[service.name],
             )
             plan = self._policy.plan(service.scaling, self._estimate_demand(service.name), state)
-            for reclaimable, counts in ((True, plan.reclaimable), (False, plan.firm)):
+            for reclaimable, counts in ((True, plan.reclaimable), (False, plan.on_demand)):
                 for zone, count in counts.items():
                     request = EndpointOrder(service.name, zone, count, reclaimable)
                     if self._should_send(request, service.scaling.start_seconds, now):
--- a/flamingofront/process/forwarding/shutdown.py
+++ b/flamingofront/process/forwarding/shutdown.py
@@ -57,9 +57,9 @@
         self._started_at = timers.now()
         self._node.stopping = True
         self._callers.closing = True
-        self._node.hub.stop_left = lambda: self._remaining(ANSWER_MARGIN_SECONDS)
+        self._node.hub.shutdown_seconds_left = lambda: self._remaining(ANSWER_MARGIN_SECONDS)
         self._node.tasks.start(self._node.lease.release())
-        self._node.peers.tell_now()
+        self._node.peers.broadcast_report()
         self._node.log.info("stopping", requests=len(self._node.hub.active))
         timers.once(BALANCER_REACTION_SECONDS, self._close_idle)
 
--- a/flamingofront/process/forwarding/tests/test_duties.py
+++ b/flamingofront/process/forwarding/tests/test_duties.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from flamingofront.decisions.demand import Demand, Work
+from flamingofront.decisions.demand import Demand, OfferedLoad
 from flamingofront.decisions.fleet_plan import CheapestSafeFleet, FleetState
 from flamingofront.platform.endpoints import ENDPOINT_TABLE
 from flamingofront.process.forwarding.duty import LEADER_KEY, LEADER_PARTITION, LEADER_TABLE
@@ -135,7 +135,7 @@
         own = front.timers.wall
         front.timers.wall = lambda: own() + 40.0
         world.run(1.0)
-        assert abs(front.peers.true_time() - world.clock.now()) < 0.1
+        assert abs(front.peers.cluster_time() - world.clock.now()) < 0.1
 
 
 class TestLease:
@@ -155,7 +155,7 @@
         node.stopping = True
         node.tasks.start(node.lease.release())
         world.run(0.1)
-        node.peers.tell_now()
+        node.peers.broadcast_report()
         world.run(LEASE_SECONDS + 1.5)
         second = holder(world)
         assert second != first
@@ -173,11 +173,11 @@
     LIMITS = ScalingLimits(1, 3, 4.0, 0.2, {"zone-a": 1.0, "zone-b": 0.8, "zone-c": 1.2})
 
     def make_plan(self, work, limits=LIMITS, known=True, in_flight=0.0, slots=48, **state):
-        demand = Demand(in_flight, slots, Work(work, work), known)
+        demand = Demand(in_flight, slots, OfferedLoad(work, work), known)
         return CheapestSafeFleet().plan(limits, demand, FleetState(**state))
 
     def count_endpoints(self, plan):
-        return sum(plan.reclaimable.values()) + sum(plan.firm.values())
+        return sum(plan.reclaimable.values()) + sum(plan.on_demand.values())
 
     def test_slots_bound_endpoint_load_only_when_few(self):
         limits = ScalingLimits(1, 50, 4.0, 0.2, {"zone-a": 1.0})
@@ -233,7 +233,7 @@
     def test_one_reclaimable_endpoint_per_zone_at_low_demand(self):
         plan = self.make_plan(0.1)
         assert set(plan.reclaimable.values()) == {1}
-        assert sum(plan.firm.values()) == 0
+        assert sum(plan.on_demand.values()) == 0
 
     def test_demand_adds_endpoints_within_the_limits(self):
         counts = [sum(self.make_plan(work).reclaimable.values()) for work in (0, 0.8, 1.6, 2.0, 50)]
@@ -248,20 +248,22 @@
 
     def test_other_zones_compensate_exhausted_zones(self):
         plan = self.make_plan(
-            0.4, dry=frozenset({"zone-a"}), reclaimable={"zone-b": 1, "zone-c": 1}
+            0.4, exhausted_zones=frozenset({"zone-a"}), reclaimable={"zone-b": 1, "zone-c": 1}
         )
         assert plan.reclaimable["zone-b"] + plan.reclaimable["zone-c"] >= 2
         # The platform always keeps the minimum number of a zone.
-        assert plan.firm == {"zone-b": 0, "zone-a": 1, "zone-c": 0}
+        assert plan.on_demand == {"zone-b": 0, "zone-a": 1, "zone-c": 0}
 
     def test_on_demand_endpoints_compensate_when_all_zones_are_exhausted(self):
         live = {"zone-a": 0, "zone-b": 1, "zone-c": 2}
-        plan = self.make_plan(2.4, dry=frozenset(self.LIMITS.zone_prices), reclaimable=live)
+        plan = self.make_plan(
+            2.4, exhausted_zones=frozenset(self.LIMITS.zone_prices), reclaimable=live
+        )
         assert plan.reclaimable == live
         # A load of 2.4 at 75% utilization needs four endpoints after the loss of zone-c's two.
-        assert sum(plan.firm.values()) == 3
+        assert sum(plan.on_demand.values()) == 3
         for zone in self.LIMITS.zone_prices:
-            assert plan.reclaimable[zone] + plan.firm[zone] <= self.LIMITS.most
+            assert plan.reclaimable[zone] + plan.on_demand[zone] <= self.LIMITS.most
 
     def test_fleet_survives_the_loss_of_a_zone(self):
         for work in (0.5, 1.0, 1.5, 2.0, 3.0):
@@ -272,14 +274,17 @@
     def test_spare_endpoints_follow_the_price(self):
         """If reclaimable endpoints cost nearly as much, on-demand ones are cheaper than spares."""
         expensive = ScalingLimits(1, 3, 4.0, 0.9, self.LIMITS.zone_prices)
-        assert sum(self.make_plan(1.7).firm.values()) == 0
-        assert sum(self.make_plan(1.7, expensive).firm.values()) > 0
+        assert sum(self.make_plan(1.7).on_demand.values()) == 0
+        assert sum(self.make_plan(1.7, expensive).on_demand.values()) > 0
 
     def test_on_demand_endpoints_stay_until_replaced(self):
-        firm = {"zone-a": 2, "zone-b": 1}
-        assert sum(self.make_plan(1.5, firm=firm).firm.values()) == 3
+        on_demand = {"zone-a": 2, "zone-b": 1}
+        assert sum(self.make_plan(1.5, on_demand=on_demand).on_demand.values()) == 3
         started = {"zone-a": 1, "zone-b": 1, "zone-c": 2}
-        assert sum(self.make_plan(1.5, firm=firm, reclaimable=started).firm.values()) == 0
+        assert (
+            sum(self.make_plan(1.5, on_demand=on_demand, reclaimable=started).on_demand.values())
+            == 0
+        )
 
     def test_on_demand_endpoints_are_requested_at_the_reclaim_notice(self):
         """Waiting for the reclaim itself is too late: a replacement takes four seconds to start."""
@@ -293,8 +298,8 @@
         world.register("engine-zone-a", "engines", "zone-a", **leaving)
         world.run(1.0)
         orders = [each for each in cloud_calls(world, "/scale") if each.at >= noticed]
-        firm = [each for each in orders if not each.body.get("spot")]
-        assert [(each.body["zone"], each.body["desired"]) for each in firm] == [("zone-a", 1)]
+        on_demand = [each for each in orders if not each.body.get("spot")]
+        assert [(each.body["zone"], each.body["desired"]) for each in on_demand] == [("zone-a", 1)]
 
     def test_restarted_holder_sends_requests_within_a_second(self):
         world = ready_world(fronts=2)
@@ -347,9 +352,9 @@
         world.endpoint("engine-1", "engines", "zone-a")
         # Three seconds for endpoints to register, then a request and its repeats.
         world.run(15.0)
-        firm = [
+        on_demand = [
             each.at
             for each in cloud_calls(world, "/scale")
             if each.body["zone"] == "zone-a" and not each.body.get("spot")
         ]
-        assert len(firm) >= 3 and firm[1] - firm[0] < 6.0
+        assert len(on_demand) >= 3 and on_demand[1] - on_demand[0] < 6.0
--- a/flamingofront/process/forwarding/tests/test_quota_arbiter.py
+++ b/flamingofront/process/forwarding/tests/test_quota_arbiter.py
@@ -13,7 +13,7 @@
 from hypothesis import strategies as st
 
 from flamingofront.decisions.quota import SharedQuota
-from flamingofront.decisions.quota_facts import QuotaRule, QuotaRules, QuotaState
+from flamingofront.decisions.quota_facts import QuotaLimits, QuotaRejectReason, QuotaState
 from flamingofront.process.forwarding.quota_arbiter import QuotaArbiters, QuotaContext
 from flamingofront.process.forwarding.quota_messages import (
     QuotaReply,
@@ -35,7 +35,9 @@
 RATE, BURST = 20.0, 40.0
 TENANT = {"name": "desk", "api_keys": ["key-1"], "rate_per_s": RATE, "burst": BURST}
 QUOTA_RULES = replace(RULES, quota_over=0.1, quota_allowance=10.0)
-LIMIT = QuotaRules(8.0, 0.1, 10.0).limit(ForwardedWorkspace("desk", ("k",), rate=RATE, burst=BURST))
+LIMIT = QuotaLimits(8.0, 0.1, 10.0).limit(
+    ForwardedWorkspace("desk", ("k",), rate=RATE, burst=BURST)
+)
 ZONES = ("zone-a", "zone-b", "zone-c")
 
 
@@ -179,7 +181,7 @@
         relays = set(front.quota_members.rank_arbiters("desk"))
         asked = next(each for each in world.fronts if world.host(each).address not in relays)
         replies = []
-        front.peers.on_reply = lambda data, ip: replies.append(decode_quota_reply(data))
+        front.peers.on_quota_reply = lambda data, ip: replies.append(decode_quota_reply(data))
         front.peers.send(
             encode_quota_request(QuotaRequest(1, "desk", 1.0)), world.host(asked).address
         )
@@ -236,7 +238,7 @@
             each for name, each in world.fronts.items() if world.host(name).address == arbiter
         )
         workspace = owner.configuration.workspaces[0]
-        assert owner.quota.state(workspace, owner.timers.now()).taken == 0
+        assert owner.quota.get_state(workspace, owner.timers.now()).taken == 0
 
 
 class TestStop:
@@ -245,7 +247,7 @@
         world = QuotaWorld()
         arbiter = world.fronts["front-0"].quota_members.rank_arbiters("desk")[0]
         asked = next(each for each in world.fronts if world.host(each).address != arbiter)
-        world.fronts[asked].hub.stop_left = lambda: 0.05
+        world.fronts[asked].hub.shutdown_seconds_left = lambda: 0.05
         caller = world.ask(asked, "/read/x", "GET")
         assert caller.done and caller.status == 503
 
@@ -267,7 +269,7 @@
         self.advance(5.0)
 
     def _make_process(self, ip):
-        self.quotas[ip].prepare((self.WORKSPACE,), 0.0)
+        self.quotas[ip].start_buckets((self.WORKSPACE,), 0.0)
         view = QuotaContext(
             ip,
             int(self.clock.time * 1000),
@@ -307,7 +309,7 @@
         self.processes["1"].decide(self.WORKSPACE, units, self.decisions.append)
 
     def consumed(self, ip="2"):
-        return self.quotas[ip].state(self.WORKSPACE, self.timers.now()).taken
+        return self.quotas[ip].get_state(self.WORKSPACE, self.timers.now()).taken
 
 
 class TestArbitration:
@@ -318,9 +320,9 @@
         pair.deliver_messages()
         assert [each.wait for each in pair.decisions] == [0.0]
         assert pair.consumed() == 5
-        pair.quotas["2"].heard("1", {"desk": 5.0}, True, pair.timers.now())
+        pair.quotas["2"].merge_consumed("1", {"desk": 5.0}, True, pair.timers.now())
         assert pair.consumed() == 5
-        pair.quotas["2"].heard("1", {"desk": 7.0}, True, pair.timers.now())
+        pair.quotas["2"].merge_consumed("1", {"desk": 7.0}, True, pair.timers.now())
         assert pair.consumed() == 7
 
     def test_duplicate_request_is_charged_once(self):
@@ -344,7 +346,7 @@
         pair.request_units(5.0)
         pair.deliver_messages()
         pair.deliver_messages()
-        pair.quotas["2"].spend(pair.WORKSPACE, 100.0, pair.timers.now())
+        pair.quotas["2"].consume(pair.WORKSPACE, 100.0, pair.timers.now())
         pair.processes["1"] = pair._make_process("1")
         pair.request_units(5.0)
         pair.deliver_messages()
@@ -416,7 +418,7 @@
 
     @given(st.integers(0, 1 << 50), st.sampled_from(Verdict), st.floats(0, 1e6))
     def test_reply_round_trips(self, number, verdict, wait):
-        state = QuotaState(1.0, 2.0, 3.0, 0.5, 0.0, QuotaRule.START, 4.0)
+        state = QuotaState(1.0, 2.0, 3.0, 0.5, 0.0, QuotaRejectReason.START, 4.0)
         data = encode_quota_reply(QuotaReply(number, verdict, wait, state))
         read = decode_quota_reply(data)
         assert is_quota_reply(data) and not is_quota_request(data)
--- a/flamingofront/process/forwarding/tests/test_restored_store.py
+++ b/flamingofront/process/forwarding/tests/test_restored_store.py
@@ -57,7 +57,7 @@
         world.run(3.0)
         for node in world.fronts.values():
             assert node.configuration.version == 7
-            assert "plain-9" in {each.endpoint_id for each in node.knowledge.endpoints.rows()}
+            assert "plain-9" in {each.endpoint_id for each in node.store_view.endpoints.rows()}
 
     def test_configuration_does_not_go_back(self):
         world = ready_world(fronts=3)
--- a/flamingofront/process/forwarding/tests/test_stopping.py
+++ b/flamingofront/process/forwarding/tests/test_stopping.py
@@ -8,7 +8,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from flamingofront.decisions.stopping import StreamBound, StreamTimes, ends_in_time
+from flamingofront.decisions.stopping import StreamBound, StreamTimes, can_complete
 from flamingofront.errors import ErrorKind
 from flamingofront.process.forwarding.shutdown import GracefulShutdown
 from flamingofront.standins.forward_endpoint import ForwardFault
@@ -36,7 +36,7 @@
         ],
     )
     def test_request_ends_by_its_deadline_or_by_its_size(self, deadline_left, bound, left, ends):
-        assert ends_in_time(deadline_left, bound, left) is ends
+        assert can_complete(deadline_left, bound, left) is ends
 
 
 class TestStreamBound:
@@ -44,30 +44,34 @@
 
     def test_stream_without_a_token_count_is_unbounded(self):
         """Short streams observed before must not bound it."""
-        assert bound_after(*[self.short] * 100).seconds(0) == math.inf
+        assert bound_after(*[self.short] * 100).estimate_max_seconds(0) == math.inf
 
     def test_few_responses_give_no_bound(self):
-        assert bound_after(*[self.short] * 19).seconds(24) == math.inf
-        assert bound_after(*[self.short] * 20).seconds(24) < math.inf
+        assert bound_after(*[self.short] * 19).estimate_max_seconds(24) == math.inf
+        assert bound_after(*[self.short] * 20).estimate_max_seconds(24) < math.inf
 
     def test_streams_without_a_token_count_are_not_observed(self):
-        assert bound_after(*[(0.1, 5.0, 0)] * 100).seconds(24) == math.inf
+        assert bound_after(*[(0.1, 5.0, 0)] * 100).estimate_max_seconds(24) == math.inf
 
     def test_bound_grows_with_the_token_count(self):
         """At the same token rate it takes a hundred times as long."""
-        assert bound_after(*[self.short] * 100).seconds(2400) > 10.0
+        assert bound_after(*[self.short] * 100).estimate_max_seconds(2400) > 10.0
 
     @given(st.lists(st.tuples(st.floats(0, 2), st.floats(0, 9), st.integers(1, 900)), min_size=20))
     def test_bound_covers_recent_streams(self, streams):
         bound, lately = bound_after(*streams), streams[-128:]
-        longer = [each for each in lately if bound.seconds(each[2]) < each[0] + each[1]]
+        longer = [
+            each for each in lately if bound.estimate_max_seconds(each[2]) < each[0] + each[1]
+        ]
         assert len(longer) <= len(lately) // 100
 
     def test_slower_rate_shows_after_two_of_a_hundred(self):
-        assert bound_after(*[self.short] * 100, *[(0.1, 4.0, 100)] * 2).seconds(200) > 7.0
+        assert (
+            bound_after(*[self.short] * 100, *[(0.1, 4.0, 100)] * 2).estimate_max_seconds(200) > 7.0
+        )
 
     def test_old_observations_expire(self):
-        assert bound_after((5.0, 9.0, 10), *[self.short] * 128).seconds(24) < 2.0
+        assert bound_after((5.0, 9.0, 10), *[self.short] * 128).estimate_max_seconds(24) < 2.0
 
 
 class TestGracefulShutdown:
--- a/flamingofront/process/forwarding/vanished.py
+++ b/flamingofront/process/forwarding/vanished.py
@@ -7,10 +7,10 @@
 from flamingofront.process.store import StoredRow, TableStore
 from flamingofront.process.tasks import Task
 
-__all__ = ["VanishedEndpoints"]
+__all__ = ["UnobservedRemovals"]
 
 
-class VanishedEndpoints:
+class UnobservedRemovals:
     """Asks the store for the rows of endpoints that went since an entry process last wrote there.
 
     Notes
--- a/flamingofront/process/holds.py
+++ b/flamingofront/process/holds.py
@@ -11,8 +11,13 @@
 
 import orjson
 
-from flamingofront.decisions.quarantine import MAX_HOLDS
-from flamingofront.decisions.quarantine_facts import EndpointEnd, Hold, is_forgotten, is_over
+from flamingofront.decisions.quarantine import MAX_ENTRIES
+from flamingofront.decisions.quarantine_facts import (
+    EndpointCrash,
+    QuarantineEntry,
+    is_entry_expired,
+    is_expired,
+)
 from flamingofront.errors import PlatformError
 from flamingofront.messages import Sleep
 from flamingofront.process.backoff import Backoff
@@ -49,7 +54,7 @@
 class KeptHold:
     """A hold as the store has it; `version` is that of its row."""
 
-    hold: Hold
+    hold: QuarantineEntry
     version: int
 
 
@@ -57,7 +62,7 @@
     """Where holds are kept."""
 
     @abstractmethod
-    def write(self, hold: Hold, version: int) -> Task:
+    def write(self, hold: QuarantineEntry, version: int) -> Task:
         """Write a hold if its row has a version, 0 for none; return whether that was done."""
 
     @abstractmethod
@@ -79,7 +84,7 @@
     def __init__(self, store: TableStore):
         self._store = store
 
-    def write(self, hold: Hold, version: int) -> Task:
+    def write(self, hold: QuarantineEntry, version: int) -> Task:
         """Write a hold if its row has a version."""
         condition = RowCondition(HOLD_TABLE, hold.fingerprint, version)
         row = RowWrite(HOLD_TABLE, hold.fingerprint, orjson.dumps(encode_hold(hold)))
@@ -118,7 +123,7 @@
     def __init__(self, documents: DocumentStore):
         self._documents = documents
 
-    def write(self, hold: Hold, version: int) -> Task:
+    def write(self, hold: QuarantineEntry, version: int) -> Task:
         """Write a hold if its document has a revision."""
         key = HOLD_PREFIX + hold.fingerprint
         result = yield from self._documents.transact(
@@ -193,26 +198,26 @@
         self._metrics = services.metrics
         self._log = services.log
         self._versions: dict[str, int] = {}
-        self._kept: dict[str, Hold] = {}
-        guard.on_hold = self._changed
-        guard.claim = self._claim
+        self._kept: dict[str, QuarantineEntry] = {}
+        guard.on_quarantine_change = self._changed
+        guard.acquire_trial = self._claim
         guard.on_evidence = lambda evidence: self._tasks.start(self._keep_evidence(evidence))
 
     def take(self, kept: KeptHold) -> None:
         """Take a hold as the store has it."""
         name = kept.hold.fingerprint
-        if is_forgotten(kept.hold, self._guard.wall()):
+        if is_entry_expired(kept.hold, self._guard.wall()):
             self._tasks.start(self._drop(kept))
             return
         if self._versions.get(name, 0) < kept.version:
             self._remember(kept)
-        self._guard.take_kept(kept.hold)
+        self._guard.load_entry(kept.hold)
 
     def _remember(self, kept: KeptHold) -> None:
         """Remember what the store has, of as many holds as the guard knows at most."""
         self._versions[kept.hold.fingerprint] = kept.version
         self._kept[kept.hold.fingerprint] = kept.hold
-        while len(self._kept) > MAX_HOLDS:
+        while len(self._kept) > MAX_ENTRIES:
             oldest = next(iter(self._kept))
             del self._kept[oldest]
             self._versions.pop(oldest, None)
@@ -239,25 +244,25 @@
                 self._metrics.count("platform_errors_total", operation="hold")
                 self._log.warning("hold refused", work=row.key, detail=str(exc))
 
-    def take_evidence(self, fingerprint: str, ends: tuple[EndpointEnd, ...]) -> None:
+    def take_evidence(self, fingerprint: str, ends: tuple[EndpointCrash, ...]) -> None:
         """Take the ends of a request as the store has them; remove those that are too old."""
-        if all(is_over(each.at, self._guard.wall()) for each in ends):
+        if all(is_expired(each.at, self._guard.wall()) for each in ends):
             self._tasks.start(self._keep_evidence({fingerprint: ()}))
         else:
-            self._guard.take_evidence(ends)
+            self._guard.load_evidence(ends)
 
     def write_again(self) -> None:
         """Keep all holds again that the store may have lost with its return from a copy."""
         self._versions.clear()
         self._kept.clear()
-        for hold in self._guard.quarantine.holds():
+        for hold in self._guard.quarantine.list_entries():
             self._changed(hold, is_own=False)
 
-    def _changed(self, hold: Hold, is_own: bool) -> None:
+    def _changed(self, hold: QuarantineEntry, is_own: bool) -> None:
         """Keep a hold that is new or was lifted."""
         self._tasks.start(self._keep(hold, is_own))
 
-    def _keep(self, hold: Hold, is_own: bool) -> Task:
+    def _keep(self, hold: QuarantineEntry, is_own: bool) -> Task:
         """Write a hold until the store has it, or one that goes before it."""
         if not is_own:
             yield Sleep(self._others_wait + SPREAD_SECONDS * self._rng.random())
@@ -287,11 +292,11 @@
             else:
                 return
 
-    def _is_wanted(self, hold: Hold) -> bool:
+    def _is_wanted(self, hold: QuarantineEntry) -> bool:
         kept = self._kept.get(hold.fingerprint)
         return kept is None or kept.rank < hold.rank
 
-    def _write(self, hold: Hold) -> Task:
+    def _write(self, hold: QuarantineEntry) -> Task:
         """Write a hold over what the store was last known to have; else learn what it has."""
         name = hold.fingerprint
         done = yield from self._rows.write(hold, self._versions.get(name, 0))
@@ -306,15 +311,15 @@
             self._kept.pop(fingerprint, None)
         else:
             self._remember(kept)
-            self._guard.take_kept(kept.hold)
+            self._guard.load_entry(kept.hold)
 
-    def _claim(self, hold: Hold, on_done: Callable[[bool], None]) -> None:
+    def _claim(self, hold: QuarantineEntry, on_done: Callable[[bool], None]) -> None:
         self._tasks.start(self._claim_trial(hold), on_done)
 
-    def _claim_trial(self, hold: Hold) -> Task:
+    def _claim_trial(self, hold: QuarantineEntry) -> Task:
         """Claim a trial by one conditional write; without the store there is none."""
         name = hold.fingerprint
-        claimed = hold.claimed(self._guard.wall())
+        claimed = hold.with_claimed_trial(self._guard.wall())
         try:
             if name not in self._versions:
                 yield from self._read(name)
--- a/flamingofront/process/intent_rows.py
+++ b/flamingofront/process/intent_rows.py
@@ -37,7 +37,7 @@
 
 def encode_record(record: IntentRecord) -> dict[str, Any]:
     """Return a record as it is kept."""
-    return {"sends": [asdict(each) for each in record.sends], "unseen": list(record.unseen)}
+    return {"sends": [asdict(each) for each in record.sends], "unseen": list(record.unobserved)}
 
 
 def decode_record(fingerprint: str, value: Any) -> IntentRecord:
--- a/flamingofront/process/intents.py
+++ b/flamingofront/process/intents.py
@@ -12,7 +12,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from flamingofront.decisions.quarantine_facts import is_over
+from flamingofront.decisions.quarantine_facts import is_expired
 from flamingofront.decisions.send_intents import (
     UNANSWERED_WAIT_SECONDS,
     IntentPolicy,
@@ -29,7 +29,7 @@
 from flamingofront.process.tasks import Task
 from flamingofront.process.timers import Timer
 from flamingofront.request.host import RequestHost
-from flamingofront.request.intent_gate import IntentGate, IntentHandle, Recorded, SendFacts
+from flamingofront.request.intent_gate import IntentHandle, IntentLog, RecordOutcome, SendDetails
 
 __all__ = ["IntentRecorder"]
 
@@ -63,14 +63,14 @@
     recorder: "IntentRecorder"
     fingerprint: str
     intent: SendIntent
-    then: Callable[[Recorded], None] | None
+    then: Callable[[RecordOutcome], None] | None
     asked_at: float
     timer: Timer | None = None
     waited: bool = False
     asked_store: bool = False
     gone: bool = False
 
-    def decide(self, outcome: Recorded) -> None:
+    def decide(self, outcome: RecordOutcome) -> None:
         """Let the request be sent, once."""
         if self.timer is not None:
             self.timer.cancel()
@@ -83,12 +83,12 @@
         """Take note that the request was not sent."""
         self.recorder.remove(self)
 
-    def ended(self) -> None:
+    def close(self) -> None:
         """Take note that the endpoint has the request no more."""
         self.recorder.send_ended(self)
 
 
-class IntentRecorder(IntentGate):
+class IntentRecorder(IntentLog):
     """Records what one process sends, and reads what those before it had recorded.
 
     Parameters
@@ -145,22 +145,22 @@
             return
         self._former.start()
 
-    def count(self, outcome: Recorded) -> None:
+    def count(self, outcome: RecordOutcome) -> None:
         """Count a request that may be sent."""
         self._metrics.count("recorded_sends_total", result=outcome.value)
 
     # Asked by the attempts
 
-    def needed(self, fingerprint: str, service: str) -> bool:
+    def requires_record(self, fingerprint: str, service: str) -> bool:
         """Tell whether a request to a service has to be recorded."""
         is_known = fingerprint in self._known.kept and fingerprint not in self._known.answered
         if is_known:
             return True
         if len(self._pending) + len(self._waiting) >= MAX_PENDING:
             return False
-        return self._policy.is_recorded(fingerprint, service, self._timers.now())
+        return self._policy.must_record(fingerprint, service, self._timers.now())
 
-    def record(self, facts: SendFacts, then: Callable[[Recorded], None]) -> IntentHandle:
+    def record(self, facts: SendDetails, then: Callable[[RecordOutcome], None]) -> IntentHandle:
         """Record a request; `then` is called, later, when it may be sent."""
         intent = SendIntent(
             facts.endpoint_id,
@@ -180,7 +180,7 @@
             claim.timer = self._timers.once(wait, lambda: self._not_in_time(claim))
         else:
             # Nothing speaks against it: its record, already on its way, is not waited for.
-            claim.timer = self._timers.once(0.0, lambda: claim.decide(Recorded.BESIDE))
+            claim.timer = self._timers.once(0.0, lambda: claim.decide(RecordOutcome.CONCURRENT))
         return claim
 
     def _longest_wait(self) -> float:
@@ -194,18 +194,18 @@
             self._store_answers = False
             self._log.info("requests are sent before they are recorded", work=claim.fingerprint)
         if claim.asked_store or not self._store_answers:
-            claim.decide(Recorded.LATE)
+            claim.decide(RecordOutcome.TIMED_OUT)
         else:
-            claim.decide(Recorded.PACED)
+            claim.decide(RecordOutcome.RATE_LIMITED)
 
     def answered(self, fingerprint: str) -> None:
         """Take note that an endpoint has answered a request."""
         if not self._own and not self._known.kept:
             return
-        self._policy.answered(fingerprint)
+        self._policy.record_response(fingerprint)
         for claim in [each for each in self._own.values() if each.fingerprint == fingerprint]:
             self._forget(claim)
-            claim.decide(Recorded.NEEDLESS)
+            claim.decide(RecordOutcome.NOT_NEEDED)
         if fingerprint in self._known.kept:
             self._known.answered[fingerprint] = None
             self._remove_soon()
@@ -216,7 +216,7 @@
             self._timers.once(KEPT_SECONDS, lambda: self._settle(claim), relaxed=True)
 
     def _settle(self, claim: _Claim) -> None:
-        if claim.intent.endpoint_id not in self._guard.quarantine.ended_endpoints():
+        if claim.intent.endpoint_id not in self._guard.quarantine.get_crashed_endpoints():
             self.remove(claim)
 
     def remove(self, claim: _Claim) -> None:
@@ -232,21 +232,21 @@
         claim.gone = True
         self._own.pop(claim.intent, None)
 
-    def records(self) -> tuple[IntentRecord, ...]:
+    def known_records(self) -> tuple[IntentRecord, ...]:
         """Return what is known to be recorded."""
         return tuple(each.record for each in self._known.kept.values())
 
-    def waiting(self, fingerprint: str) -> int:
+    def count_waiting(self, fingerprint: str) -> int:
         """Return how many requests wait for a record, or for the outcome of earlier sends."""
         claims = (*self._pending, *self._waiting)
         return sum(each.fingerprint == fingerprint and each.then is not None for each in claims)
 
     # What ended with no witness
 
-    def unseen_end(self, endpoint_id: str) -> None:
+    def record_unobserved_crash(self, endpoint_id: str) -> None:
         """Take note of an end about a restart at which nobody knows of a request."""
         service = self._directory.service_of(endpoint_id)
-        if self._policy.unseen_end(endpoint_id, service, self._timers.now()):
+        if self._policy.record_unobserved_crash(endpoint_id, service, self._timers.now()):
             self._log.info(
                 "requests are recorded before they are sent", service=service, endpoint=endpoint_id
             )
@@ -264,7 +264,7 @@
         """Remove records whose sends are so old that they are no evidence any more."""
         now = self._guard.wall()
         for fingerprint, kept in self._known.kept.items():
-            if all(is_over(each.at, now) for each in kept.record.sends):
+            if all(is_expired(each.at, now) for each in kept.record.sends):
                 self._known.answered[fingerprint] = None
         if self._known.answered:
             self._remove_soon()
@@ -331,7 +331,7 @@
             return False
         record = self._known.record(claim.fingerprint)
         record = record.with_sends(tuple(each.intent for each in beside))
-        return self._policy.must_wait(record, self._former.seen_alive)
+        return self._policy.must_wait(record, self._former.last_alive)
 
     def _wait(self, claim: _Claim) -> None:
         """Let a request wait until it is known what its earlier sends did."""
@@ -369,12 +369,12 @@
         for each in kept:
             self._known.take(KeptIntents(each.record, version))
         for claim in (claim for claims in batch.values() for claim in claims):
-            claim.decide(Recorded.DONE)
+            claim.decide(RecordOutcome.STORED)
             if claim.gone:
                 self._removed_meanwhile(claim)
 
     def _next_record(self, fingerprint: str, claims: list[_Claim]) -> IntentRecord:
-        record = self._known.record(fingerprint).with_unseen(self._policy.unseen())
+        record = self._known.record(fingerprint).with_unobserved(self._policy.get_unobserved())
         return record.with_sends(tuple(each.intent for each in claims))
 
     def _removed_meanwhile(self, claim: _Claim) -> None:
@@ -464,7 +464,7 @@
     def _without_ended(self, record: IntentRecord) -> IntentRecord:
         """Return a record without the sends of this VM that are over."""
         for send in record.sends:
-            is_over = send not in self._own and not self._former.has_ended(send.endpoint_id)
-            if send.vm_id == self._sender.vm_id and is_over:
-                record = record.without(send)
-        return record.with_unseen(self._policy.unseen())
+            is_expired = send not in self._own and not self._former.has_ended(send.endpoint_id)
+            if send.vm_id == self._sender.vm_id and is_expired:
+                record = record.without_send(send)
+        return record.with_unobserved(self._policy.get_unobserved())
--- a/flamingofront/process/node.py
+++ b/flamingofront/process/node.py
@@ -41,7 +41,7 @@
 from flamingofront.request.hub import HubSettings, RequestHub
 from flamingofront.request.inheritance import Inheritance
 from flamingofront.request.keyed import KeyedRequests
-from flamingofront.request.migration import Migrations
+from flamingofront.request.migration import StreamMigrator
 from flamingofront.request.reattach import Reattachment
 from flamingofront.version.model import Configuration, DrainKind
 
@@ -148,7 +148,7 @@
         self._guard_endpoints(incarnation)
         self.limits = SharedLimits(self.gossip, self.hub, self.timers)
         self.hub.capacity_share = self.limits.capacity_share
-        self.directory.own_share = self.limits.capacity_share
+        self.directory.local_share = self.limits.capacity_share
         self.keyed = KeyedRequests(
             settings.vm_id,
             self.hub,
@@ -181,7 +181,7 @@
         self.inheritance = Inheritance(
             settings.vm_id, self.hub, self.documents, self.tasks, self.keyed, self.limits.share_of
         )
-        self.migrations = Migrations(self.hub, self.tasks, self.members.address_of)
+        self.migrations = StreamMigrator(self.hub, self.tasks, self.members.address_of)
         self.drain = DrainController(
             settings.vm_id,
             settings.zone,
@@ -193,7 +193,7 @@
             self._headers,
             self._drained,
         )
-        self.hub.on_idle = self.drain.check
+        self.hub.on_request_end = self.drain.check
 
     def _write_again(self) -> Task:
         """Write what the store has lost by coming back from a copy, until that is done."""
@@ -211,10 +211,10 @@
     def _guard_endpoints(self, incarnation: int) -> None:
         """Tell the others what crashes endpoints, and keep it in the store."""
         guard = self.hub.guard
-        self.gossip.word = guard.word
-        self.gossip.on_word = guard.hear
-        guard.on_news = lambda: self.links.push(Push(quarantine=guard.word()))
-        guard.restarts = self._starts
+        self.gossip.word = guard.build_update
+        self.gossip.on_word = guard.merge_update
+        guard.on_update = lambda: self.links.push(Push(quarantine=guard.build_update()))
+        guard.entry_start_times = self._starts
         self._hold_rows = DocumentHolds(self.documents)
         services = Services(self.tasks, self.timers, self._rng, self.metrics, self.log)
         self.holds = HoldKeeper(guard, self._hold_rows, services, HOLDS_SECONDS + SLACK_SECONDS)
@@ -407,7 +407,7 @@
             self.gossip.configuration.revision,
             self.ready,
             len(self.hub.active),
-            self.hub.demand(),
+            self.hub.in_flight_by_workspace(),
             dict(self._own_loads),
         )
 
@@ -416,14 +416,14 @@
         now = self.timers.now()
         for record in self.gossip.statuses.heard(now):
             if record.vm_id != self.settings.vm_id:
-                self.directory.reported(record.loads, now)
+                self.directory.apply_load_reports(record.loads, now)
         self._set_gauges()
 
     def _set_gauges(self) -> None:
         self.metrics.gauge("requests_in_flight", len(self.hub.active))
-        self.metrics.gauge("requests_waiting", self.hub.waiting())
+        self.metrics.gauge("requests_waiting", self.hub.count_queued())
         self.metrics.gauge("requests_suspected", len(self.hub.guard.suspects()))
-        self.metrics.gauge("requests_held", len(self.hub.guard.quarantine.holds()))
+        self.metrics.gauge("requests_held", len(self.hub.guard.quarantine.list_entries()))
         self.metrics.gauge("configuration_revision", self.gossip.configuration.revision)
         self.metrics.gauge("ready", int(self.ready))
         for state in VmState:
@@ -454,7 +454,7 @@
             self._own_notice(seconds)
             return
         self.mark(vm_id, VmState.LEAVING)
-        self.migrations.endpoint_leaving(vm_id, seconds)
+        self.migrations.migrate_streams(vm_id, seconds)
 
     def _own_notice(self, seconds: float) -> None:
         if not self._exiting:
@@ -472,12 +472,12 @@
                 self.inheritance.member_gone(fact.vm_id, self.gossip.peers())
 
     def _endpoint_changed(self, fact: Fact) -> None:
-        if fact.state is VmState.LEAVING and self.directory.in_flight(fact.vm_id):
+        if fact.state is VmState.LEAVING and self.directory.in_flight_at(fact.vm_id):
             self.tasks.start(self._ask_notice(fact))
         elif fact.state is VmState.GONE:
-            self.hub.guard.ends.gone(fact.vm_id)
+            self.hub.guard.crash_detector.record_row_removal(fact.vm_id)
             self.directory.forget(fact.vm_id)
-            self.migrations.endpoint_gone(fact.vm_id)
+            self.migrations.forget_endpoint(fact.vm_id)
             self._own_loads.pop(fact.vm_id, None)
 
     def _ask_notice(self, fact: Fact) -> Task:
@@ -485,7 +485,7 @@
         try:
             yield from self.watch.read_notices(fact.zone)
         except PlatformError:
-            self.migrations.endpoint_leaving(fact.vm_id, DEFAULT_NOTICE_SECONDS)
+            self.migrations.migrate_streams(fact.vm_id, DEFAULT_NOTICE_SECONDS)
 
     # Configuration
 
@@ -513,15 +513,15 @@
 
     def _load_read(self, endpoint_id: str, load: float) -> None:
         self._own_loads[endpoint_id] = load
-        self.directory.reported({endpoint_id: load}, self.timers.now())
+        self.directory.apply_load_reports({endpoint_id: load}, self.timers.now())
 
     def _cache_events(
         self, endpoint_id: str, stored: list[str], evicted: list[str], gap: bool
     ) -> None:
         if gap:
             self.directory.prefixes.forget(endpoint_id)
-        self.directory.prefixes.stored(endpoint_id, stored)
-        self.directory.prefixes.evicted(endpoint_id, evicted)
+        self.directory.prefixes.add_blocks(endpoint_id, stored)
+        self.directory.prefixes.remove_blocks(endpoint_id, evicted)
 
     # Inbound calls
 
--- a/flamingofront/process/rows.py
+++ b/flamingofront/process/rows.py
@@ -116,13 +116,13 @@
                 "class": fact.vm_class,
                 "price": fact.price,
                 "reclaimable": fact.reclaimable,
-                "in_flight": directory.in_flight(fact.vm_id),
+                "in_flight": directory.in_flight_at(fact.vm_id),
             }
             for fact in self._facts(Role.ENDPOINT)
         ]
 
     def _endpoint_state(self, fact: Fact) -> str:
-        if fact.state is VmState.LIVE and self._state.directory.leaving(fact.vm_id):
+        if fact.state is VmState.LIVE and self._state.directory.is_unavailable(fact.vm_id):
             return "drained"
         return fact.state.value
 
--- a/flamingofront/process/tests/test_holds.py
+++ b/flamingofront/process/tests/test_holds.py
@@ -8,13 +8,13 @@
 from hypothesis import strategies as st
 
 from flamingofront.decisions.quarantine_facts import (
-    FORGOTTEN_SECONDS,
-    SUSPECTED_SECONDS,
-    EndpointEnd,
-    Hold,
-    QuarantineWord,
+    ENTRY_LIFETIME_SECONDS,
+    EVIDENCE_LIFETIME_SECONDS,
+    EndpointCrash,
+    QuarantineEntry,
+    QuarantineStatus,
+    QuarantineUpdate,
     Release,
-    Standing,
 )
 from flamingofront.errors import PlatformError
 from flamingofront.process.holds import EVIDENCE_PREFIX, HOLD_TABLE
@@ -29,9 +29,9 @@
 from flamingofront.standins.table_store import StoreFault
 from flamingofront.tests.forwarding_world import ready_world
 
-WORD = QuarantineWord(
-    (EndpointEnd("e-1", "zone-a", 12.5, ("f-1", "f-2"), 3),),
-    (Hold("f-1", ("e-1", "e-2"), 12.5, 1, 32.5, False),),
+WORD = QuarantineUpdate(
+    (EndpointCrash("e-1", "zone-a", 12.5, ("f-1", "f-2"), 3),),
+    (QuarantineEntry("f-1", ("e-1", "e-2"), 12.5, 1, 32.5, False),),
     (Release("f-3", 11.0),),
 )
 JSON = st.recursive(
@@ -57,17 +57,17 @@
         except ValueError as exc:
             assert "malformed" in str(exc)
         else:
-            assert found is None or isinstance(found, QuarantineWord)
+            assert found is None or isinstance(found, QuarantineUpdate)
 
     @given(JSON)
     def test_malformed_hold_is_refused(self, value):
         try:
-            assert isinstance(decode_hold("f-1", value), Hold)
+            assert isinstance(decode_hold("f-1", value), QuarantineEntry)
         except PlatformError as exc:
             assert "f-1" in str(exc)
 
     def test_hold_is_kept_whole(self):
-        (hold,) = WORD.holds
+        (hold,) = WORD.entries
         assert decode_hold("f-1", orjson.dumps(encode_hold(hold))) == hold
 
 
@@ -75,7 +75,7 @@
     def hold(self, world, fingerprint="f-1", **changes):
         now = world.clock.now()
         values = {"endpoints": ("e-1",), "since": now, "next_trial": now + 20.0, **changes}
-        return Hold(fingerprint, **values)
+        return QuarantineEntry(fingerprint, **values)
 
     def kept(self, world):
         return {key: decode_hold(key, row[0]) for key, row in world.store.rows(HOLD_TABLE).items()}
@@ -84,20 +84,20 @@
         world = ready_world(fronts=3)
         world.store.fault = StoreFault.BUSY
         node = world.fronts["front-1"]
-        node.hub.guard.on_hold(self.hold(world), True)
+        node.hub.guard.on_quarantine_change(self.hold(world), True)
         world.run(5.0)
         assert not self.kept(world)
         world.store.fault = StoreFault.NONE
         world.run(3.0)
         assert set(self.kept(world)) == {"f-1"}
-        assert all(each.hub.guard.hold("f-1") for each in world.fronts.values())
+        assert all(each.hub.guard.quarantine_entry("f-1") for each in world.fronts.values())
 
     def test_one_of_many_writes_a_hold_that_all_have_found(self):
         world = ready_world(fronts=8)
         hold = self.hold(world)
         before = world.store.version
         for number, node in enumerate(world.fronts.values()):
-            node.hub.guard.on_hold(hold, number == 0)
+            node.hub.guard.on_quarantine_change(hold, number == 0)
         world.run(4.0)
         assert set(self.kept(world)) == {"f-1"}
         duty_writes = (
@@ -109,7 +109,7 @@
     def test_of_trials_claimed_at_once_one_is_granted(self, seed):
         world = ready_world(fronts=5, seed=seed)
         hold = self.hold(world, next_trial=world.clock.now())
-        world.fronts["front-1"].hub.guard.on_hold(hold, True)
+        world.fronts["front-1"].hub.guard.on_quarantine_change(hold, True)
         world.run(1.0)
         rng, outcomes = random.Random(seed), []
         for node in world.fronts.values():
@@ -128,10 +128,10 @@
 
     def test_old_rows_are_removed(self):
         world = ready_world()
-        old = world.clock.now() - SUSPECTED_SECONDS - 1
-        ends = (EndpointEnd("e-1", "zone-a", old, ("f-2",), 1),)
+        old = world.clock.now() - EVIDENCE_LIFETIME_SECONDS - 1
+        ends = (EndpointCrash("e-1", "zone-a", old, ("f-2",), 1),)
         world.store.put(HOLD_TABLE, EVIDENCE_PREFIX + "f-2", encode_evidence(ends))
-        hold = self.hold(world, since=world.clock.now() - FORGOTTEN_SECONDS - 1)
+        hold = self.hold(world, since=world.clock.now() - ENTRY_LIFETIME_SECONDS - 1)
         world.store.put(HOLD_TABLE, "f-1", encode_hold(hold))
         world.run(1.0)
         assert not world.store.rows(HOLD_TABLE)
@@ -141,12 +141,12 @@
         world = ready_world()
         guard = world.fronts["front-1"].hub.guard
         now = world.clock.now()
-        ends = [EndpointEnd(f"e-{each}", f"zone-{each}", now, ("f-2",), 1) for each in range(2)]
+        ends = [EndpointCrash(f"e-{each}", f"zone-{each}", now, ("f-2",), 1) for each in range(2)]
         world.store.put(HOLD_TABLE, EVIDENCE_PREFIX + "f-2", encode_evidence(tuple(ends)))
         world.run(5.0)
-        assert guard.standing("f-2") is Standing.SUSPECTED
-        guard.take_evidence((EndpointEnd("e-9", "zone-9", now + 5.0, ("f-2",)),))
-        assert guard.standing("f-2") is Standing.HELD
+        assert guard.quarantine_status("f-2") is QuarantineStatus.SUSPECTED
+        guard.load_evidence((EndpointCrash("e-9", "zone-9", now + 5.0, ("f-2",)),))
+        assert guard.quarantine_status("f-2") is QuarantineStatus.QUARANTINED
 
     @given(JSON)
     def test_malformed_ends_are_refused(self, value):
--- a/flamingofront/process/tests/test_intents.py
+++ b/flamingofront/process/tests/test_intents.py
@@ -72,7 +72,7 @@
         (record,) = recorded(world).values()
         (send,) = record.sends
         assert send.vm_id == "front-0"
-        assert len(record.unseen) == 3
+        assert len(record.unobserved) == 3
 
     def test_repeat_of_an_unanswered_request_is_in_the_store_before_its_endpoint_has_it(self):
         world = wary_world()
@@ -152,7 +152,7 @@
             world.front(name, world.host(name).zone, first_start=False)
         world.run(1.0)
         guards = [each.hub.guard for each in world.fronts.values()]
-        needed = [each.intents.needed("f-1", "engines") for each in guards]
+        needed = [each.intents.requires_record("f-1", "engines") for each in guards]
         assert needed == [not is_announced] * 3
 
     def test_history_that_is_lost_is_told_and_harms_nothing(self):
@@ -177,7 +177,7 @@
         world.store.drop("servers", "engine-1")
         world.run(0.5)
         guards = [each.hub.guard for each in world.fronts.values()]
-        assert not any(each.intents.needed("f-1", "engines") for each in guards)
+        assert not any(each.intents.requires_record("f-1", "engines") for each in guards)
 
     def test_endpoint_that_ended_is_a_sign_before_its_row_lapses(self):
         world = crashing_world(fronts=3)
@@ -185,12 +185,12 @@
         world.restart()
         world.run(1.0)
         guards = [each.hub.guard for each in world.fronts.values()]
-        assert all(each.intents.needed("f-1", "engines") for each in guards)
-        assert not any(each.intents.needed("f-1", "records") for each in guards)
+        assert all(each.intents.requires_record("f-1", "engines") for each in guards)
+        assert not any(each.intents.requires_record("f-1", "records") for each in guards)
 
     def test_endpoints_that_leave_about_the_first_start_are_none(self):
         world = crashing_world(fronts=3)
         world.end_endpoint("engine-1", "engines", "zone-b")
         world.run(5.0)
         guards = [each.hub.guard for each in world.fronts.values()]
-        assert not any(each.intents.needed("f-1", "engines") for each in guards)
+        assert not any(each.intents.requires_record("f-1", "engines") for each in guards)
--- a/flamingofront/request/active.py
+++ b/flamingofront/request/active.py
@@ -7,7 +7,7 @@
 from flamingofront.connection.interfaces import CallEvent, CallHandle
 from flamingofront.decisions.admission import Ticket
 from flamingofront.decisions.choice import Candidate
-from flamingofront.decisions.quarantine_facts import Standing
+from flamingofront.decisions.quarantine_facts import QuarantineStatus
 from flamingofront.decisions.rollout import VersionRule
 from flamingofront.errors import ErrorKind, Ran, RequestError
 from flamingofront.messages import (
@@ -24,10 +24,10 @@
 from flamingofront.request.attachments import Attachment
 from flamingofront.request.attempts import Order, Phase, RequestFacts, RequestMachine
 from flamingofront.request.directory import SharedPrefix
-from flamingofront.request.fingerprint import fingerprint_of
-from flamingofront.request.guard import refusal_of
+from flamingofront.request.fingerprint import compute_fingerprint
+from flamingofront.request.guard import quarantine_error
 from flamingofront.request.host import RequestHost
-from flamingofront.request.intent_gate import IntentClaims
+from flamingofront.request.intent_gate import AttemptIntents
 from flamingofront.request.permit_claims import PermitClaims
 from flamingofront.request.records import RequestRecord
 from flamingofront.request.stored_answer import StoredAnswer
@@ -66,7 +66,7 @@
         self.endpoint_id = ""
         self.endpoint_address = ""
         self._launched_at = 0.0
-        self.fingerprint = fingerprint_of(record)
+        self.fingerprint = compute_fingerprint(record)
         self.on_settled: Callable[[StoredAnswer | None, RequestError | None], None] | None = None
         self.log = hub.log.bind(
             request=record.request_id, workspace=record.workspace, work=self.fingerprint
@@ -76,11 +76,11 @@
             record.may_repeat,
             self.accepted_at + record.deadline_left,
             record.max_attempts,
-            self.accepted_at + hub.choice_patience(record),
+            self.accepted_at + hub.choice_timeout(record),
         )
         self.machine = RequestMachine(
             facts,
-            hub.budget(record.service),
+            hub.retry_budget(record.service),
             hub.rng,
             tokens=record.tokens,
             ran=record.ran,
@@ -92,7 +92,7 @@
         self._held_back = False
         self._is_due = False
         self._permit_claims = PermitClaims(self)
-        self._intent_claims = IntentClaims(self)
+        self._attempt_intents = AttemptIntents(self)
         # True for the one attempt that may show that a request which is held back is harmless.
         self.is_trial = False
 
@@ -121,7 +121,7 @@
         """True if a reset must tell whether the endpoint had the request."""
         if not self.record.may_repeat:
             return True
-        return self.hub.guard.standing(self.fingerprint) is not Standing.CLEAR
+        return self.hub.guard.quarantine_status(self.fingerprint) is not QuarantineStatus.CLEAR
 
     @abstractmethod
     def _call(self, order: StartAttempt, chosen: Candidate) -> OutboundCall:
@@ -189,7 +189,7 @@
         self._sync_wrote()
         self.carry(self.machine.caller_gone())
         self._end()
-        self.hub.request_ended(self)
+        self.hub.remove_request(self)
 
     def _on_deadline(self) -> None:
         self._sync_wrote()
@@ -213,7 +213,7 @@
         """End a request that never started; its reader is answered elsewhere."""
         self.machine.caller_gone()
         self._end()
-        self.hub.request_ended(self)
+        self.hub.remove_request(self)
 
     def _sync_wrote(self) -> None:
         if self._handle is not None and self._handle.wrote and self.machine.attempt_id:
@@ -241,10 +241,10 @@
 
     def _start_attempt(self, order: StartAttempt) -> None:
         """Start an attempt, unless the request has crashed the endpoints that ran it."""
-        standing = self.hub.guard.standing(self.fingerprint)
-        if standing is Standing.HELD:
+        standing = self.hub.guard.quarantine_status(self.fingerprint)
+        if standing is QuarantineStatus.QUARANTINED:
             self.held_back()
-        elif standing is Standing.TRIAL_DUE:
+        elif standing is QuarantineStatus.TRIAL_DUE:
             self.hub.guard.claim_trial(
                 self.fingerprint, lambda granted: self._trial_claimed(order, granted)
             )
@@ -263,19 +263,24 @@
     @property
     def is_held(self) -> bool:
         """True if it is not run any more; its own trial is."""
-        standing = self.hub.guard.standing(self.fingerprint)
-        return not self.is_trial and standing in (Standing.HELD, Standing.TRIAL_DUE)
+        standing = self.hub.guard.quarantine_status(self.fingerprint)
+        return not self.is_trial and standing in (
+            QuarantineStatus.QUARANTINED,
+            QuarantineStatus.TRIAL_DUE,
+        )
 
     def held_back(self) -> None:
         """End the request at once, also while an endpoint has it: it crashes what runs it."""
-        hold = self.hub.guard.hold(self.fingerprint)
+        hold = self.hub.guard.quarantine_entry(self.fingerprint)
         if hold is not None:
-            exc = refusal_of(hold, self.hub.guard.wall())
+            exc = quarantine_error(hold, self.hub.guard.wall())
             self.carry(self.machine.give_up(exc.kind, exc.detail))
 
     def place(self, order: StartAttempt) -> None:
         """Choose an endpoint for an attempt and send it there."""
-        chosen = self.hub.choose(self, order.exclude, self._permit_claims.exhausted(order))
+        chosen = self.hub.choose_endpoint(
+            self, order.exclude, self._permit_claims.is_exhausted(order)
+        )
         if chosen is None:
             self._no_endpoint(order)
             return
@@ -283,14 +288,14 @@
         if delay > 0:
             self.hub.metrics.count("retries_total", reason="postponed")
             self.carry(self.machine.postponed(order.attempt_id, self.hub.now(), delay))
-        elif self.hub.permits.needed(chosen.endpoint_id):
-            self._permit_claims.ask(order, chosen)
+        elif self.hub.permits.is_required(chosen.endpoint_id):
+            self._permit_claims.claim_permit(order, chosen)
         else:
             self.launch(order, chosen)
 
     def _no_endpoint(self, order: StartAttempt) -> None:
         """Wait for an endpoint, or refuse the request if that takes too long."""
-        delay = self.hub.choice_delay(self.record.service.name, self.ticket.share.priority)
+        delay = self.hub.choice_retry_delay(self.record.service.name, self.ticket.share.priority)
         self.hub.metrics.count("retries_total", reason="no_endpoint")
         self.carry(self.machine.no_endpoint(order.attempt_id, self.hub.now(), delay))
 
@@ -300,8 +305,8 @@
 
     def launch(self, order: StartAttempt, chosen: Candidate) -> None:
         """Send an attempt to an endpoint, after a record of it where one is needed."""
-        if self._intent_claims.needed():
-            self._intent_claims.ask(order, chosen)
+        if self._attempt_intents.requires_record():
+            self._attempt_intents.record_attempt(order, chosen)
         else:
             self.send(order, chosen)
 
@@ -312,8 +317,8 @@
         self.endpoint_id = chosen.endpoint_id
         self.endpoint_address = chosen.address
         self._launched_at = self.hub.now()
-        self.hub.pauses.sent(chosen.endpoint_id)
-        self.hub.directory.started(chosen.endpoint_id)
+        self.hub.backoffs.record_send(chosen.endpoint_id)
+        self.hub.directory.record_attempt_start(chosen.endpoint_id)
         listener = self._listener(order.attempt_id, chosen)
         self._handle = self.hub.transport.start(self._call(order, chosen), listener)
 
@@ -322,10 +327,10 @@
         handle, self._handle = self._handle, None
         if handle is None:
             return
-        self._intent_claims.released()
+        self._attempt_intents.close_current()
         if cancel:
             handle.cancel()
-        self.hub.directory.ended(self.endpoint_id)
+        self.hub.directory.record_attempt_end(self.endpoint_id)
 
     def lost(self, attempt_id: str, executed: Ran, reason: str, sent: bool = True) -> None:
         """An attempt ended without its answer; `sent` is False if nothing can have arrived."""
@@ -333,9 +338,9 @@
             return
         now = self.hub.now()
         if not sent or executed is Ran.NO:
-            self._intent_claims.withdraw()
+            self._attempt_intents.withdraw()
         self._release()
-        self.hub.attempt_lost(self.record.service, self.endpoint_id, executed, reason, now)
+        self.hub.record_attempt_loss(self.record.service, self.endpoint_id, executed, reason, now)
         self.log.info(
             "attempt lost",
             attempt=attempt_id,
@@ -349,7 +354,7 @@
         """Judge a call that ended without a response."""
         if event.reason in NOT_CONNECTED:
             refused = event.reason == "refused"
-            self.hub.directory.connect_failed(self.endpoint_id, self.hub.now(), refused)
+            self.hub.directory.record_connect_failure(self.endpoint_id, self.hub.now(), refused)
         elif event.reason == "reset" and event.wrote and not self._was_stale(event):
             self.connection_broke(attempt_id)
         executed = Ran.UNKNOWN if event.wrote else Ran.NO
@@ -362,7 +367,9 @@
     def connection_broke(self, attempt_id: str) -> None:
         """Take note that the current attempt's connection ended before its answer did."""
         if not self.done and attempt_id == self.machine.attempt_id:
-            self.hub.guard.ends.broke(self.endpoint_id, self.endpoint_address, self.fingerprint)
+            self.hub.guard.crash_detector.record_connection_loss(
+                self.endpoint_id, self.endpoint_address, self.fingerprint
+            )
 
     def _emit(self, order: Emit) -> None:
         for each in list(self.attachments):
@@ -393,9 +400,9 @@
     def _retry_after(self, order: Fail) -> float | None:
         """Return when to come back: not before an endpoint takes the request, if none does now."""
         service, priority = self.record.service.name, self.ticket.share.priority
-        if self.hub.time_until_open(service, priority) <= 0:
+        if self.hub.seconds_until_open(service, priority) <= 0:
             return order.retry_after
-        return max(order.retry_after or 0.0, self.hub.choice_delay(service, priority))
+        return max(order.retry_after or 0.0, self.hub.choice_retry_delay(service, priority))
 
     def _settle(self, answer: StoredAnswer | None, exc: RequestError | None) -> None:
         """Give the final answer to all readers, once."""
@@ -412,7 +419,7 @@
                 each.failed(exc)
         if self.on_settled is not None:
             self.on_settled(answer, exc)
-        self.hub.request_ended(self)
+        self.hub.remove_request(self)
 
     def _end(self) -> None:
         self._release()
@@ -452,4 +459,4 @@
         for each in readers:
             each.detach()
             each.moved(self.machine.assembler.offset)
-        self.hub.request_ended(self)
+        self.hub.remove_request(self)
--- a/flamingofront/request/answer_reader.py
+++ b/flamingofront/request/answer_reader.py
@@ -10,13 +10,13 @@
 if TYPE_CHECKING:
     from flamingofront.request.forwarded_request import ForwardedRequest
 
-__all__ = ["FIRST_ERROR_STATUS", "AnswerReader"]
+__all__ = ["FIRST_ERROR_STATUS", "ResponseReader"]
 
 FIRST_ERROR_STATUS = 500
 MAX_WHOLE_BYTES = 8 * 1024 * 1024
 
 
-class AnswerReader:
+class ResponseReader:
     """Take the events of one attempt."""
 
     def __init__(self, request: "ForwardedRequest", attempt_id: str):
@@ -27,7 +27,7 @@
         self._answer: EndpointAnswer | None = None
         self._parts: list[bytes] = []
         self._size = 0
-        request.relay.restart()
+        request.relay.discard_partial_event()
 
     def __call__(self, event: CallEvent) -> None:
         """Take one event; the last one ends the attempt."""
@@ -52,7 +52,7 @@
         if answer.crossed:
             self._lost(Ran.UNKNOWN, "crossed answer")
         elif answer.wrong_endpoint:
-            self._request.hub.directory.address_reused(self._request.endpoint_id)
+            self._request.hub.directory.mark_address_reused(self._request.endpoint_id)
             self._lost(Ran.NO, "another endpoint has the address")
         elif answer.not_run:
             self._lost(Ran.NO, f"refused with status {answer.status}")
@@ -60,13 +60,13 @@
             self._answer = answer
         if not answer.crossed:
             directory = self._request.hub.directory
-            directory.reached(self._request.endpoint_id, self._request.hub.now())
+            directory.record_contact(self._request.endpoint_id, self._request.hub.now())
 
     def _take_limit(self, answer: EndpointAnswer) -> None:
         """Take what the endpoint says of the rate that it takes, whatever else it answers."""
         if answer.names_limit and answer.rate_limit is None:
             return
-        self._request.hub.limits.answered(
+        self._request.hub.limits.record_response(
             self._endpoint_id, answer.rate_limit, self._sent_at, self._request.request_id
         )
 
@@ -74,11 +74,11 @@
         """Take what the endpoint says of further requests: none at all, or none for a while."""
         request = self._request
         if answer.leaving:
-            request.hub.on_leaving(self._endpoint_id, request.request_id)
+            request.hub.on_endpoint_leaving(self._endpoint_id, request.request_id)
         if answer.pause is not None:
-            request.hub.pauses.start(self._endpoint_id, answer.pause, request.request_id)
+            request.hub.backoffs.start(self._endpoint_id, answer.pause, request.request_id)
         else:
-            request.hub.pauses.answered(self._endpoint_id, self._sent_at)
+            request.hub.backoffs.record_response(self._endpoint_id, self._sent_at)
 
     @property
     def _is_stream(self) -> bool:
@@ -106,7 +106,9 @@
         answer = self._answer
         body = b"".join(self._parts)
         complete = RelayedAnswer(answer.status, answer.fields, body)
-        if self._is_stream and (self._request.relay.incomplete or not self._request.relay.count):
+        if self._is_stream and (
+            self._request.relay.has_partial_event or not self._request.relay.count
+        ):
             self._request.connection_broke(self._attempt_id)
             self._lost(Ran.UNKNOWN, "the stream ended within an event")
         elif self._request.begun and not self._is_stream:
--- a/flamingofront/request/attempt_pace.py
+++ b/flamingofront/request/attempt_pace.py
@@ -2,7 +2,7 @@
 
 from flamingofront.decisions.engine_rates import EngineRates
 
-__all__ = ["AttemptPace"]
+__all__ = ["AttemptLatency"]
 
 # An answer is slow that takes so many times as long as expected, and so many seconds more. A single
 # one may be so by a queue or a cold cache: only the share of them is compared, between versions.
@@ -10,7 +10,7 @@
 SLOW_SECONDS = 0.1
 
 
-class AttemptPace:
+class AttemptLatency:
     """Judges one attempt.
 
     Parameters
--- a/flamingofront/request/directory.py
+++ b/flamingofront/request/directory.py
@@ -13,8 +13,8 @@
 from flamingofront.decisions.choice import Candidate, report_weight
 from flamingofront.decisions.retry import EndpointHealth
 from flamingofront.decisions.rollout import VersionRule
-from flamingofront.decisions.shares import NotedPrompts
-from flamingofront.decisions.zone_reach import ZoneReach
+from flamingofront.decisions.shares import RemotePrompts
+from flamingofront.decisions.zone_reach import ZoneReachability
 from flamingofront.process.membership import Fact, FactTable, Role, VmState
 from flamingofront.process.rendezvous import rank
 from flamingofront.request.prefixes import PrefixIndex
@@ -54,7 +54,7 @@
 @dataclass(frozen=True)
 class _Report:
     load: float
-    own_in_flight: int
+    local_in_flight: int
     at: float
 
 
@@ -89,7 +89,7 @@
     home: str
     home_tokens: int
     closed: frozenset[str]
-    own_share: float
+    local_share: float
     report_weight: float
 
 
@@ -121,12 +121,12 @@
         self._zone = zone
         self.sample_size: Callable[[], int] = lambda: MAX_CANDIDATES
         self.first: Callable[[Mapping[str, str]], tuple[str, ...]] = lambda endpoints: ()
-        self.before_choice: Callable[[], None] = lambda: None
-        self.noted = NotedPrompts()
+        self.refresh_loads: Callable[[], None] = lambda: None
+        self.noted = RemotePrompts()
         self.health = EndpointHealth(rng)
         self.prefixes = PrefixIndex()
         self.configuration = Configuration()
-        self.own_share: Callable[[], float] = lambda: 1.0
+        self.local_share: Callable[[], float] = lambda: 1.0
         self._in_flight: Counter[str] = Counter()
         self._reported_at: float | None = None
         self._backlog: Counter[str] = Counter()
@@ -137,7 +137,7 @@
         self._unreachable: dict[str, float] = {}
         self._connect_failures: Counter[str] = Counter()
         self._reached_at: dict[str, float] = {}
-        self.zones = ZoneReach()
+        self.zones = ZoneReachability()
         self._index: dict[str, _ServiceEndpoints] = {}
         self._basis = (-1, -1)
 
@@ -204,11 +204,11 @@
         the time of a choice then does not grow with the fleet, and processes that all have the same
         late word of the loads do not all pick the same endpoint.
         """
-        self.before_choice()
+        self.refresh_loads()
         endpoints = self._endpoints(service.name)
         if rule is not None:
             endpoints = _ServiceEndpoints(rule.select(endpoints.facts), endpoints.drained)
-        ejected = self.health.ejected(endpoints.facts, now)
+        ejected = self.health.list_ejected(endpoints.facts, now)
         home = self._home(endpoints, shared)
         if whole or len(endpoints.facts) <= self.sample_size():
             facts = list(endpoints.facts.values())
@@ -225,7 +225,7 @@
             home=home,
             home_tokens=shared.tokens if shared is not None else 0,
             closed=closed,
-            own_share=self.own_share(),
+            local_share=self.local_share(),
             report_weight=report_weight(sum(self._in_flight[each] for each in ids), len(ids)),
         )
         return [self._candidate(fact, service, hashes, view) for fact in facts]
@@ -238,7 +238,7 @@
         return rank(shared.key, staying)[0] if staying else ""
 
     def _warmest(self, hashes: tuple[str, ...]) -> list[str]:
-        return sorted(self.prefixes.warmest(hashes))[:MAX_WARM]
+        return sorted(self.prefixes.longest_prefix_holders(hashes))[:MAX_WARM]
 
     def _sample(
         self,
@@ -279,7 +279,7 @@
         report = self._reports.get(endpoint_id)
         if report is not None and view.now - report.at > REPORT_SECONDS:
             report = None
-        noted_requests, noted_tokens = self.noted.at(endpoint_id, view.now)
+        noted_requests, noted_tokens = self.noted.get_counts(endpoint_id, view.now)
         backlog = self._backlog[endpoint_id] + self._peer_backlog.get(endpoint_id, 0)
         return Candidate(
             endpoint_id=endpoint_id,
@@ -288,9 +288,9 @@
             side=fact.side,
             price=fact.price,
             slots=fact.slots or service.slots,
-            own_in_flight=self._in_flight[endpoint_id],
+            local_in_flight=self._in_flight[endpoint_id],
             reported_load=(report.load if report else 0.0) + noted_requests,
-            own_at_report=report.own_in_flight if report else 0,
+            local_at_report=report.local_in_flight if report else 0,
             cached_tokens=self._cached_tokens(endpoint_id, hashes, view),
             backlog_tokens=backlog + noted_tokens,
             reclaim_risk=DEFAULT_RECLAIM_RATE if fact.reclaimable else 0.0,
@@ -298,7 +298,7 @@
             leaving=endpoint_id in view.drained,
             ejected=endpoint_id in view.ejected,
             reachable=self._is_reachable(fact, view.now),
-            own_share=view.own_share,
+            local_share=view.local_share,
             report_weight=view.report_weight,
             closed=endpoint_id in view.closed,
         )
@@ -326,7 +326,7 @@
         facts = self._endpoints(service).facts
         return max((fact.slots for fact in facts.values()), default=0)
 
-    def address_reused(self, endpoint_id: str) -> None:
+    def mark_address_reused(self, endpoint_id: str) -> None:
         """Leave an endpoint out whose address belongs to another one now."""
         self._facts.mark(endpoint_id, VmState.GONE)
 
@@ -351,22 +351,22 @@
         self._backlog[endpoint_id] += tokens
         self.on_load(endpoint_id, 0, tokens)
 
-    def dequeued(self, endpoint_id: str, tokens: int) -> None:
+    def remove_backlog(self, endpoint_id: str, tokens: int) -> None:
         """Note that an endpoint has read them, or need not any more."""
         self._backlog[endpoint_id] -= tokens
         self.on_load(endpoint_id, 0, -tokens)
         if self._backlog[endpoint_id] <= 0:
             del self._backlog[endpoint_id]
 
-    def all_backlog(self) -> dict[str, int]:
+    def backlog_by_endpoint(self) -> dict[str, int]:
         """Return the prompt tokens that wait on behalf of this process, by endpoint."""
         return dict(self._backlog)
 
-    def peers_queued(self, tokens: Mapping[str, int]) -> None:
+    def set_peer_backlog(self, tokens: Mapping[str, int]) -> None:
         """Take the prompt tokens that wait on behalf of the other processes."""
         self._peer_backlog = dict(tokens)
 
-    def peer_changed(self, endpoint_id: str, requests: int, tokens: int) -> None:
+    def apply_peer_change(self, endpoint_id: str, requests: int, tokens: int) -> None:
         """Take what another process has just begun or ended at an endpoint."""
         self._peer_backlog[endpoint_id] = max(0, self._peer_backlog.get(endpoint_id, 0) + tokens)
         report = self._reports.get(endpoint_id)
@@ -374,7 +374,7 @@
             load = max(0.0, report.load + requests)
             self._reports[endpoint_id] = replace(report, load=load)
 
-    def all_in_flight(self) -> dict[str, int]:
+    def in_flight_by_endpoint(self) -> dict[str, int]:
         """Return the attempts of this process, by endpoint."""
         return dict(self._in_flight)
 
@@ -384,9 +384,9 @@
         own = float(self._in_flight[endpoint_id])
         if report is None:
             return own
-        return max(own, report.load + own - report.own_in_flight)
+        return max(own, report.load + own - report.local_in_flight)
 
-    def loads_age(self, now: float) -> float | None:
+    def load_report_age(self, now: float) -> float | None:
         """Return the seconds since the last load reports; None if there were none."""
         return None if self._reported_at is None else round(now - self._reported_at, 3)
 
@@ -401,7 +401,7 @@
         known = self._token_seconds.get(endpoint_id, token_seconds)
         self._token_seconds[endpoint_id] = known + SLOWNESS_GAIN * (token_seconds - known)
 
-    def connect_failed(self, endpoint_id: str, now: float, refused: bool = False) -> None:
+    def record_connect_failure(self, endpoint_id: str, now: float, refused: bool = False) -> None:
         """Leave an endpoint out for a moment because it could not be connected to.
 
         Parameters
@@ -417,7 +417,7 @@
         self._unreachable[endpoint_id] = now + seconds
         fact = self._facts.get(endpoint_id)
         if fact is not None and not refused:
-            self.zones.failed(fact.zone, endpoint_id, now)
+            self.zones.record_connect_failure(fact.zone, endpoint_id, now)
 
     def reached(self, endpoint_id: str, now: float) -> None:
         """Note that an endpoint has sent something."""
@@ -426,9 +426,9 @@
             del self._connect_failures[endpoint_id]
         fact = self._facts.get(endpoint_id)
         if fact is not None:
-            self.zones.spoke(fact.zone, now)
+            self.zones.record_response(fact.zone, now)
 
-    def reached_at(self, endpoint_id: str) -> float:
+    def last_contact_at(self, endpoint_id: str) -> float:
         """Return when an endpoint last sent something; minus infinity if it never did."""
         return self._reached_at.get(endpoint_id, -math.inf)
 
@@ -440,7 +440,7 @@
     def _is_reachable(self, fact: Fact, now: float) -> bool:
         if self._unreachable.get(fact.vm_id, -math.inf) > now:
             return False
-        return not self.zones.is_cut_off(fact.zone, now)
+        return not self.zones.is_partitioned(fact.zone, now)
 
     def version_of(self, endpoint_id: str) -> str:
         """Return the version of an endpoint's software; empty if it is not known."""
--- a/flamingofront/request/endpoint_ends.py
+++ b/flamingofront/request/endpoint_ends.py
@@ -9,13 +9,13 @@
 from dataclasses import dataclass, field
 
 from flamingofront.connection.interfaces import Reach, Transport
-from flamingofront.decisions.quarantine_facts import EndpointEnd
+from flamingofront.decisions.quarantine_facts import EndpointCrash
 from flamingofront.process.logs import Log
 from flamingofront.process.metrics import Metrics
 from flamingofront.process.timers import TimerService
 from flamingofront.request.directory import EndpointDirectory
 
-__all__ = ["EndpointEnds"]
+__all__ = ["CrashDetector"]
 
 # As for any attempt: an endpoint in reach accepts within a few milliseconds.
 PROBE_SECONDS = 0.25
@@ -45,13 +45,13 @@
     ended: bool = False
 
 
-class EndpointEnds:
+class CrashDetector:
     """Tells endpoints that have ended from broken connections.
 
     Attributes
     ----------
     on_ended : callable
-        Gets each `EndpointEnd`, with its time on the clock of the timer service. A second one of
+        Gets each `EndpointCrash`, with its time on the clock of the timer service. A second one of
         the same end names what was noticed later.
     on_unwitnessed : callable
         Gets each endpoint whose row went without notice while no request of this process was there.
@@ -73,9 +73,9 @@
         self._metrics = metrics
         self._log = log
         self._doubts: dict[str, _Doubt] = {}
-        self.on_ended: Callable[[EndpointEnd], None] = lambda end: None
-        self.on_unwitnessed: Callable[[str], None] = lambda endpoint_id: None
-        self.on_found: Callable[[str], None] = lambda endpoint_id: None
+        self.on_ended: Callable[[EndpointCrash], None] = lambda end: None
+        self.on_unobserved_crash: Callable[[str], None] = lambda endpoint_id: None
+        self.on_crash_found: Callable[[str], None] = lambda endpoint_id: None
 
     def broke(self, endpoint_id: str, address: str, request: str) -> None:
         """Take note that the connection of a request to an endpoint broke after it was sent."""
@@ -86,7 +86,7 @@
                 if doubt.ended:
                     self._tell(endpoint_id, doubt, frozenset((request,)))
             return
-        if self._directory.leaving(endpoint_id):
+        if self._directory.is_unavailable(endpoint_id):
             return
         zone = self._directory.zone_of(endpoint_id)
         doubt = _Doubt(address, zone, self._timers.now(), {request})
@@ -103,7 +103,7 @@
         """
         doubt = self._doubts.get(endpoint_id)
         if doubt is None and not announced:
-            self.on_unwitnessed(endpoint_id)
+            self.on_unobserved_crash(endpoint_id)
         elif doubt is not None and not doubt.ended:
             self._ended(endpoint_id, doubt)
 
@@ -132,8 +132,8 @@
         """Take note that no process listens at the address of an endpoint, whatever ran there."""
         if endpoint_id in self._doubts or self._directory.is_leaving(endpoint_id):
             return
-        self._directory.connect_failed(endpoint_id, self._timers.now(), refused=True)
-        self.on_found(endpoint_id)
+        self._directory.record_connect_failure(endpoint_id, self._timers.now(), refused=True)
+        self.on_crash_found(endpoint_id)
 
     def restarted(self, endpoint_id: str, requests: frozenset[str]) -> None:
         """Take note that an endpoint has started again while requests were there."""
@@ -171,7 +171,7 @@
         """Take an endpoint for ended that refuses connections, unless it still sends."""
         if self._doubts.get(endpoint_id) is not doubt or doubt.ended:
             return
-        if self._directory.reached_at(endpoint_id) > doubt.at + LAST_BYTES_SECONDS:
+        if self._directory.last_contact_at(endpoint_id) > doubt.at + LAST_BYTES_SECONDS:
             del self._doubts[endpoint_id]
         else:
             self._ended(endpoint_id, doubt)
@@ -191,4 +191,4 @@
         self._tell(endpoint_id, doubt, frozenset(doubt.requests))
 
     def _tell(self, endpoint_id: str, doubt: _Doubt, requests: frozenset[str]) -> None:
-        self.on_ended(EndpointEnd(endpoint_id, doubt.zone, doubt.at, tuple(sorted(requests))))
+        self.on_ended(EndpointCrash(endpoint_id, doubt.zone, doubt.at, tuple(sorted(requests))))
--- a/flamingofront/request/endpoint_limits.py
+++ b/flamingofront/request/endpoint_limits.py
@@ -40,7 +40,7 @@
     endpoint_id: str
     born: int
     rate: float | None
-    named_at: float
+    advertised_at: float
 
 
 class EndpointLimits:
@@ -58,7 +58,7 @@
 
     def __init__(self, timers: TimerService, metrics: Metrics, log: Log):
         self.wall: Callable[[], float] = timers.wall
-        self.born_of: Callable[[str], int | None] = lambda endpoint_id: 0
+        self.start_ms_of: Callable[[str], int | None] = lambda endpoint_id: 0
         self.on_end: Callable[[str], None] = lambda endpoint_id: None
         self._timers = timers
         self._metrics = metrics
@@ -91,7 +91,7 @@
         request : str
             Id of the request, for the log.
         """
-        born = self.born_of(endpoint_id)
+        born = self.start_ms_of(endpoint_id)
         if born is None or (rate is None and not self._may_end(endpoint_id, sent_at)):
             return
         self._take(EndpointLimit(endpoint_id, born, rate, self.wall()), request)
@@ -102,26 +102,26 @@
         if known is None or known.rate is None:
             return False
         sent_wall = self.wall() - (self._timers.now() - sent_at)
-        return sent_wall > known.named_at + OVERTAKING_SECONDS
+        return sent_wall > known.advertised_at + OVERTAKING_SECONDS
 
     def merge(self, limits: Iterable[EndpointLimit]) -> None:
         """Merge what other processes know, where it is newer."""
         wall = self.wall()
         for each in limits:
             # A clock that is ahead must not outweigh what is said later.
-            told = replace(each, named_at=min(each.named_at, wall))
+            told = replace(each, named_at=min(each.advertised_at, wall))
             if self._is_news(told):
                 self._take(told, "")
 
     def _is_news(self, told: EndpointLimit) -> bool:
-        born = self.born_of(told.endpoint_id)
+        born = self.start_ms_of(told.endpoint_id)
         if born is None or told.born < born:
             return False
         known = self._limits.get(told.endpoint_id)
         if known is None or known.born < told.born:
             return told.rate is not None
         margin = OVERTAKING_SECONDS if told.rate is None else 0.0
-        return told.rate != known.rate and told.named_at > known.named_at + margin
+        return told.rate != known.rate and told.advertised_at > known.advertised_at + margin
 
     def recent_changes(self) -> tuple[EndpointLimit, ...]:
         """Return what changed lately, to be told to the other processes."""
@@ -158,9 +158,9 @@
             f"endpoint limit {change}",
             endpoint=limit.endpoint_id,
             rate=limit.rate,
-            age=round(self.wall() - limit.named_at, 3),
+            age=round(self.wall() - limit.advertised_at, 3),
             before=before,
-            before_age=None if known is None else round(self.wall() - known.named_at, 3),
+            before_age=None if known is None else round(self.wall() - known.advertised_at, 3),
             source="answer" if request else "peer",
             request=request,
         )
--- a/flamingofront/request/endpoint_pauses.py
+++ b/flamingofront/request/endpoint_pauses.py
@@ -7,11 +7,11 @@
 from flamingofront.process.metrics import Metrics
 from flamingofront.process.timers import TimerService
 
-__all__ = ["EndpointPauses"]
+__all__ = ["EndpointBackoffs"]
 
 # Longest pause that is believed, in seconds: an endpoint that named a day by mistake would be left
 # alone for that day.
-LONGEST_PAUSE_SECONDS = 60.0
+MAX_BACKOFF_SECONDS = 60.0
 
 
 # Random part by which a pause is longer than was asked for: processes that were refused together do
@@ -37,7 +37,7 @@
     trial_at: float | None = None
 
 
-class EndpointPauses:
+class EndpointBackoffs:
     """Keeps until when this process sends nothing to an endpoint.
 
     A success in between does not end a pause. After it one request goes first, and the others
@@ -61,7 +61,7 @@
         """
         now = self._timers.now()
         known = self._pauses.get(endpoint_id)
-        wanted = min(seconds, LONGEST_PAUSE_SECONDS)
+        wanted = min(seconds, MAX_BACKOFF_SECONDS)
         until = now + wanted * (1.0 + JITTER * self._rng.random())
         self._metrics.count("endpoint_pauses_total")
         self._log.info(
--- a/flamingofront/request/fingerprint.py
+++ b/flamingofront/request/fingerprint.py
@@ -12,13 +12,13 @@
 from flamingofront.request.forward_work import ForwardWork
 from flamingofront.request.records import ModelWork, PlainWork, RequestRecord
 
-__all__ = ["fingerprint_of"]
+__all__ = ["compute_fingerprint"]
 
 # 64 bits: among a million requests two differing ones share it once in 37 million cases.
 FINGERPRINT_BYTES = 8
 
 
-def fingerprint_of(record: RequestRecord) -> str:
+def compute_fingerprint(record: RequestRecord) -> str:
     """Return the fingerprint of a request: a digest of its caller, target and body.
 
     Notes
--- a/flamingofront/request/forward_gateway.py
+++ b/flamingofront/request/forward_gateway.py
@@ -15,10 +15,10 @@
 from flamingofront.request.forward_work import CallerRequest, ForwardProtocol, ForwardWork
 from flamingofront.request.forwarded_request import ForwardedRequest
 from flamingofront.request.hub import RequestHub
-from flamingofront.request.quota_gate import OwnQuotaGate, QuotaDecision, QuotaGate
+from flamingofront.request.quota_gate import LocalQuotaGate, QuotaDecision, QuotaGate
 from flamingofront.request.records import RequestRecord
 from flamingofront.request.stop_refusal import refusal_for_stop
-from flamingofront.request.unknown_gate import NoUnknownGate, UnknownGate
+from flamingofront.request.unknown_gate import AssumedFreshness, ConfigFreshness
 from flamingofront.version.forwarding import (
     ForwardedRoute,
     ForwardedWorkspace,
@@ -97,7 +97,7 @@
     ----------
     quota_gate : QuotaGate
         Decides whether a request is within its quota; by the own copy if nothing else is set.
-    unknown_gate : UnknownGate
+    unknown_gate : ConfigFreshness
         Tells whether what is not known here is unknown in the newest configuration.
     """
 
@@ -115,8 +115,8 @@
         self._hub = hub
         self._protocol = protocol
         self._quota = quota
-        self.quota_gate: QuotaGate = OwnQuotaGate(quota, hub.timers)
-        self.unknown_gate: UnknownGate = NoUnknownGate()
+        self.quota_gate: QuotaGate = LocalQuotaGate(quota, hub.timers)
+        self.unknown_gate: ConfigFreshness = AssumedFreshness()
         self._log = log
         self._on_running = on_running
         self._numbers = itertools.count(1)
@@ -180,7 +180,7 @@
         workspace = self._workspace(caller, route)
         record = self._record(req, caller, route, workspace)
         # Before the quota: a refusal for that would ask the caller to come back.
-        self._hub.guard.check(record)
+        self._hub.guard.reject_quarantined(record)
         units = _units(caller, workspace)
         offer = _Offer(req, exchange, record, route, workspace, units, cfg.version)
         if workspace is None:
@@ -213,13 +213,13 @@
         self._check_stop(offer.record)
         request = self._hub.accept(offer.record, _share(offer.route, offer.workspace))
         if offer.workspace is not None:
-            self._quota.spend(offer.workspace, offer.units, self._hub.now())
+            self._quota.consume(offer.workspace, offer.units, self._hub.now())
         request.on_running = self._on_running
         request.rule_of = self._version_rule
         request.on_end = lambda ended: self._ended(ended, offer)
         caller_id = offer.record.work.caller_id
         request.attach(ForwardAttachment(offer.exchange, caller_id, self._protocol))
-        self._hub.pump()
+        self._hub.start_ready_requests()
 
     def _version_rule(self, request: ForwardedRequest) -> VersionRule | None:
         return self.version_rule(request.record.service.name, not request.endpoints)
@@ -235,7 +235,7 @@
         if decision.wait <= 0:
             return
         workspace = offer.workspace
-        state = decision.state or self._quota.state(workspace, self._hub.now())
+        state = decision.state or self._quota.get_state(workspace, self._hub.now())
         inputs = {
             "workspace": workspace.name,
             "units": offer.units,
@@ -271,7 +271,7 @@
         if left <= 0:
             raise RequestError(ErrorKind.DEADLINE_EXCEEDED, "no time is left of the deadline")
         name = route.backend_for(caller.request_id)
-        slots = self._hub.directory.slots(name)
+        slots = self._hub.directory.advertised_slots(name)
         work = ForwardWork(
             method=req.method,
             target=req.target,
--- a/flamingofront/request/forwarded_request.py
+++ b/flamingofront/request/forwarded_request.py
@@ -6,7 +6,7 @@
 from flamingofront.decisions.admission import Ticket
 from flamingofront.decisions.choice import Candidate
 from flamingofront.decisions.engine_rates import ServiceRates
-from flamingofront.decisions.lateness import Expectation, postponement, urgency
+from flamingofront.decisions.lateness import LatencyEstimate, classify_urgency, compute_yield_delay
 from flamingofront.decisions.rollout import VersionRule
 from flamingofront.decisions.stopping import StreamTimes
 from flamingofront.errors import ErrorKind, Ran, RequestError
@@ -17,8 +17,8 @@
     StartAttempt,
 )
 from flamingofront.request.active import NOT_CONNECTED, ActiveRequest
-from flamingofront.request.answer_reader import FIRST_ERROR_STATUS, AnswerReader
-from flamingofront.request.attempt_pace import AttemptPace
+from flamingofront.request.answer_reader import FIRST_ERROR_STATUS, ResponseReader
+from flamingofront.request.attempt_pace import AttemptLatency
 from flamingofront.request.directory import SharedPrefix
 from flamingofront.request.event_stream import EventRelay
 from flamingofront.request.forward_work import (
@@ -58,7 +58,7 @@
         self.first_at: float | None = None
         self.failure = ""
         self.rule_of: Callable[[ForwardedRequest], VersionRule | None] = lambda request: None
-        self._pace = AttemptPace()
+        self._pace = AttemptLatency()
         self._passed_before = 0
         self.on_running: Callable[[ForwardedRequest], None] = lambda request: None
         self.on_end: Callable[[ForwardedRequest], None] = lambda request: None
@@ -84,7 +84,7 @@
     @property
     def _rates(self) -> ServiceRates:
         """What is learned of the service's endpoints."""
-        return self.hub.rates.of(self.record.service.name)
+        return self.hub.rates.for_service(self.record.service.name)
 
     def version_rule(self) -> VersionRule | None:
         """Return which versions the next attempt may go to; None if that makes no difference."""
@@ -105,14 +105,14 @@
         """Count the prompt tokens that the endpoint has to read."""
         self._unread = max(0, self.work.prompt_tokens - chosen.cached_tokens)
         self._unread_at = chosen.endpoint_id
-        self.hub.directory.queued(self._unread_at, self._unread)
+        self.hub.directory.add_backlog(self._unread_at, self._unread)
 
-    def _expected(self, chosen: Candidate) -> Expectation:
+    def _expected(self, chosen: Candidate) -> LatencyEstimate:
         """Return when the endpoint is expected to begin its answer."""
-        first = self._rates.now().first_event(self._ahead) * chosen.slowness
+        first = self._rates.estimate().first_event_seconds(self._ahead) * chosen.slowness
         objective = self.record.service.first_token_target
         left = objective - (self.hub.now() - self.accepted_at)
-        return Expectation(first, left, self.begun)
+        return LatencyEstimate(first, left, self.begun)
 
     def _postponement(self, chosen: Candidate) -> float:
         """Stand back while the request will be late in any case and others wait to be read."""
@@ -120,9 +120,9 @@
         self._ahead = chosen.backlog_tokens + new_tokens
         if not self._asked_work:
             self._asked_work = True
-            self.hub.work_asked(self.record.service.name, new_tokens)
-        rates, now = self._rates.now(), self.hub.now()
-        wait = postponement(
+            self.hub.record_load(self.record.service.name, new_tokens)
+        rates, now = self._rates.estimate(), self.hub.now()
+        wait = compute_yield_delay(
             self._expected(chosen),
             rates.token_seconds * chosen.backlog_tokens * chosen.slowness,
             now - self.accepted_at,
@@ -135,15 +135,15 @@
                 endpoint=chosen.endpoint_id,
                 backlog=chosen.backlog_tokens,
                 prompt=self.work.prompt_tokens,
-                expected_ms=round(self._expected(chosen).first_event * 1000),
-                loads_age=self.hub.directory.loads_age(now),
+                expected_ms=round(self._expected(chosen).first_event_seconds * 1000),
+                loads_age=self.hub.directory.load_report_age(now),
             )
         return wait * (0.5 + self.hub.rng.random())
 
     def _dequeue(self) -> None:
         """The prompt was read, or the attempt is over."""
         if self._unread:
-            self.hub.directory.dequeued(self._unread_at, self._unread)
+            self.hub.directory.remove_backlog(self._unread_at, self._unread)
             self._unread = 0
 
     def _release(self, cancel: bool = True) -> None:
@@ -154,7 +154,7 @@
         """Note the prompt's parts as held by the endpoint that has read them."""
         sizes = tuple(each.tokens for each in self.work.prompt)
         capacity = self.hub.cache_tokens(self.record.service.name)
-        self.hub.directory.prefixes.stored(self.endpoint_id, self.hashes(), sizes, capacity)
+        self.hub.directory.prefixes.add_blocks(self.endpoint_id, self.hashes(), sizes, capacity)
 
     def _log_choice(self, order: StartAttempt, chosen: Candidate) -> None:
         """Tell which endpoint was chosen, and by what."""
@@ -171,8 +171,8 @@
             prompt=self.work.prompt_tokens,
             cached=chosen.cached_tokens,
             slowness=round(chosen.slowness, 2),
-            loads_age=directory.loads_age(self.hub.now()),
-            rate_limit=self.hub.limits.rate(chosen.endpoint_id),
+            loads_age=directory.load_report_age(self.hub.now()),
+            rate_limit=self.hub.limits.rate_of(chosen.endpoint_id),
             excluded=sorted(order.exclude),
             left_ms=round((self.machine.facts.deadline - self.hub.now()) * 1000),
         )
@@ -182,13 +182,13 @@
         self._queue(chosen)
         left = self.machine.facts.deadline - self.hub.now()
         facts = AttemptFacts(
-            chosen.endpoint_id, left, self.relay.last_id, urgency(self._expected(chosen))
+            chosen.endpoint_id, left, self.relay.last_id, classify_urgency(self._expected(chosen))
         )
         work = self.work
         self.endpoints.append(chosen.endpoint_id)
         self.sent_at = self.hub.now()
         ahead = self._ahead if work.stream else 0
-        self._pace = AttemptPace(self.sent_at, self._rates.now().first_event(ahead))
+        self._pace = AttemptLatency(self.sent_at, self._rates.estimate().first_event_seconds(ahead))
         self._passed_before = self.relay.count
         return OutboundCall(
             chosen.address,
@@ -205,7 +205,7 @@
         )
 
     def _listener(self, attempt_id: str, chosen: Candidate) -> Callable[[CallEvent], None]:
-        return AnswerReader(self, attempt_id)
+        return ResponseReader(self, attempt_id)
 
     def began_at(self) -> float:
         """Return when an endpoint began to run the request, as far as can be told from here.
@@ -218,10 +218,10 @@
 
     def running(self) -> None:
         """Note that an endpoint has begun to answer."""
-        self._pace.began(self.hub.now())
+        self._pace.record_start(self.hub.now())
         if self._unread:
             if self.work.stream and self.endpoint_id == self._unread_at:
-                self._rates.first_event(self._ahead, self.hub.now() - self.sent_at)
+                self._rates.record_first_event(self._ahead, self.hub.now() - self.sent_at)
             self._dequeue()
             self._note_cached()
         if self.first_at is None:
@@ -233,7 +233,7 @@
         """Pass whole events on to the caller."""
         if self.machine.attempt_id != attempt_id:
             return
-        self.hub.directory.reached(self.endpoint_id, self.hub.now())
+        self.hub.directory.record_contact(self.endpoint_id, self.hub.now())
         self._observe_events()
         self.running()
         self.machine.progressed(attempt_id)
@@ -249,8 +249,8 @@
         count = self.relay.count - self._events_seen
         if self.first_at is not None and count > 0:
             pause = (now - self._event_at) / count
-            self.hub.directory.observed(self.endpoint_id, pause)
-            self._rates.pause(pause)
+            self.hub.directory.record_token_time(self.endpoint_id, pause)
+            self._rates.record_pause(pause)
         self._events_seen, self._event_at = self.relay.count, now
 
     def _tell_outcome(self, is_bad: bool) -> None:
@@ -267,17 +267,17 @@
         """Tell the directory how the endpoint did."""
         directory, now = self.hub.directory, self.hub.now()
         events = self.relay.count - self._passed_before
-        is_slow = self._pace.is_slow(now, events, self._rates.now())
+        is_slow = self._pace.is_slow(now, events, self._rates.estimate())
         self._tell_outcome(is_slow or answer.status >= FIRST_ERROR_STATUS)
         if answer.status >= FIRST_ERROR_STATUS:
-            self.hub.endpoint_failed(self.record.service, self.endpoint_id, now)
+            self.hub.record_endpoint_failure(self.record.service, self.endpoint_id, now)
             return
-        directory.health.succeeded(self.endpoint_id)
+        directory.health.record_success(self.endpoint_id)
         if not self.work.stream:
-            directory.observed(self.endpoint_id, now - self.sent_at)
-            self._rates.call(now - self.sent_at)
+            directory.record_token_time(self.endpoint_id, now - self.sent_at)
+            self._rates.record_call(now - self.sent_at)
         elif self.relay.count:
-            self._rates.ended(self.relay.count)
+            self._rates.record_event_count(self.relay.count)
             self._observe_times(now)
 
     def _observe_times(self, now: float) -> None:
@@ -285,14 +285,14 @@
         times = StreamTimes(
             self.first_at - self.accepted_at, now - self.first_at, self.work.output_tokens
         )
-        self.hub.completion.of(self.record.service.name).observe(times)
+        self.hub.completion.for_service(self.record.service.name).observe(times)
 
     def answered(self, attempt_id: str, answer: RelayedAnswer) -> None:
         """Give the endpoint's complete answer to the caller."""
         if not self.machine.answered(attempt_id):
             return
         self.status = answer.status
-        self.hub.guard.answered(self.fingerprint)
+        self.hub.guard.record_response(self.fingerprint)
         self.running()
         self._judge_endpoint(answer)
         self._release(cancel=False)
@@ -326,7 +326,9 @@
         one. Clocks of VMs differ, so an attempt that was sent close to the start is left alone.
         """
         if self.is_sent and self.sent_at < at - CLOCK_MARGIN_SECONDS:
-            self.hub.guard.ends.restarted(self.endpoint_id, frozenset((self.fingerprint,)))
+            self.hub.guard.crash_detector.record_restart(
+                self.endpoint_id, frozenset((self.fingerprint,))
+            )
             self.lost(self.machine.attempt_id, Ran.UNKNOWN, "endpoint started again")
 
     def _may_try_again(self) -> bool:
--- a/flamingofront/request/gateway.py
+++ b/flamingofront/request/gateway.py
@@ -251,7 +251,7 @@
         else:
             request = self._hub.accept(record, self._share(workspace))
             request.attach(attachment)
-            self._hub.pump()
+            self._hub.start_ready_requests()
 
     def _share(self, workspace: Workspace) -> WorkspaceShare:
         limit = self._workspace_limit(workspace)
--- a/flamingofront/request/host.py
+++ b/flamingofront/request/host.py
@@ -22,7 +22,7 @@
 from flamingofront.process.timers import TimerService
 from flamingofront.request.directory import EndpointDirectory
 from flamingofront.request.endpoint_limits import EndpointLimits
-from flamingofront.request.endpoint_pauses import EndpointPauses
+from flamingofront.request.endpoint_pauses import EndpointBackoffs
 from flamingofront.request.forward_work import ForwardProtocol
 from flamingofront.request.guard import RequestGuard
 from flamingofront.request.permits import Permits
@@ -32,10 +32,10 @@
 if TYPE_CHECKING:
     from flamingofront.request.active import ActiveRequest
 
-__all__ = ["HubSettings", "QUEUE_PATIENCE", "RequestHost"]
+__all__ = ["HubSettings", "QUEUE_WAIT_FRACTION", "RequestHost"]
 
 # Part of the first-token target that a request may wait: the rest is for its prefill.
-QUEUE_PATIENCE = 0.75
+QUEUE_WAIT_FRACTION = 0.75
 
 
 @dataclass(frozen=True)
@@ -44,7 +44,7 @@
 
     Parameters
     ----------
-    queue_patience : float
+    queue_wait_fraction : float
         Part of the first-token target that a request may wait for its start.
     choice_patience : float or None
         Part of that target during which an endpoint is looked for when there is none; None to look
@@ -55,7 +55,7 @@
     zone: str
     reattach_grace: float = 5.0
     answer_retention: float = 300.0
-    queue_patience: float = QUEUE_PATIENCE
+    queue_wait_fraction: float = QUEUE_WAIT_FRACTION
     choice_patience: float | None = None
 
 
@@ -74,7 +74,7 @@
         Requests that crash the endpoints that run them.
     limits : EndpointLimits
         Rates that endpoints take from all entry processes.
-    pauses : EndpointPauses
+    pauses : EndpointBackoffs
         Times for which endpoints want no requests of this process.
     on_leaving : callable
         Gets each endpoint that says in an answer that it leaves, and the id of the request.
@@ -99,7 +99,7 @@
     guard: RequestGuard
     limits: EndpointLimits
     permits: Permits
-    pauses: EndpointPauses
+    pauses: EndpointBackoffs
     on_leaving: Callable[[str, str], None]
     completion: CompletionBounds
     stop_left: Callable[[], float]
@@ -133,7 +133,7 @@
         """Tell whether an endpoint that was chosen a moment ago still takes new work."""
 
     @abstractmethod
-    def time_until_open(self, service: str, priority: float = math.inf) -> float:
+    def seconds_until_open(self, service: str, priority: float = math.inf) -> float:
         """Return the seconds until an endpoint of a service takes a request of a rank again.
 
         Parameters
@@ -143,15 +143,15 @@
         """
 
     @abstractmethod
-    def choice_delay(self, service: str, priority: float) -> float:
+    def choice_retry_delay(self, service: str, priority: float) -> float:
         """Return the seconds after which an endpoint may be found where there is none now."""
 
     @abstractmethod
-    def work_asked(self, service: str, tokens: int) -> None:
+    def record_load(self, service: str, tokens: int) -> None:
         """Count the work of a request, by the prompt tokens that its endpoint has to read."""
 
     @abstractmethod
-    def attempt_lost(
+    def record_attempt_loss(
         self, service: Service, endpoint_id: str, executed: Ran, reason: str, now: float
     ) -> None:
         """Count a lost attempt and judge its endpoint."""
@@ -161,5 +161,5 @@
         """Note a failure of an endpoint, which may eject it for a while."""
 
     @abstractmethod
-    def request_ended(self, request: "ActiveRequest") -> None:
+    def remove_request(self, request: "ActiveRequest") -> None:
         """Forget a request that has its answer or went elsewhere, and start the next one."""
--- a/flamingofront/request/hub.py
+++ b/flamingofront/request/hub.py
@@ -12,9 +12,9 @@
     ChoicePolicy,
     CostChoice,
     WorkEstimate,
-    usable,
+    filter_usable,
 )
-from flamingofront.decisions.demand import WorkMeter
+from flamingofront.decisions.demand import LoadMeter
 from flamingofront.decisions.engine_rates import LearnedRates
 from flamingofront.decisions.retry import PacedRetryBudget, RetryBudget
 from flamingofront.decisions.stopping import CompletionBounds
@@ -24,9 +24,9 @@
 from flamingofront.process.timers import Timer, TimerService
 from flamingofront.request.active import ActiveRequest
 from flamingofront.request.directory import EndpointDirectory
-from flamingofront.request.endpoint_ends import EndpointEnds
+from flamingofront.request.endpoint_ends import CrashDetector
 from flamingofront.request.endpoint_limits import EndpointLimits
-from flamingofront.request.endpoint_pauses import EndpointPauses
+from flamingofront.request.endpoint_pauses import EndpointBackoffs
 from flamingofront.request.finished import FinishedAnswer, FinishedAnswers
 from flamingofront.request.forward_work import ForwardProtocol, ForwardWork
 from flamingofront.request.forwarded_request import ForwardedRequest
@@ -97,14 +97,14 @@
         self.rates = LearnedRates()
         self.completion = CompletionBounds()
         self.stop_left: Callable[[], float] = lambda: math.inf
-        ends = EndpointEnds(transport, timers, directory, metrics, log)
+        ends = CrashDetector(transport, timers, directory, metrics, log)
         self.guard = RequestGuard(ends, timers, metrics, log, lambda: tuple(self.active.values()))
-        self.guard.on_end = self._endpoint_ended
+        self.guard.on_endpoint_crash = self._endpoint_ended
         self.limits = EndpointLimits(timers, metrics, log)
         self.permits = Permits(self.limits, timers, metrics, rng)
-        self.pauses = EndpointPauses(timers, metrics, log, rng)
+        self.pauses = EndpointBackoffs(timers, metrics, log, rng)
         self.on_leaving: Callable[[str, str], None] = lambda endpoint_id, request: None
-        self.work = WorkMeter()
+        self.work = LoadMeter()
         self._policy = policy or CostChoice()
         self._admissions: dict[str, FairAdmission] = {}
         self._budgets: dict[str, RetryBudget] = {}
@@ -147,13 +147,13 @@
         """
         service = record.service
         if not resumed:
-            self.guard.check(record)
+            self.guard.reject_quarantined(record)
         if not resumed and self.directory.capacity(service) == 0:
             raise RequestError(ErrorKind.NO_ENDPOINT, retry_after=self._no_endpoint_delay())
         now = self.now()
         patience = record.deadline_left
         if not record.job and not resumed:
-            patience = min(patience, service.first_token_target * self.settings.queue_patience)
+            patience = min(patience, service.first_token_target * self.settings.queue_wait_fraction)
         ticket = Ticket(record.request_id, share, _cost(record), now + patience, resumed)
         self.admission(service).offer(ticket, now)
         request = make_request(self, record, ticket)
@@ -161,7 +161,7 @@
         self._held[record.workspace] = self._held.get(record.workspace, 0) + 1
         self.metrics.count("requests_accepted_total", service=service.name)
         if not resumed:
-            self.budget(service).accepted(now)
+            self.budget(service).record_request(now)
         return request
 
     def choice_patience(self, record: RequestRecord) -> float:
@@ -181,20 +181,20 @@
     def _pump_service(self, name: str) -> None:
         admission = self._admissions[name]
         while True:
-            ticket = admission.next_ready(self.now())
+            ticket = admission.start_next(self.now())
             if ticket is None:
                 return
             request = self.active.get(ticket.request_id)
             if request is not None and not request.done:
                 request.begin()
             else:
-                admission.finished(ticket, self.now())
+                admission.release(ticket, self.now())
 
     def _expire(self) -> None:
         """Refuse at once what waited for too long, then start what fits."""
         self._expiry = None
         for admission in self._admissions.values():
-            for ticket in admission.expired(self.now()):
+            for ticket in admission.drop_expired(self.now()):
                 request = self.active.get(ticket.request_id)
                 if request is not None and not request.done:
                     retry_after = admission.retry_after(self.now())
@@ -220,11 +220,14 @@
     ) -> Candidate | None:
         """Return the endpoint for an attempt, None if there is none with room."""
         service, record = request.record.service, request.record
-        exclude |= self.guard.keep_away(request)
+        exclude |= self.guard.endpoints_to_avoid(request)
         rule = request.version_rule()
-        closed = self.permits.closed(request.ticket.share.priority) | self.pauses.closed()
+        closed = (
+            self.permits.closed_endpoints(request.ticket.share.priority)
+            | self.pauses.endpoints_in_backoff()
+        )
         if without_limits:
-            closed |= self.limits.limited().keys()
+            closed |= self.limits.rates_by_endpoint().keys()
         for whole in (False, True):
             candidates = self.directory.candidates(
                 service,
@@ -244,19 +247,21 @@
 
     def accepts_work(self, endpoint_id: str) -> bool:
         """Tell whether an endpoint that was chosen a moment ago still takes new work."""
-        return not self.directory.leaving(endpoint_id) and not self.pauses.remaining(endpoint_id)
+        return not self.directory.is_unavailable(endpoint_id) and not self.pauses.remaining_seconds(
+            endpoint_id
+        )
 
-    def time_until_open(self, service: str, priority: float = math.inf) -> float:
+    def seconds_until_open(self, service: str, priority: float = math.inf) -> float:
         """Return the seconds until the first endpoint of a service takes a request again."""
         waits = (
-            max(self.pauses.remaining(name), self.permits.wait((name,), priority))
+            max(self.pauses.remaining_seconds(name), self.permits.wait_seconds((name,), priority))
             for name in self.directory.zones_of(service)
         )
         return min(waits, default=0.0)
 
-    def choice_delay(self, service: str, priority: float) -> float:
+    def choice_retry_delay(self, service: str, priority: float) -> float:
         """Return the seconds after which an endpoint may be found where there is none now."""
-        closed_for = self.time_until_open(service, priority)
+        closed_for = self.seconds_until_open(service, priority)
         if closed_for > 0:
             return closed_for * (1 + COMEBACK_JITTER * self.rng.random())
         return SECONDS_BETWEEN_CHOICES * (1 + self.rng.random())
@@ -275,14 +280,16 @@
             service.first_token_target,
             service.token_target,
             self.settings.zone,
-            self.rates.of(service.name).now(),
+            self.rates.for_service(service.name).estimate(),
         )
 
-    def work_asked(self, service: str, tokens: int) -> None:
+    def record_load(self, service: str, tokens: int) -> None:
         """Count the work of a request, by the prompt tokens that its endpoint has to read."""
-        self.work.add(service, self.rates.of(service).now().work(tokens), self.now())
+        self.work.add(
+            service, self.rates.for_service(service).estimate().endpoint_seconds(tokens), self.now()
+        )
 
-    def attempt_lost(
+    def record_attempt_loss(
         self, service: Service, endpoint_id: str, executed: Ran, reason: str, now: float
     ) -> None:
         """Count a lost attempt and judge its endpoint."""
@@ -291,7 +298,7 @@
 
     def endpoint_failed(self, service: Service, endpoint_id: str, now: float) -> None:
         """Note a failure of an endpoint, which may eject it for a while."""
-        if self.directory.health.failed(endpoint_id, now):
+        if self.directory.health.record_failure(endpoint_id, now):
             self.metrics.count("ejections_total", service=service.name)
             self.log.warning("endpoint ejected", service=service.name, endpoint=endpoint_id)
 
@@ -304,7 +311,7 @@
         attempts were refused and some were reset on kept connections, which leaves open whether
         they ran.
         """
-        self.directory.connect_failed(endpoint_id, self.now(), refused=True)
+        self.directory.record_connect_failure(endpoint_id, self.now(), refused=True)
         address = self.directory.address_of(endpoint_id)
         if address:
             self.transport.drop_idle(address)
@@ -340,14 +347,14 @@
             if isinstance(request, ForwardedRequest) and request.endpoint_id == endpoint_id:
                 request.endpoint_restarted(at)
 
-    def request_ended(self, request: ActiveRequest) -> None:
+    def remove_request(self, request: ActiveRequest) -> None:
         """Forget a request that has its answer or went elsewhere, and start the next one."""
         if self.active.get(request.request_id) is not request:
             return
         del self.active[request.request_id]
         now = self.now()
         record = request.record
-        self._admissions[record.service.name].finished(request.ticket, now)
+        self._admissions[record.service.name].release(request.ticket, now)
         left = self._held.get(record.workspace, 0) - 1
         if left > 0:
             self._held[record.workspace] = left
@@ -385,7 +392,7 @@
         while len(self.moved_to) > 10_000:
             self.moved_to.popitem(last=False)
 
-    def in_flight_of(self, service: str) -> int:
+    def count_in_flight(self, service: str) -> int:
         """Return the requests for a service that are held here."""
         return sum(each.record.service.name == service for each in self.active.values())
 
@@ -424,14 +431,14 @@
     The side of a move goes last: only when it has no endpoint at all does the other side answer.
     """
     for wanted_side in (side, None):
-        on_side = list(usable(candidates, wanted_side, frozenset()))
+        on_side = list(filter_usable(candidates, wanted_side, frozenset()))
         fresh = [each for each in on_side if each.endpoint_id not in exclude]
         if fresh or on_side:
             return fresh or on_side
         alive = [
             each
             for each in candidates
-            if not each.barred and (wanted_side is None or each.side == wanted_side)
+            if not each.is_unavailable and (wanted_side is None or each.side == wanted_side)
         ]
         if alive:
             return alive
--- a/flamingofront/request/inheritance.py
+++ b/flamingofront/request/inheritance.py
@@ -70,7 +70,7 @@
             self._keyed.keep_claim_answer(request)
         else:
             request.expect_reader(READER_GRACE_SECONDS)
-        self._hub.pump()
+        self._hub.start_ready_requests()
 
     def _adopt(self, record: RequestRecord) -> ActiveRequest:
         self._hub.moved_to.pop(record.request_id, None)
--- a/flamingofront/request/intent_gate.py
+++ b/flamingofront/request/intent_gate.py
@@ -13,10 +13,17 @@
 if TYPE_CHECKING:
     from flamingofront.request.active import ActiveRequest
 
-__all__ = ["IntentClaims", "IntentGate", "IntentHandle", "NoIntents", "Recorded", "SendFacts"]
+__all__ = [
+    "AttemptIntents",
+    "IntentLog",
+    "IntentHandle",
+    "NullIntentLog",
+    "RecordOutcome",
+    "SendDetails",
+]
 
 
-class Recorded(StrEnum):
+class RecordOutcome(StrEnum):
     """What became of a record at the moment at which its request may be sent."""
 
     DONE = "done"
@@ -32,7 +39,7 @@
 
 
 @dataclass(frozen=True)
-class SendFacts:
+class SendDetails:
     """What is recorded of an attempt: the request's fingerprint, and where it goes."""
 
     fingerprint: str
@@ -53,7 +60,7 @@
         """Take note that the endpoint has the request no more, as far as is known here."""
 
 
-class IntentGate(ABC):
+class IntentLog(ABC):
     """Records requests before they are sent."""
 
     @abstractmethod
@@ -61,7 +68,7 @@
         """Tell whether a request to a service has to be recorded."""
 
     @abstractmethod
-    def record(self, facts: SendFacts, then: Callable[[Recorded], None]) -> IntentHandle:
+    def record(self, facts: SendDetails, then: Callable[[RecordOutcome], None]) -> IntentHandle:
         """Record a request; `then` is called, later, when it may be sent."""
 
     @abstractmethod
@@ -81,18 +88,18 @@
         """Take note that an endpoint has ended without notice."""
 
     @abstractmethod
-    def unseen_end(self, endpoint_id: str) -> None:
+    def record_unobserved_crash(self, endpoint_id: str) -> None:
         """Take note of an end about a restart at which nobody knows of a request."""
 
 
-class NoIntents(IntentGate):
+class NullIntentLog(IntentLog):
     """Records nothing: a process without a store."""
 
     def needed(self, fingerprint: str, service: str) -> bool:
         """Tell whether a request has to be recorded."""
         return False
 
-    def record(self, facts: SendFacts, then: Callable[[Recorded], None]) -> IntentHandle:
+    def record(self, facts: SendDetails, then: Callable[[RecordOutcome], None]) -> IntentHandle:
         """Raise, as nothing can be recorded."""
         raise RuntimeError("there is no store to record a request in")
 
@@ -110,11 +117,11 @@
     def endpoint_ended(self, endpoint_id: str) -> None:
         """Take note of nothing."""
 
-    def unseen_end(self, endpoint_id: str) -> None:
+    def record_unobserved_crash(self, endpoint_id: str) -> None:
         """Take note of nothing."""
 
 
-class IntentClaims:
+class AttemptIntents:
     """Records the attempts of one request, one at a time."""
 
     def __init__(self, request: "ActiveRequest"):
@@ -126,18 +133,20 @@
     def needed(self) -> bool:
         """Tell whether the next attempt has to be recorded before it is sent."""
         request = self._request
-        return request.hub.guard.intents.needed(request.fingerprint, request.record.service.name)
+        return request.hub.guard.intents.requires_record(
+            request.fingerprint, request.record.service.name
+        )
 
     def ask(self, order: StartAttempt, chosen: Candidate) -> None:
         """Record an attempt, and send it then."""
         request, began = self._request, self._request.hub.now()
-        facts = SendFacts(request.fingerprint, chosen.endpoint_id, chosen.address, chosen.zone)
+        facts = SendDetails(request.fingerprint, chosen.endpoint_id, chosen.address, chosen.zone)
         self._asked[order.attempt_id] = request.hub.guard.intents.record(
             facts, lambda outcome: self._recorded(order, chosen, outcome, began)
         )
 
     def _recorded(
-        self, order: StartAttempt, chosen: Candidate, outcome: Recorded, began: float
+        self, order: StartAttempt, chosen: Candidate, outcome: RecordOutcome, began: float
     ) -> None:
         request, handle = self._request, self._asked.pop(order.attempt_id)
         if request.done or request.machine.attempt_id != order.attempt_id:
@@ -153,7 +162,7 @@
         if request.is_held:
             handle.withdraw()
             request.held_back()
-        elif request.hub.accepts_work(chosen.endpoint_id):
+        elif request.hub.accepts_requests(chosen.endpoint_id):
             self._sent = handle
             request.send(order, chosen)
         else:
--- a/flamingofront/request/keyed.py
+++ b/flamingofront/request/keyed.py
@@ -196,7 +196,7 @@
             self.start_job(request)
             return
         request.allow_start()
-        self._hub.pump()
+        self._hub.start_ready_requests()
 
     def _ended(
         self,
@@ -250,7 +250,7 @@
             )
         if request.record.may_repeat:
             request.allow_start()
-            self._hub.pump()
+            self._hub.start_ready_requests()
             return
         request.hold_back()
         self._tasks.start(
@@ -273,7 +273,7 @@
             request.drop()
             return
         request.allow_start()
-        self._hub.pump()
+        self._hub.start_ready_requests()
 
     def storing(self, request_id: str) -> bool:
         """Tell whether the answer of a job is still being stored."""
--- a/flamingofront/request/migration.py
+++ b/flamingofront/request/migration.py
@@ -20,13 +20,13 @@
     StreamState,
 )
 
-__all__ = ["Migrations"]
+__all__ = ["StreamMigrator"]
 
 TRANSFER_TIMEOUT_SECONDS = 5.0
 JSON_HEADERS = (("Content-Type", "application/json"),)
 
 
-class Migrations:
+class StreamMigrator:
     """Carries out recovery plans.
 
     Parameters
@@ -50,7 +50,7 @@
         self._rates = rates or RecoveryRates()
         self._planned: set[str] = set()
 
-    def endpoint_leaving(self, endpoint_id: str, notice: float) -> None:
+    def migrate_streams(self, endpoint_id: str, notice: float) -> None:
         """Plan what becomes of the streams on an endpoint, once."""
         if endpoint_id in self._planned:
             return
@@ -91,7 +91,7 @@
     def _transfer(self, request: ModelRequest, attempt_id: str) -> None:
         if request.done or request.machine.attempt_id != attempt_id:
             return
-        chosen = self._hub.choose(request, frozenset({request.endpoint_id}))
+        chosen = self._hub.choose_endpoint(request, frozenset({request.endpoint_id}))
         if chosen is None or chosen.endpoint_id == request.endpoint_id:
             self._recompute(request, attempt_id)
             return
--- a/flamingofront/request/model_request.py
+++ b/flamingofront/request/model_request.py
@@ -55,7 +55,7 @@
     def place(self, order: StartAttempt) -> None:
         """Send an attempt to the endpoint that has the cache, else to a chosen one."""
         chosen, self._cache_at = self._cache_at, None
-        if chosen is None or self.hub.directory.leaving(chosen.endpoint_id):
+        if chosen is None or self.hub.directory.is_unavailable(chosen.endpoint_id):
             self._kv = ""
             super().place(order)
         else:
@@ -90,7 +90,7 @@
 
     def frame(self, frame: Frame, prefilled: int) -> None:
         """Take a frame of the current attempt."""
-        self.hub.directory.reached(self.endpoint_id, self.hub.now())
+        self.hub.directory.record_contact(self.endpoint_id, self.hub.now())
         self._count_recomputed(frame, prefilled)
         before = sum(self.machine.assembler.dropped.values())
         first = self.machine.assembler.offset == 0
@@ -106,7 +106,7 @@
         now = self.hub.now()
         if frame.tokens and self.machine.attempt_id == frame.attempt_id and not frame.final:
             seconds = (now - self._last_token_at) / len(frame.tokens)
-            self.hub.directory.observed(self.endpoint_id, seconds)
+            self.hub.directory.record_token_time(self.endpoint_id, seconds)
         self._last_token_at = now
 
     def _count_recomputed(self, frame: Frame, prefilled: int) -> None:
@@ -119,9 +119,9 @@
         super()._emit(order)
 
     def _complete(self) -> None:
-        self.hub.directory.health.succeeded(self.endpoint_id)
-        self.hub.guard.answered(self.fingerprint)
-        self.hub.directory.prefixes.stored(self.endpoint_id, self.hashes())
+        self.hub.directory.health.record_success(self.endpoint_id)
+        self.hub.guard.record_response(self.fingerprint)
+        self.hub.directory.prefixes.add_blocks(self.endpoint_id, self.hashes())
         # The end of the response is still to come; reading it keeps the connection usable.
         self._release(cancel=False)
         tokens = self.machine.assembler.tokens
--- a/flamingofront/request/permit_claims.py
+++ b/flamingofront/request/permit_claims.py
@@ -57,10 +57,10 @@
     def _use(self, order: StartAttempt, chosen: Candidate, permit: Permit) -> None:
         """Send an attempt whose turn has come, if it is still wanted and the endpoint takes it."""
         hub = self._request.hub
-        if self._is_current(order) and hub.accepts_work(chosen.endpoint_id):
+        if self._is_current(order) and hub.accepts_requests(chosen.endpoint_id):
             self._request.launch(order, chosen)
             return
-        hub.permits.unused(permit)
+        hub.permits.return_unused(permit)
         if self._is_current(order):
             self._request.place(order)
 
--- a/flamingofront/request/permits.py
+++ b/flamingofront/request/permits.py
@@ -9,7 +9,7 @@
 from flamingofront.process.metrics import Metrics
 from flamingofront.process.timers import TimerService
 from flamingofront.request.endpoint_limits import EndpointLimits
-from flamingofront.request.rate_gate import OwnRateGate, RateDecision, RateGate
+from flamingofront.request.rate_gate import LocalRateGate, RateDecision, RateGate
 
 __all__ = ["Permit", "Permits"]
 
@@ -52,7 +52,7 @@
     def __init__(
         self, limits: EndpointLimits, timers: TimerService, metrics: Metrics, rng: random.Random
     ):
-        self.gate: RateGate = OwnRateGate(timers)
+        self.gate: RateGate = LocalRateGate(timers)
         self.own_name = ""
         self._limits = limits
         self._timers = timers
@@ -64,7 +64,7 @@
 
     def needed(self, endpoint_id: str) -> bool:
         """Tell whether an attempt at an endpoint needs a permit."""
-        return self._limits.rate(endpoint_id) is not None
+        return self._limits.rate_of(endpoint_id) is not None
 
     def closed(self, priority: int) -> frozenset[str]:
         """Return the endpoints to which nothing of a priority can be sent now."""
@@ -101,7 +101,7 @@
         patience : float
             Seconds for which the request can wait for it.
         """
-        rate = self._limits.rate(endpoint_id) or 0.0
+        rate = self._limits.rate_of(endpoint_id) or 0.0
         claim = RateClaim(endpoint_id, rate, priority, patience, self.own_name)
         self.gate.decide(claim, lambda decision: self._decided(claim, decision, then))
 
--- a/flamingofront/request/quota_gate.py
+++ b/flamingofront/request/quota_gate.py
@@ -9,7 +9,7 @@
 from flamingofront.process.timers import TimerService
 from flamingofront.version.forwarding import ForwardedWorkspace
 
-__all__ = ["OwnQuotaGate", "QuotaDecision", "QuotaGate"]
+__all__ = ["LocalQuotaGate", "QuotaDecision", "QuotaGate"]
 
 
 @dataclass(frozen=True)
@@ -48,7 +48,7 @@
         """Give back what was allowed to a request that was not taken in the end."""
 
 
-class OwnQuotaGate(QuotaGate):
+class LocalQuotaGate(QuotaGate):
     """Decides by this process's copy of the quota alone."""
 
     def __init__(self, quota: QuotaPolicy, timers: TimerService):
@@ -62,7 +62,7 @@
         then: Callable[[QuotaDecision], None],
     ) -> None:
         """Decide at once."""
-        then(QuotaDecision(self._quota.wait(workspace, units, self._timers.now())))
+        then(QuotaDecision(self._quota.get_wait(workspace, units, self._timers.now())))
 
     def unused(self, workspace: ForwardedWorkspace, units: float, decision: QuotaDecision) -> None:
         """Do nothing: what is allowed here is only taken out once the request is accepted."""
--- a/flamingofront/request/rate_gate.py
+++ b/flamingofront/request/rate_gate.py
@@ -7,7 +7,7 @@
 from flamingofront.decisions.rate_limits import RateClaim, RateLimiter
 from flamingofront.process.timers import TimerService
 
-__all__ = ["OwnRateGate", "RateDecision", "RateGate"]
+__all__ = ["LocalRateGate", "RateDecision", "RateGate"]
 
 
 @dataclass(frozen=True)
@@ -46,7 +46,7 @@
         """Forget what was let through to an endpoint: it names no limit any more."""
 
 
-class OwnRateGate(RateGate):
+class LocalRateGate(RateGate):
     """Keeps this process to its part of each limit, without a word to the others.
 
     Parameters
@@ -67,7 +67,7 @@
 
     def unused(self, endpoint_id: str, decision: RateDecision) -> None:
         """Give a permit back that was not used."""
-        self._limiter.give_back(endpoint_id)
+        self._limiter.return_permit(endpoint_id)
 
     def forget(self, endpoint_id: str) -> None:
         """Forget what was let through to an endpoint."""
--- a/flamingofront/request/tests/test_attempt_pace.py
+++ b/flamingofront/request/tests/test_attempt_pace.py
@@ -3,7 +3,7 @@
 import pytest
 
 from flamingofront.decisions.engine_rates import EngineRates
-from flamingofront.request.attempt_pace import AttemptPace
+from flamingofront.request.attempt_pace import AttemptLatency
 from flamingofront.tests.forwarding_world import ready_world
 
 RATES = EngineRates(pause_seconds=0.02)
@@ -12,20 +12,20 @@
 class TestAttemptPace:
     @pytest.mark.parametrize("took, slow", [(0.39, False), (0.41, True)])
     def test_first_event_is_judged_by_what_was_expected(self, took, slow):
-        pace = AttemptPace(sent_at=10.0, expected=0.1)
-        pace.began(10.0 + took)
+        pace = AttemptLatency(sent_at=10.0, expected=0.1)
+        pace.record_start(10.0 + took)
         assert pace.is_slow(10.0 + took + 0.2, 10, RATES) is slow
 
     @pytest.mark.parametrize("took, slow", [(0.69, False), (0.71, True)])
     def test_events_are_judged_by_the_usual_pause(self, took, slow):
-        pace = AttemptPace(sent_at=10.0, expected=0.1)
-        pace.began(10.1)
+        pace = AttemptLatency(sent_at=10.0, expected=0.1)
+        pace.record_start(10.1)
         assert pace.is_slow(10.1 + took, 10, RATES) is slow
 
     def test_later_events_do_not_move_the_first_one(self):
-        pace = AttemptPace(sent_at=10.0, expected=0.1)
-        pace.began(10.1)
-        pace.began(12.0)
+        pace = AttemptLatency(sent_at=10.0, expected=0.1)
+        pace.record_start(10.1)
+        pace.record_start(12.0)
         assert not pace.is_slow(10.2, 2, RATES)
 
 
@@ -40,6 +40,6 @@
         world.ask("front-1", "/stream/again/x")
         world.run(0.5)
         (request,) = hub.active.values()
-        hub.zone_cut_off(world.host(request.endpoint_id).zone)
+        hub.fail_over_zone(world.host(request.endpoint_id).zone)
         world.run(0.5)
         assert len(request.endpoints) == 2 and told == []
--- a/flamingofront/request/tests/test_crashing_requests.py
+++ b/flamingofront/request/tests/test_crashing_requests.py
@@ -134,10 +134,10 @@
         nodes = product.world.nodes.values()
         product.ask("stream")
         product.world.run_until(
-            lambda: any(each.hub.guard.quarantine.holds() for each in nodes), limit=5.0
+            lambda: any(each.hub.guard.quarantine.list_entries() for each in nodes), limit=5.0
         )
         product.world.run(0.2)
-        assert all(each.hub.guard.quarantine.holds() for each in nodes)
+        assert all(each.hub.guard.quarantine.list_entries() for each in nodes)
 
     def test_caller_is_told_what_happened(self):
         product = CrashingProduct()
@@ -192,7 +192,7 @@
             product.world.entry(name, zone)
         nodes = product.world.nodes.values()
         product.world.run_until(
-            lambda: any(each.hub.guard.quarantine.holds() for each in nodes), limit=10.0
+            lambda: any(each.hub.guard.quarantine.list_entries() for each in nodes), limit=10.0
         )
         sent = len(product.sent)
         product.world.run(5.0)
@@ -211,7 +211,7 @@
             world.kill(f"engine-{'ab'[turn % 2]}{turn // 2 + 1}")
             world.run(1.0)
         world.finish(*callers)
-        assert not any(each.hub.guard.quarantine.holds() for each in world.nodes.values())
+        assert not any(each.hub.guard.quarantine.list_entries() for each in world.nodes.values())
         assert all(b"crashes_endpoints" not in each.body for each in callers)
 
     def test_engine_of_a_reclaimed_vm_is_no_evidence(self):
--- a/flamingofront/request/tests/test_directory.py
+++ b/flamingofront/request/tests/test_directory.py
@@ -72,7 +72,7 @@
     def test_endpoints_that_cannot_be_reached_take_no_place(self, many):
         for number in range(MANY):
             if number % len(ZONES) == 1:
-                many.directory.connect_failed(f"e{number}", 0.0)
+                many.directory.record_connect_failure(f"e{number}", 0.0)
         for _ in range(20):
             assert all(each.zone != "zone-b" for each in many.candidates())
 
@@ -89,7 +89,7 @@
             one = Many(seed, zone)
             one.directory.sample_size = lambda: size
             loads = {f"e{number}": float(number >= 6) for number in range(MANY)}
-            one.directory.reported(loads, 0.0)
+            one.directory.apply_load_reports(loads, 0.0)
             work = WorkEstimate(6000, 380, 0.6, 0.05, zone)
             chosen.append(BacklogChoice().choose(one.candidates(), work, one.rng).endpoint_id)
         return max(chosen.count(name) for name in set(chosen))
--- a/flamingofront/request/tests/test_endpoint_ends.py
+++ b/flamingofront/request/tests/test_endpoint_ends.py
@@ -8,7 +8,7 @@
 from flamingofront.process.metrics import Metrics
 from flamingofront.process.timers import ManualClock, TimerService
 from flamingofront.request.directory import EndpointDirectory
-from flamingofront.request.endpoint_ends import MAX_PROBES, EndpointEnds
+from flamingofront.request.endpoint_ends import MAX_PROBES, CrashDetector
 
 ADDRESS = "10.0.0.1:80"
 
@@ -38,7 +38,7 @@
         self.directory = EndpointDirectory(facts, None)
         self.transport = Probes(self.timers)
         self.metrics = Metrics()
-        self.watch = EndpointEnds(
+        self.watch = CrashDetector(
             self.transport, self.timers, self.directory, self.metrics, Log("test")
         )
         self.ends = []
@@ -78,7 +78,7 @@
         world = Watch()
         world.broke("one")
         world.run(0.015)
-        world.directory.reached("e-1", world.clock.now())
+        world.directory.record_contact("e-1", world.clock.now())
         world.run(10.0)
         assert not world.ends
 
--- a/flamingofront/request/tests/test_endpoint_limits.py
+++ b/flamingofront/request/tests/test_endpoint_limits.py
@@ -26,7 +26,7 @@
         self.limits = EndpointLimits(TimerService(self.clock), self.metrics, Log("test"))
 
     def answer(self, rate, sent_ago=0.01):
-        self.limits.answered("e", rate, self.clock.now() - sent_ago, "r")
+        self.limits.record_response("e", rate, self.clock.now() - sent_ago, "r")
 
     def changes(self, change):
         return self.metrics.value("endpoint_limits_total", change=change)
@@ -64,7 +64,7 @@
         observer.answer(2.0)
         observer.clock.time += 1.0
         observer.answer(None)
-        assert observer.limits.rate("e") is None
+        assert observer.limits.rate_of("e") is None
         assert observer.changes("ended") == 1
 
     def test_answer_to_an_earlier_request_does_not_end_it(self):
@@ -73,26 +73,26 @@
         observer.answer(2.0)
         observer.clock.time += 1.0
         observer.answer(None, sent_ago=1.1)
-        assert observer.limits.rate("e") == 2.0
+        assert observer.limits.rate_of("e") == 2.0
 
     def test_new_start_of_the_endpoint_ends_it(self):
         observer = Observer()
         observer.answer(2.0)
         observer.limits.forget("e")
-        assert observer.limits.limited() == {}
+        assert observer.limits.rates_by_endpoint() == {}
 
     def test_late_answer_of_an_endpoint_that_is_gone_names_none(self):
         """It was kept until the process ended, and counted among the limited ones."""
         observer = Observer()
-        observer.limits.born_of = lambda endpoint_id: None
+        observer.limits.start_ms_of = lambda endpoint_id: None
         observer.answer(2.0)
-        assert observer.limits.limited() == {}
+        assert observer.limits.rates_by_endpoint() == {}
 
     def test_rate_that_falls_and_rises_is_followed(self):
         observer = Observer()
         for rate in (2.0, 0.5, 0.5, 20.0):
             observer.answer(rate)
-        assert observer.limits.rate("e") == 20.0
+        assert observer.limits.rate_of("e") == 20.0
         assert (observer.changes("named"), observer.changes("changed")) == (1, 2)
 
 
@@ -104,8 +104,8 @@
         timers = TimerService(observer.clock)
         permits = Permits(observer.limits, timers, observer.metrics, random.Random(1))
         permits.claim("e", 3, 0.0, lambda permit: None)
-        assert permits.wait(("e",), 3) > 0
-        assert permits.wait(("e",), 0) == 0.0
+        assert permits.wait_seconds(("e",), 3) > 0
+        assert permits.wait_seconds(("e",), 0) == 0.0
 
 
 class TestAnswersOfEveryKind:
@@ -116,14 +116,14 @@
         world.endpoints["plain-1"].rate_limit = "2.5"
         world.endpoints["plain-1"].fail(fault)
         world.finish(world.ask("front-1", path))
-        assert world.fronts["front-1"].hub.limits.limited() == {"plain-1": 2.5}
+        assert world.fronts["front-1"].hub.limits.rates_by_endpoint() == {"plain-1": 2.5}
 
     def test_limit_is_read_from_the_head_of_a_stream(self):
         world = ready_world(engines=1)
         world.endpoints["engine-1"].rate_limit = "2.5"
         world.ask("front-1", "/stream/once/x")
         world.run(0.05)
-        assert world.fronts["front-1"].hub.limits.limited() == {"engine-1": 2.5}
+        assert world.fronts["front-1"].hub.limits.rates_by_endpoint() == {"engine-1": 2.5}
 
     def test_operators_see_it(self):
         world = ready_world(plains=1)
--- a/flamingofront/request/tests/test_endpoint_pauses.py
+++ b/flamingofront/request/tests/test_endpoint_pauses.py
@@ -9,7 +9,7 @@
 from flamingofront.process.logs import Log
 from flamingofront.process.metrics import Metrics
 from flamingofront.process.timers import ManualClock, TimerService
-from flamingofront.request.endpoint_pauses import LONGEST_PAUSE_SECONDS, EndpointPauses
+from flamingofront.request.endpoint_pauses import MAX_BACKOFF_SECONDS, EndpointBackoffs
 from flamingofront.standins.forward_endpoint import ForwardFault
 from flamingofront.tests.forwarding_world import ready_world
 
@@ -44,59 +44,59 @@
     def setup_method(self):
         self.clock = ManualClock()
         rng = random.Random(1)
-        self.pauses = EndpointPauses(TimerService(self.clock), Metrics(), Log("test"), rng)
+        self.pauses = EndpointBackoffs(TimerService(self.clock), Metrics(), Log("test"), rng)
 
     def test_shorter_time_does_not_shorten_a_pause(self):
         """Answers on several connections come in any order."""
         self.pauses.start("e", 3.0, "r")
         self.clock.time += 1.0
         self.pauses.start("e", 0.6, "r")
-        assert 2.0 <= self.pauses.remaining("e") <= 2.75
+        assert 2.0 <= self.pauses.remaining_seconds("e") <= 2.75
 
     def test_success_of_a_request_sent_before_does_not_end_a_pause(self):
         self.pauses.start("e", 3.0, "r")
         self.clock.time += 0.1
-        self.pauses.answered("e", self.clock.now() - 0.2)
-        assert self.pauses.remaining("e") > 2.0
+        self.pauses.record_response("e", self.clock.now() - 0.2)
+        assert self.pauses.remaining_seconds("e") > 2.0
 
     def test_time_that_is_too_long_to_be_meant_is_cut(self):
         self.pauses.start("e", 86400.0, "r")
-        assert self.pauses.remaining("e") <= 1.25 * LONGEST_PAUSE_SECONDS
+        assert self.pauses.remaining_seconds("e") <= 1.25 * MAX_BACKOFF_SECONDS
 
     def test_next_start_of_the_endpoint_has_none(self):
         self.pauses.start("e", 3.0, "r")
         self.pauses.forget("e")
-        assert self.pauses.remaining("e") == 0.0
+        assert self.pauses.remaining_seconds("e") == 0.0
 
 
 class TestAfterAPause:
     def setup_method(self):
         self.clock = ManualClock()
         rng = random.Random(1)
-        self.pauses = EndpointPauses(TimerService(self.clock), Metrics(), Log("test"), rng)
+        self.pauses = EndpointBackoffs(TimerService(self.clock), Metrics(), Log("test"), rng)
         self.pauses.start("e", 3.0, "r")
         self.clock.time += 4.0
 
     def test_one_request_goes_first(self):
         """All processes would come back with all that they held."""
-        assert self.pauses.closed() == frozenset()
-        self.pauses.sent("e")
-        assert self.pauses.closed() == {"e"}
+        assert self.pauses.endpoints_in_backoff() == frozenset()
+        self.pauses.record_send("e")
+        assert self.pauses.endpoints_in_backoff() == {"e"}
 
     def test_others_follow_once_it_is_answered(self):
-        self.pauses.sent("e")
-        self.pauses.answered("e", self.clock.now())
-        assert self.pauses.closed() == frozenset()
+        self.pauses.record_send("e")
+        self.pauses.record_response("e", self.clock.now())
+        assert self.pauses.endpoints_in_backoff() == frozenset()
 
     def test_others_follow_if_its_answer_takes_long(self):
-        self.pauses.sent("e")
+        self.pauses.record_send("e")
         self.clock.time += 1.1
-        assert self.pauses.closed() == frozenset()
+        assert self.pauses.endpoints_in_backoff() == frozenset()
 
     def test_answer_to_an_earlier_request_does_not_count(self):
-        self.pauses.sent("e")
-        self.pauses.answered("e", self.clock.now() - 4.5)
-        assert self.pauses.closed() == {"e"}
+        self.pauses.record_send("e")
+        self.pauses.record_response("e", self.clock.now() - 4.5)
+        assert self.pauses.endpoints_in_backoff() == {"e"}
 
 
 class TestCounters:
--- a/flamingofront/request/tests/test_event_stream.py
+++ b/flamingofront/request/tests/test_event_stream.py
@@ -18,7 +18,7 @@
         passed = [relay.feed(part) for part in parts]
         assert b"".join(passed) == data
         assert all(each == b"" or each.endswith(b"\n\n") for each in passed)
-        assert (relay.last_id, relay.count, relay.incomplete) == ("5", 5, False)
+        assert (relay.last_id, relay.count, relay.has_partial_event) == ("5", 5, False)
 
     def test_events_without_an_id_count_too(self):
         relay = EventRelay()
@@ -28,8 +28,8 @@
     def test_unfinished_event_is_dropped_when_another_endpoint_goes_on(self):
         relay = EventRelay()
         relay.feed(EVENTS[0] + EVENTS[1][:5])
-        assert relay.incomplete
-        relay.restart()
+        assert relay.has_partial_event
+        relay.discard_partial_event()
         assert relay.feed(EVENTS[1]) == EVENTS[1]
 
     @pytest.mark.parametrize("again", [EVENTS[0], EVENTS[1]])
--- a/flamingofront/request/tests/test_whole_path.py
+++ b/flamingofront/request/tests/test_whole_path.py
@@ -38,8 +38,8 @@
         world.run(5.0)
         node = world.nodes["entry-a1"]
         assert [each for each in node.metrics.rows() if each["counter"] == "retries_total"] == []
-        assert node.directory.in_flight("engine-a1") == 0
-        assert node.directory.in_flight("engine-a2") == 0
+        assert node.directory.in_flight_at("engine-a1") == 0
+        assert node.directory.in_flight_at("engine-a2") == 0
 
     def test_caller_that_leaves_has_its_stream_cancelled(self):
         world = demo_world(entry_settings={"reattach_grace": 1.0})
--- a/flamingofront/request/unknown_gate.py
+++ b/flamingofront/request/unknown_gate.py
@@ -3,10 +3,10 @@
 from abc import ABC, abstractmethod
 from collections.abc import Callable
 
-__all__ = ["NoUnknownGate", "UnknownGate"]
+__all__ = ["AssumedFreshness", "ConfigFreshness"]
 
 
-class UnknownGate(ABC):
+class ConfigFreshness(ABC):
     """Tells whether a route or key that is not known here is unknown everywhere."""
 
     @abstractmethod
@@ -18,7 +18,7 @@
         """Find that out; `then` gets the outcome, soon."""
 
 
-class NoUnknownGate(UnknownGate):
+class AssumedFreshness(ConfigFreshness):
     """Takes the configuration in force for the newest."""
 
     def is_current(self) -> bool:
--- a/flamingofront/tests/test_endpoint_limits.py
+++ b/flamingofront/tests/test_endpoint_limits.py
@@ -192,7 +192,7 @@
         before = len(world.arrivals["plain-0"])
         world.offer(60, 3.0)
         assert len(world.arrivals["plain-0"]) - before >= 30
-        assert not any(each.hub.limits.limited() for each in world.fronts.values())
+        assert not any(each.hub.limits.rates_by_endpoint() for each in world.fronts.values())
 
     def test_limit_of_an_earlier_start_does_not_bind_the_next(self):
         world = LimitedWorld(8, (1.9, None, None))
@@ -200,7 +200,7 @@
         world.limit("plain-0", None)
         world.register("plain-0", "records", ZONES[0], born=1_000, sequence=1)
         world.run(1.0)
-        assert not any(each.hub.limits.limited() for each in world.fronts.values())
+        assert not any(each.hub.limits.rates_by_endpoint() for each in world.fronts.values())
 
 
 class TestCallers:
@@ -226,7 +226,7 @@
         after = float(caller.headers["retry-after"])
         front = world.fronts["front-0"]
         assert after <= 3 / 0.5
-        assert after >= front.hub.permits.wait(world.endpoints) - 0.1
+        assert after >= front.hub.permits.wait_seconds(world.endpoints) - 0.1
 
     def test_urgent_work_goes_first(self):
         routes = configuration()["routes"]
@@ -269,5 +269,5 @@
         world = LimitedWorld(fronts, (1.9,))
         world.finish(world.ask("front-0", "/read/x", "GET"))
         world.run(2.5)
-        known = [each.hub.limits.rate("plain-0") for each in world.fronts.values()]
+        known = [each.hub.limits.rate_of("plain-0") for each in world.fronts.values()]
         assert known == [1.9] * fronts
--- a/flamingofront/tests/test_endpoint_pauses.py
+++ b/flamingofront/tests/test_endpoint_pauses.py
@@ -62,7 +62,7 @@
         asked = world.clock.now()
         world.run(0.2)
         hub = world.fronts["front-0"].hub
-        opens_at = world.clock.now() + hub.time_until_open("records")
+        opens_at = world.clock.now() + hub.seconds_until_open("records")
         assert caller.status == 503
         assert asked + float(caller.headers["retry-after"]) >= opens_at - 0.01
 
--- a/flamingofront/tests/test_forwarding.py
+++ b/flamingofront/tests/test_forwarding.py
@@ -102,7 +102,7 @@
         assert [each.body.count(b"id:") for each in callers] == [4] * 3
         assert {each.header("x-flamingofront-request-id") for each in runs(world)} == {"r-same"}
         hub = world.fronts["front-1"].hub
-        assert not hub.active and not hub.demand()
+        assert not hub.active and not hub.in_flight_by_workspace()
 
 
 class TestAtMostOnce:
