--- a/bench/entries.py
+++ b/bench/entries.py
@@ -33,7 +33,7 @@
 )
 from flamingofront.request.attempts import Phase, RequestFacts, RequestMachine
 from flamingofront.request.host import QUEUE_WAIT_FRACTION
-from flamingofront.request.hub import FILLED_SHARE
+from flamingofront.request.hub import ADMISSION_FILL_FRACTION
 from flamingofront.request.prefixes import BLOCK_TOKENS, PrefixIndex
 from flamingofront.request.recovery import (
     CostRecovery,
@@ -57,7 +57,7 @@
     recovery: type[RecoveryPolicy] = CostRecovery
     ejection: bool = True
     patience: float = QUEUE_WAIT_FRACTION
-    full_factor: float = FILLED_SHARE
+    full_factor: float = ADMISSION_FILL_FRACTION
     extrapolate: bool = True
     choice_options: dict = field(default_factory=dict)
 
--- a/bench/known_failure_mutations.py
+++ b/bench/known_failure_mutations.py
@@ -58,14 +58,14 @@
     Mutation(
         "S one process is asked",
         "process/forwarding/inquiries.py",
-        "        left = self._candidates(request.key)",
-        "        left = []",
+        "        candidates = self._candidates(request.key)",
+        "        candidates = []",
         ARBITER,
     ),
     Mutation(
         "S what is allowed is charged at once",
         "process/forwarding/quota_arbiter.py",
-        "            self._quota.charge_grant(workspace, question.units, is_alone, now)",
+        "            self._quota.charge_grant(workspace, request.units, is_alone, now)",
         "            pass",
         ARBITER,
     ),
@@ -79,14 +79,17 @@
     Mutation(
         "S numbers go on in the next life",
         "process/forwarding/inquiries.py",
-        "inquirer.incarnation * NUMBERS_PER_MILLISECOND + 1",
+        "context.incarnation * NUMBERS_PER_MILLISECOND + 1",
         "1",
         ARBITER,
     ),
     Mutation(
         "S only who would be asked decides",
         "process/forwarding/quota_arbiter.py",
-        "return self._view.local_ip in self._view.rank_arbiters(name) and not self._view.should_defer()",
+        "return (\n"
+        "            self._context.local_ip in self._context.rank_arbiters(name)\n"
+        "            and not self._context.should_defer()\n"
+        "        )",
         "return True",
         ARBITER,
     ),
--- a/bench/platform_mutations.py
+++ b/bench/platform_mutations.py
@@ -111,8 +111,8 @@
         "P the lease is written on condition of its version",
         "process/forwarding/duty.py",
         "outcome = yield from self._store.transact(LEADER_PARTITION, (condition,), (write,))",
-        "condition = RowCondition(LEADER_TABLE, LEADER_KEY, (yield from self._store.read(LEADER_TABLE,"
-        " LEADER_PARTITION)).version)\n        "
+        "condition = RowCondition(LEADER_TABLE, LEADER_KEY, (yield from self._store.read("
+        "LEADER_TABLE, LEADER_PARTITION)).version)\n        "
         "outcome = yield from self._store.transact(LEADER_PARTITION, (condition,), (write,))",
         FUZZ,
     ),
@@ -133,7 +133,7 @@
     Mutation(
         "P counts of processes that are gone are told on",
         "process/forwarding/usage.py",
-        "if process not in alive and (process in found or len(found) < MAX_DEPARTED):",
+        "if process not in live and (process in found or len(found) < MAX_DEPARTED):",
         "if process == self._process:",
         DUTIES,
     ),
@@ -154,8 +154,8 @@
     Mutation(
         "P a new holder waits for the counts of all",
         "process/forwarding/usage.py",
-        "window = self._due() if has_all_counts else None",
-        "window = self._due()",
+        "window = self._next_due_window() if has_all_counts else None",
+        "window = self._next_due_window()",
         REPORTS,
     ),
     Mutation(
--- a/bench/slopes.py
+++ b/bench/slopes.py
@@ -19,7 +19,7 @@
 from flamingofront.request.assembly import Assembler
 from flamingofront.request.attempts import RequestFacts, RequestMachine
 from flamingofront.request.directory import EndpointDirectory
-from flamingofront.request.hub import _relaxed
+from flamingofront.request.hub import _select_candidates
 from flamingofront.request.prefixes import block_hashes
 from flamingofront.version.edits import apply_edits
 from flamingofront.version.language import parse
@@ -88,7 +88,7 @@
 
         def choose(directory=directory):
             candidates = directory.candidates(service, hashes, 1.0, rng)
-            pool = _relaxed(candidates, None, frozenset())
+            pool = _select_candidates(candidates, None, frozenset())
             return policy.choose(pool, WorkEstimate(512, 200), rng)
 
         seconds = _median_seconds(choose, max(20, 2000 // count))
--- a/flamingofront/process/forwarding/held_requests.py
+++ b/flamingofront/process/forwarding/held_requests.py
@@ -1,8 +1,8 @@
-"""Requests that crash endpoints, as the forwarding processes know them together.
+"""Synchronizes the quarantine of poison requests with other processes and the store.
 
-What this process finds out goes to the others with its reports and digests, and holds go to the
-store. What others find out comes the same way, and through the feed of the table of holds, which
-also reaches zones that hear nobody.
+Local findings are sent to the peers in reports and digests, and quarantine entries are written to
+the store. Remote findings arrive the same way, and through the change feed of the quarantine table,
+which also reaches zones that receive no peer reports.
 """
 
 from collections.abc import Callable, Iterable
@@ -19,33 +19,33 @@
 
 __all__ = ["QuarantineSync"]
 
-# Processes that began so close to the first start of a deployment began with it.
+# Processes that started this close to the first start of a deployment are part of it.
 FIRST_START_SECONDS = 2.0
 
-# Longest wait for a change of the requests that are held back: word of peers comes within a second,
-# and the table is for zones that hear nobody. Of 3.5 s as for the others each process would make
-# three times the calls on a calm day.
+# Longest wait for a change of the quarantine table. Peers report changes within a second, and the
+# table serves zones without peer reports. With 3.5 s, as for other tables, an idle process would
+# make three times the calls.
 FEED_WAIT_SECONDS = 10.0
-# A hold that another process has kept is seen in the feed within some ten milliseconds.
-FEED_SEEN_SECONDS = 0.5
+# An entry written by another process appears in the feed within about ten milliseconds.
+FEED_LATENCY_SECONDS = 0.5
 
 
 class QuarantineSync:
-    """Joins the guard of a process with its peers and the store.
+    """Connects the request guard of a process with its peers and the store.
 
     Parameters
     ----------
-    may_rest : callable
-        Returns whether other processes follow the store for this one.
-    recording : Callable
-        Makes the recorder of sends from the rows where they are kept.
+    is_standby : callable
+        Returns True if other processes watch the store for this one.
+    make_recorder : callable
+        Makes the recorder of send intents from the rows where they are kept.
     first_start : float or None
-        Start of this process on the wall clock if that was the first one of its deployment.
+        Wall-clock start of this process if it belongs to the first start of its deployment.
 
     Attributes
     ----------
     follower : TableWatcher
-        Follows the table of holds.
+        Watches the quarantine table.
     """
 
     def __init__(
@@ -54,16 +54,18 @@
         peers: Peers,
         store: EraStore,
         services: Services,
-        may_rest: Callable[[], bool],
-        recording: Callable[[IntentRows, Services], IntentRecorder],
+        is_standby: Callable[[], bool],
+        make_recorder: Callable[[IntentRows, Services], IntentRecorder],
         first_start: float | None = None,
     ):
         guard.wall = peers.cluster_time
         guard.on_update = peers.broadcast_report
-        guard.entry_start_times = lambda: _restarts(peers.start_times(), first_start)
-        self._keeper = HoldKeeper(guard, TableHolds(store), services, FEED_SEEN_SECONDS, may_rest)
+        guard.entry_start_times = lambda: _restart_times(peers.start_times(), first_start)
+        self._keeper = HoldKeeper(
+            guard, TableHolds(store), services, FEED_LATENCY_SECONDS, is_standby
+        )
         store.on_return(self._keeper.write_again)
-        self._recorder = recording(TableIntents(store), services)
+        self._recorder = make_recorder(TableIntents(store), services)
         store.on_return(self._recorder.write_again)
         self.follower = TableWatcher(
             store,
@@ -74,18 +76,18 @@
             services.timers.now,
             services.rng,
             services.log,
-            may_rest,
+            is_standby,
             wait=FEED_WAIT_SECONDS,
         )
 
     def run(self) -> Task:
-        """Follow the table of holds; never returns."""
+        """Record send intents and watch the quarantine table; never returns."""
         self._recorder.start()
         yield from self.follower.run()
 
 
-def _restarts(starts: Iterable[float], first_start: float | None) -> list[float]:
-    """Return the starts that may have followed a kill: before the first one nothing ran."""
+def _restart_times(starts: Iterable[float], first_start: float | None) -> list[float]:
+    """Return the starts that may have followed a crash; nothing ran before the first start."""
     if first_start is None:
         return list(starts)
     return [each for each in starts if abs(each - first_start) > FIRST_START_SECONDS]
--- a/flamingofront/process/forwarding/node.py
+++ b/flamingofront/process/forwarding/node.py
@@ -1,4 +1,4 @@
-"""One entry process that forwards routes, without its sockets."""
+"""One entry process that forwards along routes from the store, without its sockets."""
 
 import math
 import random
@@ -62,27 +62,30 @@
 
 __all__ = ["Dependencies", "ForwardingNode"]
 
-# A request is refused early in its objective, while another entry VM can still serve it in time.
-REFUSE_WITHIN = 0.2
-# Endpoints looked at for one choice where word of the loads is late: of the few that seem idle many
-# processes would each pick the same ones. Two are those that a process uses first.
-FEW_CANDIDATES = 3
-# Mean age of that word from which on it counts as late, in seconds: more than sixteen peers.
-LATE_WORD_SECONDS = 0.2
-# Pause of a relay between two questions for changes, so that many come in one answer: each question
-# has its price. The two relays of a zone ask in turn, so a change is known 0.3 s later in the mean.
+# A request is rejected early within its latency objective, while another entry VM can still serve
+# it in time.
+QUEUE_PATIENCE_SHARE = 0.2
+# Endpoints compared for one choice when load reports are late: many processes would all pick the
+# same few endpoints that seem idle. The two candidates used otherwise are the ones that a process
+# prefers.
+LATE_LOAD_CANDIDATES = 3
+# Mean age from which load reports count as late, in seconds: reached with more than sixteen peers.
+LATE_LOAD_SECONDS = 0.2
+# Pause of a relay between two polls of the change feed, so that several changes come in one
+# response: each poll has a cost. The two relays of a zone poll in turn, so the mean delay of a
+# change is 0.3 s.
 FEED_PAUSE_SECONDS = 0.8
-# What an endpoint answered before it started again may still be on its way for so long.
-LAST_ANSWERS_SECONDS = 0.05
-# Part of an endpoint's connections that may be idle ones.
-IDLE_PART = 0.5
+# Responses that an endpoint sent before its restart may be in transit for this long.
+LAST_RESPONSES_SECONDS = 0.05
+# Fraction of an endpoint's connections that may be idle.
+IDLE_SHARE = 0.5
 USAGE = "usage"
 SCALING = "scaling"
 
 
 @dataclass(frozen=True)
 class Dependencies:
-    """What a node needs from outside: sockets, time, and the platform."""
+    """External dependencies of a node: sockets, time, and the platform."""
 
     transport: Transport
     timers: TimerService
@@ -95,37 +98,37 @@
 
 
 class ForwardingNode:
-    """All parts of one entry process that forwards routes."""
+    """All components of one entry process that forwards along routes."""
 
     def __init__(
-        self, settings: DeploymentSettings, needs: Dependencies, rng: random.Random, log: Log
+        self, settings: DeploymentSettings, dependencies: Dependencies, rng: random.Random, log: Log
     ):
         self.settings = settings
-        self.timers = needs.timers
+        self.timers = dependencies.timers
         self.log = log
         self.metrics = Metrics({"vm": settings.vm_id, "zone": settings.zone})
         self.on_configuration: Callable[[ForwardingConfiguration], None] = lambda cfg: None
         self.stopping = False
-        self._leaving_untold = False
-        self._began = needs.timers.now()
-        self.store = EraStore(CountedTableStore(needs.store, self.metrics), log)
-        self._needs = replace(needs, store=self.store)
+        self._has_unsent_leaving = False
+        self._started_at = dependencies.timers.now()
+        self.store = EraStore(CountedTableStore(dependencies.store, self.metrics), log)
+        self._dependencies = replace(dependencies, store=self.store)
         self._rng = rng
-        self.tasks = TaskRunner(needs.transport, needs.timers, self.fault)
-        own = PeerReport(
+        self.tasks = TaskRunner(dependencies.transport, dependencies.timers, self.fault)
+        identity = PeerReport(
             settings.vm_id,
-            needs.incarnation,
+            dependencies.incarnation,
             0,
             settings.zone,
             settings.ip,
             str(settings.control_bind or settings.ready_bind),
         )
-        self._report = LocalReport(own, needs.timers, rng)
-        self.usage = UsageBook(own.process, settings.rules.usage_window)
+        self._report_builder = LocalReport(identity, dependencies.timers, rng)
+        self.usage = UsageBook(identity.process, settings.rules.usage_window)
         self.rollouts = Rollouts(settings.rules.expose_share, self.timers.now, rng, log)
         self._build_requests()
         self._build_peers()
-        self._build_duties()
+        self._build_leader_tasks()
         self.store.on_return(self.peers.register_again)
         services = Services(self.tasks, self.timers, rng, self.metrics, log)
         self.held = QuarantineSync(
@@ -133,68 +136,69 @@
             self.peers,
             self.store,
             services,
-            self._may_rest,
-            self._recorder,
-            needs.incarnation / 1000 if settings.first_start else None,
+            self._is_standby,
+            self._make_recorder,
+            dependencies.incarnation / 1000 if settings.first_start else None,
         )
         reported = ReportSources(
             self.hub, self.store_view, self.lease, self.peers, self.rollouts, self.usage
         )
         parts = UpdateReceivers(reported, self.quota, self.exchange)
-        self._word = PeerDispatcher(self._report, parts, self.timers, self.metrics)
+        self._gossip = PeerDispatcher(self._report_builder, parts, self.timers, self.metrics)
         self.handle_control = ControlHandler(self).handle
 
-    def _recorder(self, rows: IntentRows, services: Services) -> IntentRecorder:
-        """Return what records requests before they are sent."""
+    def _make_recorder(self, rows: IntentRows, services: Services) -> IntentRecorder:
+        """Return the recorder of send intents, which are written before each send."""
         settings = self.settings
-        sender = Sender(settings.vm_id, self._needs.incarnation, settings.first_start)
-        vanished = UnobservedRemovals(self.store, self._needs.tables)
+        sender = Sender(settings.vm_id, self._dependencies.incarnation, settings.first_start)
+        vanished = UnobservedRemovals(self.store, self._dependencies.tables)
         return IntentRecorder(self.hub, rows, services, sender, self.member_share, vanished.read)
 
     def _build_requests(self) -> None:
-        settings, needs = self.settings, self._needs
+        """Build what handles requests: endpoints, routing, quotas and the gateway."""
+        settings, dependencies = self.settings, self._dependencies
         self.facts = FactTable()
         self.directory = EndpointDirectory(self.facts, self._rng, settings.zone)
         self.store_view = StoreView(
-            needs.store,
-            needs.tables,
+            dependencies.store,
+            dependencies.tables,
             EndpointView(
                 self.facts,
                 self.timers,
                 self.metrics,
                 self.log,
-                on_leaving=self._row_leaves,
-                on_removed=self._endpoint_gone,
-                on_restarted=self._endpoint_restarted,
+                on_leaving=self._on_row_leaving,
+                on_removed=self._on_endpoint_removed,
+                on_restarted=self._on_endpoint_restarted,
             ),
-            self._configuration_changed,
+            self._on_configuration_change,
             self.timers.now,
             self._rng,
             self.metrics,
             self.log,
-            self._may_rest,
+            self._is_standby,
             lambda: FEED_PAUSE_SECONDS if self.peers.is_relayed else 0.0,
         )
         self.hub = RequestHub(
             HubSettings(
                 settings.vm_id,
                 settings.zone,
-                queue_wait_fraction=REFUSE_WITHIN,
-                choice_wait_fraction=REFUSE_WITHIN,
+                queue_wait_fraction=QUEUE_PATIENCE_SHARE,
+                choice_wait_fraction=QUEUE_PATIENCE_SHARE,
             ),
-            needs.transport,
+            dependencies.transport,
             self.timers,
             self.directory,
             self.metrics,
             self.log,
             self._rng,
             BacklogChoice(),
-            needs.protocol,
+            dependencies.protocol,
             self._retry_budget,
         )
         self.store_view.on_rollout = self.rollouts.apply_order
-        self.hub.on_endpoint_leaving = self._endpoint_leaves
-        self.hub.on_outcome = self._outcome
+        self.hub.on_endpoint_leaving = self._on_endpoint_leaving
+        self.hub.on_outcome = self._record_outcome
         self.hub.cache_tokens = self._cache_tokens
         self.directory.sample_size = self._sample_size
         rules = settings.rules
@@ -206,69 +210,75 @@
             lambda: self.peers.member_count(),
         )
         self.gateway = ForwardGateway(
-            self.hub, needs.protocol, self.quota, self.log, self._began_to_run
+            self.hub, dependencies.protocol, self.quota, self.log, self._count_started
         )
         self.gateway.version_rule = self.rollouts.version_rule
 
-    def _outcome(self, service: str, endpoint_id: str, is_bad: bool) -> None:
-        """Count an answer for the roll-out of a service, if there is one."""
+    def _record_outcome(self, service: str, endpoint_id: str, is_bad: bool) -> None:
+        """Count a response for the rollout of its service, if there is one."""
         self.rollouts.record_response(service, self.directory.version_of(endpoint_id), is_bad)
 
     def _sample_size(self) -> int:
+        """Return the number of endpoints to compare for one choice."""
         return (
-            FEW_CANDIDATES if self.peers.propagation_delay() > LATE_WORD_SECONDS else MAX_CANDIDATES
+            LATE_LOAD_CANDIDATES
+            if self.peers.propagation_delay() > LATE_LOAD_SECONDS
+            else MAX_CANDIDATES
         )
 
-    def _endpoint_gone(self, row: EndpointRow) -> None:
+    def _on_endpoint_removed(self, row: EndpointRow) -> None:
+        """Drop all state of an endpoint whose row was deleted or expired."""
         self.hub.guard.crash_detector.record_row_removal(row.endpoint_id, announced=not row.ready)
         self.directory.forget(row.endpoint_id)
         self.hub.limits.forget(row.endpoint_id)
         self.hub.backoffs.forget(row.endpoint_id)
-        self._needs.transport.drop_idle(row.address)
+        self._dependencies.transport.drop_idle(row.address)
         self.store_view.record_removed_endpoint(row.endpoint_id)
 
-    def _endpoint_leaves(self, endpoint_id: str, request: str) -> None:
-        """Take word of an endpoint itself that it leaves."""
+    def _on_endpoint_leaving(self, endpoint_id: str, request: str) -> None:
+        """Record that an endpoint has announced in a response that it leaves."""
         self.store_view.endpoints.mark_leaving(endpoint_id, "answer", request)
 
-    def _endpoint_restarted(self, row: EndpointRow, before: EndpointRow) -> None:
-        """Forget the earlier start of an endpoint, and what ran there."""
+    def _on_endpoint_restarted(self, row: EndpointRow, previous: EndpointRow) -> None:
+        """Drop the state and the requests of an endpoint's earlier incarnation."""
         self.directory.forget(row.endpoint_id)
         self.hub.limits.forget(row.endpoint_id)
         self.hub.backoffs.forget(row.endpoint_id)
         self.observations.discard_earlier_loads(row.endpoint_id)
-        for address in {row.address, before.address}:
-            self._needs.transport.drop_idle(address)
+        for address in {row.address, previous.address}:
+            self._dependencies.transport.drop_idle(address)
         ago = self.peers.cluster_time() - row.born / 1000
         at = self.timers.now() - ago
-        # What has arrived of its last answers is read first.
+        # Responses in transit from the earlier incarnation are read first.
         self.timers.once(
-            LAST_ANSWERS_SECONDS, lambda: self.hub.handle_endpoint_restart(row.endpoint_id, at)
+            LAST_RESPONSES_SECONDS, lambda: self.hub.handle_endpoint_restart(row.endpoint_id, at)
         )
 
     def _retry_budget(self, service: Service) -> RetryBudget:
+        """Return the budget for retries and hedges of a service."""
         rules = self.settings.rules
         return SharedRetryBudget(
             rules.retry_ratio,
             rules.retry_allowance,
             rules.retry_window,
             self.member_share,
-            self._began,
+            self._started_at,
         )
 
     def _build_peers(self) -> None:
+        """Build what exchanges data with peers: reports, arbitration and anti-entropy."""
         self.peers = Peers(
-            self._report.identity,
+            self._report_builder.identity,
             self.settings.peer_port,
             self.settings.seeds,
             self.own_report,
-            self._needs.send,
-            lambda report, gap: self._word.apply_report(report, gap),
+            self._dependencies.send,
+            lambda report, gap: self._gossip.apply_report(report, gap),
             lambda note: self.observations.apply_load_delta(note),
             RelayListener(
                 self.own_report,
-                lambda relay, claim: self._word.apply_relay_state(relay, claim),
-                lambda process, sums, counts: self._word.apply_sums(process, sums, counts),
+                lambda relay, claim: self._gossip.apply_relay_state(relay, claim),
+                lambda process, sums, counts: self._gossip.apply_sums(process, sums, counts),
                 lambda: self.observations.mark_loads_stale(),
                 lambda counts, told_until: self.usage.merge_counts(counts, told_until),
                 lambda processes, windows: self.usage.collect_recent_counts(
@@ -277,7 +287,7 @@
                 lambda processes: self.usage.received_until(processes),
                 lambda: self.peers.cluster_time(),
             ),
-            self._needs.store,
+            self._dependencies.store,
             self.tasks,
             self.timers,
             self._rng,
@@ -290,22 +300,22 @@
             self.facts,
             self.settings.vm_id,
             self.settings.zone,
-            lambda: self._report.sequence,
+            lambda: self._report_builder.sequence,
             self.timers,
             self.metrics,
             self.log,
         )
         self.quota_members = QuotaMembers(
-            self._report.identity, self.peers, self.settings.rules.quota_window, self.timers
+            self._report_builder.identity, self.peers, self.settings.rules.quota_window, self.timers
         )
         self.arbiters = QuotaArbiters(
             self.quota,
             QuotaContext(
                 self.settings.ip,
-                self._needs.incarnation,
+                self._dependencies.incarnation,
                 self.quota_members.rank_arbiters,
                 lambda: self.configuration.workspaces_by_name,
-                self._knows_less_of_quotas,
+                self._defers_quota_decisions,
                 self.quota_members.has_recent_restart,
                 self.quota_members.partition_count,
             ),
@@ -315,12 +325,12 @@
             self.log,
         )
         self.gateway.quota_gate = self.arbiters
-        self.peers.on_quota_request = self.arbiters.take_question
-        self.peers.on_quota_reply = self.arbiters.take_reply
+        self.peers.on_quota_request = self.arbiters.handle_request
+        self.peers.on_quota_reply = self.arbiters.handle_reply
         self._build_limits()
         self.exchange = PeerSync(self.store_view, self.tasks, self.timers.now, self._rng, self.log)
-        self.exchange.remote_watchers = self._distant
-        self.exchange.zone_peers = self._near
+        self.exchange.remote_watchers = self._remote_relays
+        self.exchange.zone_peers = self._zone_peers
         self.gateway.unknown_gate = FreshnessCheck(
             self.store_view, self.tasks, self.timers, self.log
         )
@@ -329,32 +339,35 @@
             self.settings.zone,
             lambda: self.peers.table.live_reports(self.timers.now()),
         )
-        self.store_view.on_change = self._store_changed
+        self.store_view.on_change = self._on_store_change
 
-    def _distant(self) -> list[str]:
+    def _remote_relays(self) -> list[str]:
         """Return the control addresses of the other zones' relays, in random order."""
         return self._addresses(self.peers.relaying.remote_relays() if self.peers.is_relayed else [])
 
-    def _near(self) -> list[str]:
-        """Return the control addresses of the other processes of the zone, in random order."""
+    def _zone_peers(self) -> list[str]:
+        """Return the control addresses of the other processes in the zone, in random order."""
         near = self.peers.relaying.zone_members() if self.peers.is_relayed else {}
-        return self._addresses(sorted({*near.values()} - {self._report.identity.ip}))
+        return self._addresses(sorted({*near.values()} - {self._report_builder.identity.ip}))
 
     def _addresses(self, ips: list[str]) -> list[str]:
-        own = self._report.identity
-        return [own.address.replace(own.ip, ip, 1) for ip in self._rng.sample(ips, len(ips))]
+        """Return the control addresses for some IP addresses, in random order."""
+        identity = self._report_builder.identity
+        return [
+            identity.address.replace(identity.ip, ip, 1) for ip in self._rng.sample(ips, len(ips))
+        ]
 
     def _build_limits(self) -> None:
-        """Let one process decide on each endpoint that names the rate that it takes from all."""
+        """Build the arbitration of the rate limits that endpoints advertise."""
         limits, permits = self.hub.limits, self.hub.permits
         limits.wall = self.peers.cluster_time
         limits.start_ms_of = self.store_view.endpoints.start_time_ms
         local_ip = self.settings.ip
         members = LimitMembers(local_ip, self.quota_members, self.peers, lambda: self.stopping)
-        inquirer = ArbiterContext(local_ip, self._needs.incarnation, members.rank_arbiters)
+        context = ArbiterContext(local_ip, self._dependencies.incarnation, members.rank_arbiters)
         self.limit_arbiters = LimitArbiters(
             limits,
-            LimitContext(inquirer, members.live_share, self.member_share),
+            LimitContext(context, members.live_share, self.member_share),
             self.peers.send,
             self.timers,
             self.metrics,
@@ -362,50 +375,51 @@
         )
         permits.gate = self.limit_arbiters
         permits.process_name = local_ip
-        self.peers.on_permit_request = self.limit_arbiters.take_question
-        self.peers.on_permit_reply = self.limit_arbiters.take_reply
+        self.peers.on_permit_request = self.limit_arbiters.handle_request
+        self.peers.on_permit_reply = self.limit_arbiters.handle_reply
 
-    def _knows_less_of_quotas(self) -> bool:
-        """Tell whether others are to decide on quotas: they know more, or stay longer."""
+    def _defers_quota_decisions(self) -> bool:
+        """Return True if this process is stopping or new, so others decide on quotas."""
         return self.stopping or self.quota_members.is_newcomer()
 
-    def _may_rest(self) -> bool:
-        """Tell whether others follow the store for this process."""
+    def _is_standby(self) -> bool:
+        """Return True if other processes watch the store for this one."""
         if self.peers.is_relayed:
             return self.peers.relaying.has_watching_relay()
         return self.readers.can_stand_by()
 
-    def _store_changed(self) -> None:
-        """Tell the zone, if others may rest because this process follows the store."""
+    def _on_store_change(self) -> None:
+        """Report a store change to the zone, which may rely on this process as watcher."""
         self.peers.notify_zone()
-        if self._leaving_untold:
-            self._leaving_untold = False
+        if self._has_unsent_leaving:
+            self._has_unsent_leaving = False
             self.peers.broadcast_leaving()
 
-    def _row_leaves(self, row: EndpointRow) -> None:
-        """Tell of a leaving endpoint once all that came with its row is taken in."""
-        self._leaving_untold = True
+    def _on_row_leaving(self, row: EndpointRow) -> None:
+        """Defer the report of a leaving endpoint until all changes of its poll are applied."""
+        self._has_unsent_leaving = True
 
-    def _build_duties(self) -> None:
-        settings, needs = self.settings, self._needs
+    def _build_leader_tasks(self) -> None:
+        """Build the leader lease and the leader tasks that this deployment needs."""
+        settings, dependencies = self.settings, self._dependencies
         self.lease = LeaderLease(
-            needs.store,
+            dependencies.store,
             settings.vm_id,
-            needs.incarnation,
+            dependencies.incarnation,
             settings.rules.lease_seconds,
             self.timers.now,
             self._rng,
             self.log,
         )
         load = ClusterLoad(self.hub, self.peers, self.facts, self.timers)
-        self.duties: list[UsageReporter | ScalingController | RolloutController] = []
-        if needs.cloud is None:
+        self.leader_tasks: list[UsageReporter | ScalingController | RolloutController] = []
+        if dependencies.cloud is None:
             return
         if USAGE in settings.duties:
-            self.duties.append(
+            self.leader_tasks.append(
                 UsageReporter(
                     self.lease,
-                    needs.cloud,
+                    dependencies.cloud,
                     self.usage,
                     settings.rules,
                     settings.vm_id,
@@ -420,10 +434,10 @@
                 )
             )
         if SCALING in settings.duties:
-            self.duties.append(
+            self.leader_tasks.append(
                 ScalingController(
                     self.lease,
-                    needs.cloud,
+                    dependencies.cloud,
                     CheapestSafeFleet(),
                     settings.vm_id,
                     self.timers.now,
@@ -438,8 +452,8 @@
         self.rollouts.on_verdict = self.peers.broadcast_report
         rollout_controller = RolloutController(
             self.lease,
-            needs.store,
-            needs.tables.rollouts,
+            dependencies.store,
+            dependencies.tables.rollouts,
             self.rollouts,
             load.count_at_other_versions,
             self.timers.now,
@@ -448,18 +462,19 @@
         )
         self.store.on_return(rollout_controller.invalidate_rows)
         self.rollouts.on_order = lambda: self.tasks.start(rollout_controller.load_status())
-        self.duties.append(rollout_controller)
+        self.leader_tasks.append(rollout_controller)
 
     def _cache_tokens(self, service: str) -> float:
-        known = self.configuration.services.get(service)
-        return known.cache_tokens if known is not None and known.cache_tokens else math.inf
+        """Return the tokens that an endpoint of a service can cache; infinite if not configured."""
+        config = self.configuration.services.get(service)
+        return config.cache_tokens if config is not None and config.cache_tokens else math.inf
 
     def member_share(self) -> float:
-        """Return one process's part of all entry processes, by their number."""
+        """Return one process's share of all entry processes: 1 divided by their number."""
         return 1.0 / self.peers.member_count()
 
-    def _began_to_run(self, request: ForwardedRequest) -> None:
-        """Count a request in the window in which an endpoint began it."""
+    def _count_started(self, request: ForwardedRequest) -> None:
+        """Count a request in the usage window in which it started to run."""
         if not request.work.workspace:
             return
         ago = self.timers.now() - request.began_at()
@@ -468,17 +483,17 @@
     # Peers
 
     def own_report(self) -> PeerReport:
-        """Return this process's report as it is now."""
-        self._report.leaving = self.stopping
-        return self._word.build_report()
+        """Return this process's current report."""
+        self._report_builder.leaving = self.stopping
+        return self._gossip.build_report()
 
     def max_idle(self, address: str) -> int:
         """Return how many idle connections to an address this process may keep.
 
         Notes
         -----
-        An endpoint limits its connections over all callers, so each process's part shrinks as the
-        processes grow in number. Half of it is left for connections in use.
+        An endpoint limits its connections over all entry processes, so the share of one process
+        shrinks as their number grows. Half of the share is left for connections in use.
         """
         row = next(
             (each for each in self.store_view.endpoints.rows() if each.address == address), None
@@ -486,18 +501,18 @@
         service = self.configuration.services.get(row.service) if row is not None else None
         if service is None or not service.max_connections:
             return MAX_IDLE_PER_ADDRESS
-        part = service.max_connections * IDLE_PART * self.member_share()
+        part = service.max_connections * IDLE_SHARE * self.member_share()
         return max(1, min(MAX_IDLE_PER_ADDRESS, int(part)))
 
     def start(self) -> None:
-        """Begin all periodic work."""
+        """Start all periodic work."""
         self.peers.start()
         self.observations.start()
         self.arbiters.start()
-        if self.duties:
+        if self.leader_tasks:
             self.tasks.start(self.lease.run())
-        for duty in self.duties:
-            self.tasks.start(duty.run())
+        for task in self.leader_tasks:
+            self.tasks.start(task.run())
         for follower in self.store_view.watchers:
             self.tasks.start(follower.run())
         self.tasks.start(self.held.run())
@@ -510,32 +525,33 @@
         self.log.info("started", zone=self.settings.zone, first=self.settings.first_start)
 
     def fault(self, exc: BaseException) -> None:
-        """Log a fault of the program."""
+        """Log an unhandled exception."""
         self.metrics.count("faults_total")
         self.log.error("fault", exc=exc)
 
     @property
     def configuration(self) -> ForwardingConfiguration:
-        """Configuration in force."""
+        """Active configuration."""
         return self.store_view.configuration
 
-    def _configuration_changed(self, cfg: ForwardingConfiguration) -> None:
+    def _on_configuration_change(self, cfg: ForwardingConfiguration) -> None:
+        """Apply a new active configuration."""
         self.gateway.configuration = cfg
         self.quota.start_buckets(cfg.workspaces, self.timers.now())
         self.on_configuration(cfg)
 
     @property
     def ready(self) -> bool:
-        """True if the balancer may send new connections here."""
-        known = bool(self.configuration.version) and bool(len(self.facts))
-        return known and not self.stopping
+        """True if the balancer may send new connections to this process."""
+        has_routes = bool(self.configuration.version) and bool(len(self.facts))
+        return has_routes and not self.stopping
 
     # Inbound calls
 
     def handle_caller(self, req: InboundRequest, exchange: Exchange) -> None:
-        """Take a request that came to the callers' address."""
+        """Handle a request that arrived at the callers' address."""
         self.gateway.handle(req, exchange)
 
     def handle_ready(self, req: InboundRequest, exchange: Exchange) -> None:
-        """Answer the balancer whether new connections may come here."""
+        """Respond to the balancer's readiness check."""
         exchange.respond(200 if self.ready else 503, (), b"")
--- a/flamingofront/process/forwarding/quota_members.py
+++ b/flamingofront/process/forwarding/quota_members.py
@@ -1,4 +1,4 @@
-"""Which entry processes may decide on quotas, as this process hears them."""
+"""Ranking of the entry processes that may arbitrate quotas."""
 
 import math
 from dataclasses import replace
@@ -10,8 +10,8 @@
 
 __all__ = ["QuotaMembers"]
 
-# A zone of which no report came for so many turns may be cut off.
-UNHEARD_REPORTS = 2.5
+# A zone without a report for this many report periods may be partitioned.
+LATE_REPORT_PERIODS = 2.5
 
 
 class QuotaMembers:
@@ -19,92 +19,101 @@
 
     Parameters
     ----------
-    own : PeerReport
+    identity : PeerReport
         Identity of this process.
     window : float
-        Seconds for which what was taken of a quota counts.
+        Seconds for which consumed units count against a quota.
     """
 
-    def __init__(self, own: PeerReport, peers: Peers, window: float, timers: TimerService):
-        self._own = own
+    def __init__(self, identity: PeerReport, peers: Peers, window: float, timers: TimerService):
+        self._local = identity
         self._peers = peers
         self._window = window
         self._timers = timers
 
     def rank_by_hash(self, key: str) -> list[str]:
-        """Return the IP numbers of the processes that may decide on something, the first one first.
+        """Return the IP addresses of the processes that may decide on a key, best first.
 
         Notes
         -----
-        Among many processes these are the relays: they alone hear all the others.
+        In a large deployment these are the relays: only they receive reports from all processes.
         """
         if self._peers.is_relayed:
             return self._peers.relaying.rank_relays(key)
-        ips = {each.vm_id: each.ip for each in self._heard()} | {self._own.vm_id: self._own.ip}
+        ips = {each.vm_id: each.ip for each in self._live_members()} | {
+            self._local.vm_id: self._local.ip
+        }
         return [ips[name] for name in rank(key, ips)]
 
-    def ranked(self, workspace: str) -> list[str]:
-        """Return the IP numbers of the processes that may decide on a quota, the first one first.
+    def rank_arbiters(self, workspace: str) -> list[str]:
+        """Return the IP addresses of the processes that may decide on a quota, best first.
 
         Notes
         -----
-        Those that began within the window of the quotas come last, since they do not know what was
-        taken before.
+        Processes that started within the quota window come last, since they do not know what was
+        consumed before.
         """
-        heard = self._heard()
-        new = {each.ip for each in (*heard, *self._relays(), self._own_now()) if self._is_new(each)}
+        live = self._live_members()
+        new = {
+            each.ip
+            for each in (*live, *self._relay_reports(), self._local_report())
+            if self._started_in_window(each)
+        }
         return sorted(self.rank_by_hash(workspace), key=lambda ip: ip in new)
 
-    def _heard(self) -> list[PeerReport]:
-        heard = self._peers.table.live_reports(self._timers.now())
-        return [each for each in heard if not each.leaving]
+    def _live_members(self) -> list[PeerReport]:
+        """Return the reports of the live peers that are not leaving."""
+        live = self._peers.table.live_reports(self._timers.now())
+        return [each for each in live if not each.leaving]
 
-    def _relays(self) -> list[PeerReport]:
+    def _relay_reports(self) -> list[PeerReport]:
         return self._peers.relaying.live_relays() if self._peers.is_relayed else []
 
-    def _own_now(self) -> PeerReport:
-        return replace(self._own, wall=self._timers.wall())
+    def _local_report(self) -> PeerReport:
+        return replace(self._local, wall=self._timers.wall())
 
-    def _is_new(self, report: PeerReport) -> bool:
+    def _started_in_window(self, report: PeerReport) -> bool:
+        """Return True if a process started within the quota window."""
         return report.wall - report.incarnation / 1000 < self._window
 
     def has_recent_restart(self) -> bool:
-        """Tell whether a process that is heard, or this one, began within the quotas' window."""
+        """Return True if a live process, or this one, started within the quota window."""
         wall = self._timers.wall()
         return any(wall - began < self._window for began in self._peers.start_times())
 
     def is_newcomer(self) -> bool:
-        """Tell whether others may know what was taken of the quotas before this process began."""
-        if not self._is_new(self._own_now()):
+        """Return True if others may know what was consumed before this process started."""
+        if not self._started_in_window(self._local_report()):
             return False
-        told = [*self._heard(), *self._relays()]
-        if not told:
+        candidates = [*self._live_members(), *self._relay_reports()]
+        if not candidates:
             return self._peers.member_count() > 1
-        return any(not self._is_new(each) for each in told)
+        return any(not self._started_in_window(each) for each in candidates)
 
-    def sides(self, workspace: str) -> int:
-        """Return into how many sides a partition may have divided those who decide on a quota.
+    def partition_count(self, workspace: str) -> int:
+        """Return into how many groups a partition may have divided the arbiters of a quota.
 
         Notes
         -----
-        If this process is asked in place of one that it heard a moment ago, that one is out of
-        reach for those who ask: it has just ended, or any zone may be cut off from the others.
+        If this process is asked in place of one from which it received a recent report, the callers
+        cannot reach that one: it has just ended, or any zone may be partitioned from the others.
         """
         now = self._timers.now()
-        zones = self._last_heard_by_zone(now)
-        first = next(iter(self.ranked(workspace)), self._own.ip)
-        if first != self._own.ip and self._heard_lately(first, now):
+        zones = self._last_received_by_zone(now)
+        first = next(iter(self.rank_arbiters(workspace)), self._local.ip)
+        if first != self._local.ip and self._has_recent_report(first, now):
             return max(2, len(zones))
-        late = self._late()
-        return 1 + sum(now - at > late for zone, at in zones.items() if zone != self._own.zone)
+        late = self._late_after_seconds()
+        return 1 + sum(now - at > late for zone, at in zones.items() if zone != self._local.zone)
 
-    def _late(self) -> float:
-        return UNHEARD_REPORTS * self._peers.report_period()
+    def _late_after_seconds(self) -> float:
+        """Return the age from which the last report of a zone counts as late."""
+        return LATE_REPORT_PERIODS * self._peers.report_period()
 
-    def _last_heard_by_zone(self, now: float) -> dict[str, float]:
-        """Return when any process of each zone was heard last; never counts as long ago."""
+    def _last_received_by_zone(self, now: float) -> dict[str, float]:
+        """Return when the last report of each zone was received; -inf if never."""
         table, relaying = self._peers.table, self._peers.relaying
-        found = dict.fromkeys((self._own.zone, *relaying.known_zones()), -math.inf)
+        found = dict.fromkeys((self._local.zone, *relaying.known_zones()), -math.inf)
         for each in table.members(now):
             at = now - (table.seconds_since_report(each.vm_id, now) or 0.0)
             found[each.zone] = max(at, found.get(each.zone, -math.inf))
@@ -113,7 +122,8 @@
                 found[zone] = max(at, found.get(zone, -math.inf))
         return found
 
-    def _heard_lately(self, ip: str, now: float) -> bool:
+    def _has_recent_report(self, ip: str, now: float) -> bool:
+        """Return True if a report of the process at an IP address is recent enough."""
         table = self._peers.table
         gaps = [
             table.seconds_since_report(each.vm_id, now)
@@ -122,4 +132,4 @@
         ]
         if self._peers.is_relayed:
             gaps += [now - at for at in self._peers.relaying.digest_times(ip)]
-        return any(gap <= self._late() for gap in gaps)
+        return any(gap <= self._late_after_seconds() for gap in gaps)
--- a/flamingofront/process/forwarding/rollouts.py
+++ b/flamingofront/process/forwarding/rollouts.py
@@ -1,4 +1,4 @@
-"""Roll-outs as one entry process sees them, and the duty that gives the verdicts."""
+"""Rollouts as one entry process sees them, and the leader task that decides their phases."""
 
 import random
 from collections import Counter
@@ -26,10 +26,10 @@
 __all__ = ["RolloutController", "RolloutRows", "Rollouts"]
 
 STEP_SECONDS = 0.5
-# An order is begun so long after it was seen: others may know it as one that is over, of which the
-# store has lost word, and tell so within a second, also through relays.
-HEARD_SECONDS = 1.5
-# Sums of roll-outs go beside those of quotas, under names that no workspace has.
+# Delay before a new order is started: if the store has lost the status of a finished rollout, peers
+# report it within a second, also through relays.
+PEER_UPDATE_SECONDS = 1.5
+# Rollout counts share a mapping with quota counts, under keys that no workspace name can have.
 _SEPARATOR = "\x1e"
 _NEW, _OLD = "new", "old"
 _GOOD, _BAD = "good", "bad"
@@ -37,46 +37,46 @@
 
 @dataclass
 class _Rollout:
-    """A roll-out that is known here; times on the own clock."""
+    """A rollout that this process tracks; times in seconds of the local monotonic clock."""
 
     order: RolloutSpec
     seen_at: float
     phase: Phase = Phase.ORDERED
-    sums: Counter[tuple[str, str]] = field(default_factory=Counter)
+    counts: Counter[tuple[str, str]] = field(default_factory=Counter)
     stopped: bool = False
     blocked: frozenset[str] = frozenset()
 
     def tally(self, side: str) -> Tally:
-        return Tally(self.sums[side, _GOOD], self.sums[side, _BAD])
+        return Tally(self.counts[side, _GOOD], self.counts[side, _BAD])
 
 
-def _withheld_after(known: _Rollout | None, order: RolloutSpec) -> frozenset[str]:
-    """Return the versions that get nothing once an order has replaced another."""
-    if known is None or known.phase is Phase.COMPLETED:
+def _blocked_versions(rollout: _Rollout | None, order: RolloutSpec) -> frozenset[str]:
+    """Return the versions that get no requests once an order has replaced another."""
+    if rollout is None or rollout.phase is Phase.COMPLETED:
         return frozenset()
-    return (known.blocked | {known.order.version}) - {order.version}
+    return (rollout.blocked | {rollout.order.version}) - {order.version}
 
 
-def _is_rewritten(before: RolloutSpec, order: RolloutSpec) -> bool:
-    """Tell whether an order is an earlier one that the store tells under another number.
+def _is_renumbered(before: RolloutSpec, order: RolloutSpec) -> bool:
+    """Return True if an order is an earlier one that the store reports under another number.
 
     Notes
     -----
-    A store that came back from a copy numbers its rows anew, and an order that the copy lacked is
-    written again by its owner. Taken for a new order, a version that was judged bad got requests
-    again. The same order given twice in one era is a new one.
+    A store restored from an older snapshot numbers its rows anew, and an order that the snapshot
+    lacked is written again by its owner. Treated as a new order, it would send requests to a
+    version that was already rolled back. The same order given twice in one era is a new one.
     """
     same = (before.version, before.seconds) == (order.version, order.seconds)
     return same and era_of(before.number) < era_of(order.number)
 
 
 class Rollouts:
-    """What this process knows of roll-outs, and which versions its requests go to.
+    """Rollouts that this process tracks, and the versions its requests may go to.
 
     Parameters
     ----------
     share : float
-        Part of a service's requests that a bad version may get at most.
+        Largest fraction of a service's requests that a bad version may get.
     now : callable
         Time of the timer service.
     """
@@ -86,43 +86,43 @@
         self._now = now
         self._rng = rng
         self._log = log
-        self._known: dict[str, _Rollout] = {}
-        self._own: Counter[str] = Counter()
-        # Called after a verdict that is given here, so that the others hear of it at once.
+        self._tracked: dict[str, _Rollout] = {}
+        self._local_counts: Counter[str] = Counter()
+        # Called after a phase decided by this process, to send it to the peers at once.
         self.on_verdict: Callable[[], None] = lambda: None
-        # Called for each new order, so that it is looked up how far its roll-out is already.
+        # Called for each new order, to load the status that its rollout has already reached.
         self.on_order: Callable[[], None] = lambda: None
-        self._heard: dict[tuple[str, str], float] = {}
+        self._peer_counts: dict[tuple[str, str], float] = {}
 
-    def orders(self) -> list[RolloutSpec]:
-        """Return the orders that are known, one a service at most."""
-        return [each.order for each in self._known.values()]
+    def list_orders(self) -> list[RolloutSpec]:
+        """Return the tracked orders, at most one per service."""
+        return [each.order for each in self._tracked.values()]
 
-    def phase(self, service: str) -> Phase | None:
-        """Return how far a service's roll-out is; None without one."""
-        known = self._known.get(service)
-        return known.phase if known is not None else None
+    def get_phase(self, service: str) -> Phase | None:
+        """Return the phase of a service's rollout; None without one."""
+        rollout = self._tracked.get(service)
+        return rollout.phase if rollout is not None else None
 
-    def take_order(self, order: RolloutSpec) -> None:
-        """Take an order in; one that replaces another begins anew."""
-        known = self._known.get(order.service)
-        if known is not None and known.order.number >= order.number:
+    def apply_order(self, order: RolloutSpec) -> None:
+        """Track an order; one that replaces another starts a new rollout."""
+        rollout = self._tracked.get(order.service)
+        if rollout is not None and rollout.order.number >= order.number:
             return
-        if known is not None and _is_rewritten(known.order, order):
-            known.order = order
+        if rollout is not None and _is_renumbered(rollout.order, order):
+            rollout.order = order
             self._log.info(
-                "roll-out ordered again by its owner",
+                "rollout order renumbered after store restore",
                 service=order.service,
                 version=order.version,
                 number=order.number,
-                phase=known.phase.name.lower(),
+                phase=rollout.phase.name.lower(),
             )
             return
-        self._known[order.service] = _Rollout(
-            order, self._now(), blocked=_withheld_after(known, order)
+        self._tracked[order.service] = _Rollout(
+            order, self._now(), blocked=_blocked_versions(rollout, order)
         )
         self._log.info(
-            "roll-out ordered",
+            "rollout ordered",
             service=order.service,
             version=order.version,
             seconds=order.seconds,
@@ -130,44 +130,47 @@
         )
         self.on_order()
 
-    def status(self, service: str, phase: Phase, wall: float) -> RolloutStatus:
-        """Return what is to be kept of a service's roll-out that comes to a phase now."""
-        known = self._known[service]
-        since = round(wall - (self._now() - known.seen_at), 3)
-        return RolloutStatus(known.order.number, known.order.version, phase, since, known.blocked)
-
-    def take_status(self, service: str, status: RolloutStatus, wall: float) -> None:
-        """Take in how far a service's roll-out is, as an earlier holder left it."""
-        known = self._known[service]
-        rewritten = replace(known.order, number=status.number, version=status.version)
-        if status.number == known.order.number or _is_rewritten(rewritten, known.order):
+    def make_status(self, service: str, phase: Phase, wall: float) -> RolloutStatus:
+        """Return the status to store for a service's rollout that enters a phase now."""
+        rollout = self._tracked[service]
+        since = round(wall - (self._now() - rollout.seen_at), 3)
+        return RolloutStatus(
+            rollout.order.number, rollout.order.version, phase, since, rollout.blocked
+        )
+
+    def apply_status(self, service: str, status: RolloutStatus, wall: float) -> None:
+        """Apply the status of a service's rollout as an earlier lease holder stored it."""
+        rollout = self._tracked[service]
+        rewritten = replace(rollout.order, number=status.number, version=status.version)
+        if status.number == rollout.order.number or _is_renumbered(rewritten, rollout.order):
             ago = max(0.0, wall - status.since)
-            known.seen_at = min(known.seen_at, self._now() - ago)
-            known.blocked |= status.blocked
-            self.reach(service, known.order.number, status.phase, "store")
-        elif status.number < known.order.number and status.phase is not Phase.COMPLETED:
-            known.blocked |= (status.blocked | {status.version}) - {known.order.version}
-
-    def reach(self, service: str, number: int, phase: Phase, source: str) -> None:
-        """Take word that a roll-out has come to a phase; it never goes back."""
-        known = self._known.get(service)
-        if known is None or known.order.number != number or phase <= known.phase:
+            rollout.seen_at = min(rollout.seen_at, self._now() - ago)
+            rollout.blocked |= status.blocked
+            self.advance_phase(service, rollout.order.number, status.phase, "store")
+        elif status.number < rollout.order.number and status.phase is not Phase.COMPLETED:
+            rollout.blocked |= (status.blocked | {status.version}) - {rollout.order.version}
+
+    def advance_phase(self, service: str, number: int, phase: Phase, source: str) -> None:
+        """Move a rollout forward to a phase; an earlier phase is ignored."""
+        rollout = self._tracked.get(service)
+        if rollout is None or rollout.order.number != number or phase <= rollout.phase:
             return
         self._log.info(
-            "roll-out phase",
+            "rollout phase changed",
             service=service,
-            version=known.order.version,
+            version=rollout.order.version,
             number=number,
             phase=phase.name.lower(),
-            before=known.phase.name.lower(),
+            before=rollout.phase.name.lower(),
             source=source,
-            **self._figures(known),
+            **self._count_fields(rollout),
         )
-        known.phase = phase
+        rollout.phase = phase
 
     @staticmethod
-    def _figures(known: _Rollout) -> dict[str, float]:
-        new, old = known.tally(_NEW), known.tally(_OLD)
+    def _count_fields(rollout: _Rollout) -> dict[str, float]:
+        """Return the response counts of both versions, as log fields."""
+        new, old = rollout.tally(_NEW), rollout.tally(_OLD)
         return {
             "new_answers": new.total,
             "new_bad": new.bad,
@@ -175,101 +178,110 @@
             "old_bad": old.bad,
         }
 
-    # Word between processes
+    # Updates between processes
 
-    def word(self) -> dict[str, tuple[int, int]]:
-        """Return order number and phase by service, to tell the others."""
-        return {name: (each.order.number, int(each.phase)) for name, each in self._known.items()}
+    def phase_update(self) -> dict[str, tuple[int, int]]:
+        """Return order number and phase by service, for reports to peers."""
+        return {name: (each.order.number, int(each.phase)) for name, each in self._tracked.items()}
 
-    def hear(self, word: Mapping[str, tuple[int, int]]) -> bool:
-        """Take a peer's word; True if it tells of an order that is not known here."""
-        unknown = False
-        for service, (number, phase) in word.items():
-            known = self._known.get(service)
-            if known is None or known.order.number < number:
-                unknown = True
+    def merge_update(self, update: Mapping[str, tuple[int, int]]) -> bool:
+        """Merge a peer's phases; return True if the peer has an order that this process lacks."""
+        has_unknown_order = False
+        for service, (number, phase) in update.items():
+            rollout = self._tracked.get(service)
+            if rollout is None or rollout.order.number < number:
+                has_unknown_order = True
             else:
-                self.reach(service, number, Phase(phase), "peer")
-        return unknown
+                self.advance_phase(service, number, Phase(phase), "peer")
+        return has_unknown_order
 
-    def sums(self) -> dict[str, int]:
-        """Return what this process has counted in all, to tell the others."""
-        return dict(self._own)
+    def local_counts(self) -> dict[str, int]:
+        """Return the responses counted by this process since its start, for reports to peers."""
+        return dict(self._local_counts)
 
-    def hear_sums(self, process: str, sums: Mapping[str, float], counts: bool) -> None:
-        """Take what others have counted in all; what it has grown is added if it counts."""
-        for name, total in sums.items():
+    def merge_counts(self, process: str, counts: Mapping[str, float], is_counted: bool) -> None:
+        """Merge a process's total counts; their increase is added only if `is_counted`."""
+        for name, total in counts.items():
             if not name.startswith(_SEPARATOR):
                 continue
-            before = self._heard.get((process, name), 0.0)
-            self._heard[process, name] = total
-            if counts:
-                self._add(name, round(total - before))
+            before = self._peer_counts.get((process, name), 0.0)
+            self._peer_counts[process, name] = total
+            if is_counted:
+                self._add_count(name, round(total - before))
 
-    def _add(self, name: str, count: int) -> None:
+    def _add_count(self, name: str, count: int) -> None:
+        """Add responses to the rollout that their key names, if it is still tracked."""
         _, service, number, side, outcome = name.split(_SEPARATOR)
-        known = self._known.get(service)
-        if known is not None and str(known.order.number) == number:
-            known.sums[side, outcome] += count
-            self._look(known)
-
-    def _look(self, known: _Rollout) -> None:
-        """Stop by the evidence that is heard, before any verdict."""
-        if not known.stopped and is_worse(known.tally(_NEW), known.tally(_OLD)):
-            known.stopped = True
+        rollout = self._tracked.get(service)
+        if rollout is not None and str(rollout.order.number) == number:
+            rollout.counts[side, outcome] += count
+            self._check_new_version(rollout)
+
+    def _check_new_version(self, rollout: _Rollout) -> None:
+        """Stop sending requests to a new version that seems bad, before the leader decides."""
+        if not rollout.stopped and is_worse(rollout.tally(_NEW), rollout.tally(_OLD)):
+            rollout.stopped = True
             self._log.warning(
-                "new version stopped here", service=known.order.service, **self._figures(known)
+                "new version stopped locally",
+                service=rollout.order.service,
+                **self._count_fields(rollout),
             )
 
     # Requests
 
-    def rule(self, service: str, is_first: bool) -> VersionRule | None:
-        """Return which endpoints an attempt may go to; None if that makes no difference.
+    def version_rule(self, service: str, is_first: bool) -> VersionRule | None:
+        """Return which endpoints an attempt may go to; None without a rollout.
 
         Parameters
         ----------
         is_first : bool
-            False for further attempts of a request: they go to the old version, so that the new one
-            gets no more than its share.
+            False for retries and hedges of a request: they go to the old version, so that the new
+            one gets no more than its share.
         """
-        known = self._known.get(service)
-        if known is None:
+        rollout = self._tracked.get(service)
+        if rollout is None:
             return None
-        exposed = known.phase in (Phase.MOVING, Phase.COMPLETED)
-        if known.phase is Phase.RUNNING and is_first and not known.stopped:
+        exposed = rollout.phase in (Phase.MOVING, Phase.COMPLETED)
+        if rollout.phase is Phase.RUNNING and is_first and not rollout.stopped:
             exposed = self._rng.random() < self._part
-        return VersionRule(known.order.version, exposed, known.blocked)
+        return VersionRule(rollout.order.version, exposed, rollout.blocked)
 
-    def answered(self, service: str, version: str, is_bad: bool) -> None:
-        """Count an answer of an endpoint."""
-        known = self._known.get(service)
-        if known is None or known.phase.is_final:
+    def record_response(self, service: str, version: str, is_bad: bool) -> None:
+        """Count a response of an endpoint for the rollout of its service."""
+        rollout = self._tracked.get(service)
+        if rollout is None or rollout.phase.is_final:
             return
-        side = _NEW if version == known.order.version else _OLD
+        side = _NEW if version == rollout.order.version else _OLD
         outcome = _BAD if is_bad else _GOOD
-        name = _SEPARATOR.join(("", service, str(known.order.number), side, outcome))
-        self._own[name] += 1
-        self._add(name, 1)
+        name = _SEPARATOR.join(("", service, str(rollout.order.number), side, outcome))
+        self._local_counts[name] += 1
+        self._add_count(name, 1)
+
+    def collect_evidence(self, service: str, old_idle_seconds: float) -> RolloutEvidence:
+        """Return the evidence on a service's rollout.
 
-    def evidence(self, service: str, clear: float) -> RolloutEvidence:
-        """Return what is known of a service's roll-out."""
-        known = self._known[service]
-        age = self._now() - known.seen_at
-        return RolloutEvidence(known.tally(_NEW), known.tally(_OLD), age, clear)
+        Parameters
+        ----------
+        old_idle_seconds : float
+            Time for which no request has run at the old version.
+        """
+        rollout = self._tracked[service]
+        age = self._now() - rollout.seen_at
+        return RolloutEvidence(rollout.tally(_NEW), rollout.tally(_OLD), age, old_idle_seconds)
 
 
 @dataclass(frozen=True)
 class RolloutRows:
-    """Where the platform keeps roll-outs, and how their rows are decoded.
+    """Where the platform keeps rollouts, and how their rows are decoded.
 
     Parameters
     ----------
     service_of : callable
-        Returns the service that a key of the table of orders is about, empty for other keys.
+        Returns the service of a key in the table of orders, empty for other keys.
     decode_order : callable
         Returns the `RolloutSpec` in a row's service, value and version.
     status_table : str
-        Where the system tells how far a roll-out is.
+        Table in which this system stores the phases of rollouts.
     """
 
     service_of: Callable[[str], str]
@@ -281,16 +293,16 @@
 
 
 class RolloutController:
-    """Gives the verdicts, as holder of the duty lease.
+    """Leader task that decides the phases of rollouts.
 
-    Each step is one conditional write of the row that tells it: of two holders one fails, and a
-    successor goes on where the row stands.
+    Each step is one conditional write of the status row: of two lease holders one fails, and a
+    successor continues from the row.
 
     Parameters
     ----------
     old_in_flight : callable
-        Returns the requests that run at endpoints of a service that have not a version, over all
-        processes; None while some processes cannot be heard.
+        Returns the number of requests, over all processes, that run at endpoints of a service
+        without the given version; None while some processes are unreachable.
     wall : callable
         Wall clock, agreed with the other processes.
     """
@@ -315,105 +327,107 @@
         self._old_in_flight = old_in_flight
         self._now = now
         self._versions: dict[str, int] = {}
-        # The phases that the rows tell, as they were read or written last.
-        self._told: dict[str, Phase] = {}
-        self._clear_since: dict[str, float] = {}
+        # Phases in the rows, as last read or written.
+        self._stored_phases: dict[str, Phase] = {}
+        self._idle_since: dict[str, float] = {}
         self._fencing = 0
 
     def run(self) -> Task:
-        """Look at all roll-outs again and again; never returns."""
+        """Step all rollouts periodically; never returns."""
         while True:
             yield Sleep(STEP_SECONDS, relaxed=True)
             try:
                 yield from self.step()
             except PlatformError as exc:
-                self._log.warning("status of a roll-out not written", detail=str(exc))
+                self._log.warning("rollout status not written", detail=str(exc))
 
-    def look_up(self) -> Task:
-        """Find out how far roll-outs are, when an order has just become known.
+    def load_status(self) -> Task:
+        """Read the status of all rollouts, with retries, when a new order arrives.
 
         Notes
         -----
-        A process that started after the end of a roll-out, together with all others, would leave
-        the endpoints of the new version alone until a holder had taken over: they are all there is.
+        After a rollout, only endpoints of the new version may be left. If all processes had
+        restarted, they would send nothing to them until a process had acquired the leader lease and
+        read the status.
         """
         while True:
             try:
-                yield from self._read()
+                yield from self._load_rows()
             except PlatformError as exc:
-                self._log.warning("status of roll-outs not read", detail=str(exc))
+                self._log.warning("rollout status not read", detail=str(exc))
                 yield Sleep(STEP_SECONDS, relaxed=True)
             else:
                 return
 
-    def read_again(self) -> None:
-        """Read the rows before the next step: the store has come back from an older copy."""
+    def invalidate_rows(self) -> None:
+        """Reload the rows before the next step, after a restore of the store."""
         self._versions.clear()
 
     def step(self) -> Task:
-        """Take each roll-out one phase further, if what is known says so."""
+        """Advance each rollout by at most one phase, as the evidence allows."""
         lease = self._lease.usable_lease()
         if lease is None:
             return
         if lease.fencing != self._fencing:
             self._fencing = lease.fencing
             self._versions.clear()
-        for order in self._rollouts.orders():
+        for order in self._rollouts.list_orders():
             if order.service not in self._versions:
-                yield from self._read()
-            phase = self._rollouts.phase(order.service)
-            evidence = self._evidence(order, phase)
-            if phase is Phase.ORDERED and evidence.age < HEARD_SECONDS:
+                yield from self._load_rows()
+            phase = self._rollouts.get_phase(order.service)
+            evidence = self._current_evidence(order, phase)
+            if phase is Phase.ORDERED and evidence.age < PEER_UPDATE_SECONDS:
                 continue
-            follows = next_phase(phase, order, evidence)
-            # A row that a copy has set back is written again.
-            is_behind = self._told.get(order.service, Phase.ORDERED) < phase
-            if (follows is not phase or is_behind) and self._lease.usable_lease() is not None:
-                yield from self._write(order, follows)
-
-    def _evidence(self, order: RolloutSpec, phase: Phase) -> RolloutEvidence:
-        """Return what is known, with the time since which the old version is clear."""
+            following = next_phase(phase, order, evidence)
+            # A row set back by a restore of the store is written again.
+            is_behind = self._stored_phases.get(order.service, Phase.ORDERED) < phase
+            if (following is not phase or is_behind) and self._lease.usable_lease() is not None:
+                yield from self._write_phase(order, following)
+
+    def _current_evidence(self, order: RolloutSpec, phase: Phase) -> RolloutEvidence:
+        """Return the evidence with the time for which the old version has been idle."""
         now = self._now()
         running = self._old_in_flight(order.service, order.version)
         if phase is not Phase.MOVING or running != 0:
-            self._clear_since.pop(order.service, None)
-            return self._rollouts.evidence(order.service, 0.0)
-        since = self._clear_since.setdefault(order.service, now)
-        return self._rollouts.evidence(order.service, now - since)
-
-    def _read(self) -> Task:
-        """Read how far all roll-outs are, as an earlier holder left them."""
-        found = yield from self._store.read(self._rows.status_table)
-        for order in self._rollouts.orders():
+            self._idle_since.pop(order.service, None)
+            return self._rollouts.collect_evidence(order.service, 0.0)
+        since = self._idle_since.setdefault(order.service, now)
+        return self._rollouts.collect_evidence(order.service, now - since)
+
+    def _load_rows(self) -> Task:
+        """Read the status of all rollouts, as an earlier lease holder stored it."""
+        status_rows = yield from self._store.read(self._rows.status_table)
+        for order in self._rollouts.list_orders():
             self._versions[order.service] = 0
-            self._told[order.service] = Phase.ORDERED
+            self._stored_phases[order.service] = Phase.ORDERED
             key = self._rows.status_key(order.service)
-            for row in found.rows:
+            for row in status_rows.rows:
                 if row.key == key and row.value is not None:
-                    self._take_row(order.service, row.value, row.version)
+                    self._apply_row(order.service, row.value, row.version)
 
-    def _take_row(self, service: str, value: bytes, version: int) -> None:
+    def _apply_row(self, service: str, value: bytes, version: int) -> None:
+        """Apply a status row; a malformed one is ignored."""
         self._versions[service] = version
         try:
             status = self._rows.decode_status(value)
         except PlatformError as exc:
-            # The next write takes its place.
-            self._log.warning("status of a roll-out refused", service=service, detail=str(exc))
+            # The next write replaces the malformed row.
+            self._log.warning("malformed rollout status ignored", service=service, detail=str(exc))
             return
-        self._told[service] = status.phase
-        self._rollouts.take_status(service, status, self._wall())
+        self._stored_phases[service] = status.phase
+        self._rollouts.apply_status(service, status, self._wall())
 
-    def _write(self, order: RolloutSpec, phase: Phase) -> Task:
-        """Write a phase if the row is as it was seen last; if not, take over what it says now."""
+    def _write_phase(self, order: RolloutSpec, phase: Phase) -> Task:
+        """Write a phase if the row is unchanged since last seen; otherwise reload later."""
         table, key = self._rows.status_table, self._rows.status_key(order.service)
         condition = RowCondition(table, key, self._versions[order.service])
-        status = self._rollouts.status(order.service, phase, self._wall())
+        status = self._rollouts.make_status(order.service, phase, self._wall())
         write = RowWrite(table, key, self._rows.encode_status(order.service, status))
         outcome = yield from self._store.transact("", (condition,), (write,))
         if outcome.ok:
             self._versions[order.service] = outcome.version
-            self._told[order.service] = phase
-            self._rollouts.reach(order.service, order.number, phase, "verdict")
+            self._stored_phases[order.service] = phase
+            self._rollouts.advance_phase(order.service, order.number, phase, "verdict")
             self._rollouts.on_verdict()
             return
         self._versions.pop(order.service, None)
--- a/flamingofront/process/forwarding/tests/test_limit_messages.py
+++ b/flamingofront/process/forwarding/tests/test_limit_messages.py
@@ -1,4 +1,4 @@
-"""Questions for permits, their replies, and word of limits in reports and digests."""
+"""Permit requests and replies, and limits in reports and digests."""
 
 from dataclasses import replace
 
@@ -23,23 +23,23 @@
 from flamingofront.request.endpoint_limits import EndpointLimit
 
 LIMIT = EndpointLimit("i-1", 1_700_000_000_123, 2.1, 1_700_000_001.25)
-ENDED = replace(LIMIT, rate=None)
-OWN = PeerReport("vm-1", 1, 1, "zone-a", "127.0.0.1", "127.0.0.1:1", limits=(LIMIT, ENDED))
+WITHDRAWN = replace(LIMIT, rate=None)
+REPORT = PeerReport("vm-1", 1, 1, "zone-a", "127.0.0.1", "127.0.0.1:1", limits=(LIMIT, WITHDRAWN))
 
 
 class TestMessages:
-    def test_question_and_reply_come_as_they_were_sent(self):
-        question = PermitRequest(7, LIMIT, 2, 0.08)
-        data = encode_permit_request(question)
+    def test_request_and_reply_round_trip(self):
+        request = PermitRequest(7, LIMIT, 2, 0.08)
+        data = encode_permit_request(request)
         assert is_permit_request(data) and not is_permit_reply(data)
-        assert decode_permit_request(data) == question
+        assert decode_permit_request(data) == request
         reply = PermitReply(7, Verdict.REFUSED, 0.0, 1.5)
         data = encode_permit_reply(reply)
         assert is_permit_reply(data) and not is_permit_request(data)
         assert decode_permit_reply(data) == reply
 
     @given(st.binary(max_size=60))
-    def test_malformed_ones_are_refused(self, data):
+    def test_malformed_messages_raise_only_value_error(self, data):
         for decode in (decode_permit_request, decode_permit_reply):
             try:
                 decode(b"L?" + data)
@@ -47,20 +47,22 @@
                 continue
 
     @pytest.mark.parametrize("limit", [["e", 1, -2.0, 0.0], ["e", 1], "text", ["e", "x", 1, 1]])
-    def test_limits_that_are_none_are_refused(self, limit):
+    def test_malformed_limits_are_rejected(self, limit):
         with pytest.raises(ValueError):
             decode_permit_request(b"L?" + orjson.dumps([1, 1, 0.0, limit]))
 
 
-class TestWord:
-    def test_report_and_digest_tell_limits(self):
-        assert decode_report(encode_report(OWN)).limits == OWN.limits
-        digest = decode_digest(DigestWriter(Digest(OWN, "zone-a", 1.0, 1, 1)).datagram())
-        assert digest.relay.limits == OWN.limits
+class TestGossip:
+    def test_report_and_digest_carry_limits(self):
+        assert decode_report(encode_report(REPORT)).limits == REPORT.limits
+        digest = decode_digest(DigestWriter(Digest(REPORT, "zone-a", 1.0, 1, 1)).datagram())
+        assert digest.relay.limits == REPORT.limits
 
-    def test_processes_of_an_earlier_version_tell_none(self):
-        report = orjson.dumps(orjson.loads(encode_report(OWN))[:-4])
+    def test_messages_of_an_earlier_version_carry_no_limits(self):
+        report = orjson.dumps(orjson.loads(encode_report(REPORT))[:-4])
         assert decode_report(report).limits == ()
-        head, _, body = DigestWriter(Digest(OWN, "zone-a", 1.0, 1, 1)).datagram().partition(b"\n")
+        head, _, body = (
+            DigestWriter(Digest(REPORT, "zone-a", 1.0, 1, 1)).datagram().partition(b"\n")
+        )
         earlier = head + b"\n" + orjson.dumps(orjson.loads(body)[:-3])
         assert decode_digest(earlier).relay.limits == ()
--- a/flamingofront/process/forwarding/usage.py
+++ b/flamingofront/process/forwarding/usage.py
@@ -1,4 +1,4 @@
-"""Usage: how many requests of each workspace began to run, by window of the wall clock."""
+"""Usage: how many requests of each workspace started to run, by window of the wall clock."""
 
 from collections import Counter
 from collections.abc import Callable, Collection, Iterable, Mapping
@@ -16,30 +16,30 @@
 
 __all__ = ["KEPT_WINDOWS", "UsageCoverage", "UsageBook", "UsageReporter"]
 
-# Windows that are told to peers and kept for a successor: a report is due ten seconds after a
-# window of five seconds, so that four cover all that may still be reported.
+# Windows that are reported to peers and kept for a successor. A report is due ten seconds after the
+# end of a window of five seconds, so four windows cover all that may still be reported.
 KEPT_WINDOWS = 4
-# Time after the end of a window in which the last reports of all processes usually arrive: one, a
-# relay's turn each second, and their ways.
+# Time after the end of a window by which the last reports of all processes usually arrive: one
+# report period, a relay's period of one second, and network delays.
 SETTLE_SECONDS = 2.0
-# The longest wait for counts that are known to be missing: so long after its end a window is told.
-# A report is due ten seconds after it, and a successor needs five if its holder is lost.
-MISSING_SECONDS = 4.5
-# A report is so old at most when it is heard, with its turn in an even sender.
-REPORT_WAY_SECONDS = 0.15
+# Longest wait after the end of a window for counts known to be missing. The report is due ten
+# seconds after the end, and a successor needs five if the lease holder is lost.
+MAX_MISSING_WAIT_SECONDS = 4.5
+# Largest age of a report on receipt, including its wait in the rate-limited sender.
+REPORT_DELAY_SECONDS = 0.15
 STEP_SECONDS = 0.25
-# Processes whose counts are told at a time, so that a report stays within a datagram also when all
-# of a large deployment restart.
+# Processes without a live report whose counts are forwarded at a time, so that a report fits in a
+# datagram even when all of a large deployment restart.
 MAX_DEPARTED = 16
 
 
 class UsageBook:
-    """Counts of all processes, by window.
+    """Usage counts of all processes, by window.
 
     Parameters
     ----------
     process : str
-        This process.
+        Name of this process.
     window : float
         Length of a window in seconds.
     """
@@ -48,46 +48,50 @@
         self._process = process
         self._window = window
         self._counts: dict[int, dict[str, Mapping[str, int]]] = {}
-        self._told_until: dict[str, float] = {}
+        self._received_until: dict[str, float] = {}
 
     def window_at(self, wall: float) -> int:
-        """Return the number of the window that a time of the wall clock lies in."""
+        """Return the number of the window that contains a wall-clock time."""
         return int(wall // self._window)
 
-    def end_of(self, window: int) -> float:
-        """Return the wall clock's time at which a window ends."""
+    def window_end(self, window: int) -> float:
+        """Return the wall-clock time at which a window ends."""
         return (window + 1) * self._window
 
-    def began(self, workspace: str, wall: float) -> None:
-        """Count a request that began to run."""
-        own = self._counts.setdefault(self.window_at(wall), {}).setdefault(self._process, Counter())
-        own[workspace] += 1
+    def count_started(self, workspace: str, wall: float) -> None:
+        """Count a request that started to run."""
+        local = self._counts.setdefault(self.window_at(wall), {}).setdefault(
+            self._process, Counter()
+        )
+        local[workspace] += 1
 
-    def to_tell(self, alive: Collection[str], wall: float) -> ProcessCounts:
-        """Return what the others are told: own counts, and those of processes that are gone.
+    def collect_counts(self, live: Collection[str], wall: float) -> ProcessCounts:
+        """Return the counts to report to peers: those of this process and of departed ones.
 
         Notes
         -----
-        A process that starts in the middle of a rolling restart learns so what those that were
-        stopped before it came had counted.
+        A process that starts in the middle of a rolling restart thus learns the counts of processes
+        that were stopped before it started.
 
         Parameters
         ----------
-        alive : collection of str
-            Processes that tell their counts themselves.
+        live : collection of str
+            Processes that report their own counts.
         """
-        self._forget(self.window_at(wall))
+        self._drop_old_windows(self.window_at(wall))
         found: dict[str, dict[str, Mapping[str, int]]] = {}
         for window, by_process in self._counts.items():
             for process, counts in by_process.items():
-                if process not in alive and (process in found or len(found) < MAX_DEPARTED):
+                if process not in live and (process in found or len(found) < MAX_DEPARTED):
                     found.setdefault(process, {})[str(window)] = counts
         return found
 
-    def counts_of(self, processes: Iterable[str], wall: float, windows: int) -> ProcessCounts:
-        """Return the counts that some processes were heard to have, in the newest windows."""
+    def collect_recent_counts(
+        self, processes: Iterable[str], wall: float, windows: int
+    ) -> ProcessCounts:
+        """Return the received counts of some processes in the newest `windows` windows."""
         newest = self.window_at(wall)
-        self._forget(newest)
+        self._drop_old_windows(newest)
         found: dict[str, dict[str, Mapping[str, int]]] = {}
         for process in processes:
             for window, by_process in self._counts.items():
@@ -95,52 +99,56 @@
                     found.setdefault(process, {})[str(window)] = by_process[process]
         return found
 
-    def _forget(self, window: int) -> None:
+    def _drop_old_windows(self, window: int) -> None:
+        """Drop windows that are too old to be reported at the given current window."""
         for old in [each for each in self._counts if each <= window - KEPT_WINDOWS]:
             del self._counts[old]
-        kept_from = self.end_of(window - KEPT_WINDOWS)
-        for process in [each for each, wall in self._told_until.items() if wall < kept_from]:
-            del self._told_until[process]
+        kept_from = self.window_end(window - KEPT_WINDOWS)
+        for process in [each for each, wall in self._received_until.items() if wall < kept_from]:
+            del self._received_until[process]
 
-    def told_until(self, processes: Iterable[str]) -> dict[str, float]:
-        """Return up to which time of the wall clock the counts of some processes are known."""
-        known = self._told_until
-        return {each: round(known[each], 3) for each in processes if each in known}
+    def received_until(self, processes: Iterable[str]) -> dict[str, float]:
+        """Return the wall-clock time up to which the counts of each process were received."""
+        received = self._received_until
+        return {each: round(received[each], 3) for each in processes if each in received}
 
-    def reported(self, told: ProcessCounts, process: str, wall: float) -> None:
-        """Take the counts in that a process has reported directly, at a time of the wall clock."""
-        self.heard(told, {process: wall - REPORT_WAY_SECONDS})
+    def merge_report(self, update: ProcessCounts, process: str, wall: float) -> None:
+        """Merge the counts that a process has reported directly at a wall-clock time."""
+        self.merge_counts(update, {process: wall - REPORT_DELAY_SECONDS})
 
-    def known_until(self, until: float, members: int, wall: float) -> bool:
-        """Tell whether the counts of so many processes are known up to a time.
+    def is_complete_until(self, until: float, process_count: int, wall: float) -> bool:
+        """Return True if the counts of `process_count` processes are complete to a time.
 
         Parameters
         ----------
         wall : float
-            Wall clock now: this process's own counts are known up to it.
+            Wall clock now: the counts of this process are complete up to it.
         """
-        own = {self._process: wall}
-        return sum(each >= until for each in {**self._told_until, **own}.values()) >= members
+        local = {self._process: wall}
+        return (
+            sum(each >= until for each in {**self._received_until, **local}.values())
+            >= process_count
+        )
 
-    def heard(self, told: ProcessCounts, told_until: Mapping[str, float]) -> None:
-        """Take other processes' counts in; counts only grow.
+    def merge_counts(self, update: ProcessCounts, received_until: Mapping[str, float]) -> None:
+        """Merge other processes' counts; counts only grow.
 
         Parameters
         ----------
-        told_until : mapping of str to float
-            Up to which time of the wall clock the counts of a process are told.
+        received_until : mapping of str to float
+            Wall-clock time up to which the counts of a process are complete.
         """
-        for process, wall in told_until.items():
-            self._told_until[process] = max(wall, self._told_until.get(process, wall))
-        for process, windows in told.items():
+        for process, wall in received_until.items():
+            self._received_until[process] = max(wall, self._received_until.get(process, wall))
+        for process, windows in update.items():
             if process == self._process:
                 continue
             for window, counts in windows.items():
-                known = self._counts.setdefault(int(window), {})
-                known[process] = Counter(known.get(process, {})) | Counter(counts)
+                received = self._counts.setdefault(int(window), {})
+                received[process] = Counter(received.get(process, {})) | Counter(counts)
 
-    def total(self, window: int) -> dict[str, int]:
-        """Return the counts of a window over all processes."""
+    def total_counts(self, window: int) -> dict[str, int]:
+        """Return the counts of a window over all processes, by workspace."""
         total: Counter[str] = Counter()
         for counts in self._counts.get(window, {}).values():
             total.update(counts)
@@ -149,33 +157,33 @@
 
 @dataclass(frozen=True)
 class UsageCoverage:
-    """How far the counts of the other processes are known.
+    """How far the counts of the other processes were received.
 
     Parameters
     ----------
     true_time : callable
         Wall clock, agreed with the other processes.
-    wait : callable
-        Returns the seconds after which a new holder has heard the counts of all processes.
-    processes : callable
-        Returns the number of processes that are heard, this one included.
+    settle_wait : callable
+        Returns the seconds after which a new lease holder has received the counts of all processes.
+    live_count : callable
+        Returns the number of live processes, this one included.
     """
 
     true_time: Callable[[], float]
-    wait: Callable[[], float]
-    processes: Callable[[], int]
+    settle_wait: Callable[[], float]
+    live_count: Callable[[], int]
 
 
 class UsageReporter:
-    """Reports each window once, by the holder of the duty lease.
+    """Leader task that reports each usage window once.
 
-    What will be reported is written to the store first, with the renewal of the lease, so that a
-    successor repeats it exactly.
+    A report is first written to the store, with a renewal of the lease, so that a successor repeats
+    it exactly.
 
     Parameters
     ----------
-    heard : UsageCoverage
-        How far the counts of the other processes are known.
+    coverage : UsageCoverage
+        How far the counts of the other processes were received.
     now : callable
         Time of the timer service.
     """
@@ -187,7 +195,7 @@
         book: UsageBook,
         rules: SharedRules,
         vm_id: str,
-        heard: UsageCoverage,
+        coverage: UsageCoverage,
         now: Callable[[], float],
         metrics: Metrics,
         log: Log,
@@ -198,25 +206,25 @@
         self._book = book
         self._rules = rules
         self._vm_id = vm_id
-        self._heard = heard
+        self._coverage = coverage
         self._now = now
         self._log = log
         self._confirmed: set[str] = set()
-        self._first = book.window_at(heard.true_time())
-        # Windows before this one may have been reported by holders of which the store lost word.
-        self._unknown_before = 0
-        lease.on_restore = self._skip_unknown
+        self._first = book.window_at(coverage.true_time())
+        # Earlier windows may have been reported by holders whose record the store has lost.
+        self._first_known_window = 0
+        lease.on_restore = self._skip_unknown_windows
 
-    def _skip_unknown(self) -> None:
-        """Leave windows out that another holder may have reported: the store lost its word of it.
+    def _skip_unknown_windows(self) -> None:
+        """Skip windows that may have been reported, since a restore has removed the record of it.
 
         Notes
         -----
-        A window that is reported with other counts breaks what the cloud is promised; one that is
-        not is only missing.
+        The cloud requires that repeated reports of a window agree: a report with other counts
+        violates this, while a skipped window is only missing.
         """
-        self._unknown_before = self._book.window_at(self._heard.true_time())
-        self._log.warning("usage windows left out", before=self._unknown_before)
+        self._first_known_window = self._book.window_at(self._coverage.true_time())
+        self._log.warning("usage windows skipped", before=self._first_known_window)
 
     def run(self) -> Task:
         """Report whenever a window is due; never returns."""
@@ -228,43 +236,47 @@
             yield Sleep(STEP_SECONDS, relaxed=True)
 
     def step(self) -> Task:
-        """Write the window that is due into the store, then report what is not yet confirmed."""
+        """Store the window that is due, then send the reports that are not confirmed yet."""
         lease = self._lease.usable_lease()
         if lease is None:
             return
-        has_all_counts = self._now() - lease.acquired_at >= self._heard.wait()
-        window = self._due() if has_all_counts else None
-        if window is not None and not (yield from self._record(window)):
+        has_all_counts = self._now() - lease.acquired_at >= self._coverage.settle_wait()
+        window = self._next_due_window() if has_all_counts else None
+        if window is not None and not (yield from self._store_window(window)):
             return
         for name, counts in sorted(self._lease.state.reports.items()):
             if name not in self._confirmed:
-                yield from self._report(name, counts)
+                yield from self._send_report(name, counts)
 
-    def _due(self) -> int | None:
-        """Return the next window whose counts are complete and not yet in the store.
+    def _next_due_window(self) -> int | None:
+        """Return the next window to store, with complete counts; None if there is none.
 
         Notes
         -----
-        Among many processes some counts come late: on a day with trouble of 89 VMs 9 to 66 in 100
-        were missing in six windows that were told two seconds after their ends.
+        In a large deployment some counts come late: on a day with failures, among 89 VMs, 9 to 66
+        percent were missing in six windows that were reported two seconds after their ends.
         """
-        wall = self._heard.true_time()
+        wall = self._coverage.true_time()
         last = self._book.window_at(wall - SETTLE_SECONDS) - 1
-        end = self._book.end_of(last)
-        heard = self._heard.processes()
-        if wall < end + MISSING_SECONDS and not self._book.known_until(end, heard, wall):
+        end = self._book.window_end(last)
+        live = self._coverage.live_count()
+        if wall < end + MAX_MISSING_WAIT_SECONDS and not self._book.is_complete_until(
+            end, live, wall
+        ):
             last -= 1
         newest = max((int(each) for each in self._lease.state.reports), default=self._first - 1)
-        due = max(newest + 1, last - KEPT_WINDOWS + 2, self._unknown_before)
+        due = max(newest + 1, last - KEPT_WINDOWS + 2, self._first_known_window)
         return due if due <= last else None
 
-    def _record(self, window: int) -> Task:
+    def _store_window(self, window: int) -> Task:
+        """Store the counts of a window with a renewal of the lease; return True on success."""
         reports = dict(self._lease.state.reports)
-        reports[str(window)] = self._book.total(window)
+        reports[str(window)] = self._book.total_counts(window)
         kept = dict(sorted(reports.items(), key=lambda item: int(item[0]))[-KEPT_WINDOWS:])
         return (yield from self._lease.renew(kept))
 
-    def _report(self, name: str, counts: Mapping[str, int]) -> Task:
+    def _send_report(self, name: str, counts: Mapping[str, int]) -> Task:
+        """Send a stored report to the cloud while the lease is held."""
         lease = self._lease.usable_lease()
         if lease is None:
             return
