--- a/flamingofront/process/forwarding/node.py
+++ b/flamingofront/process/forwarding/node.py
@@ -15,7 +15,7 @@
 from flamingofront.decisions.shared_retry import SharedRetryBudget
 from flamingofront.messages import InboundRequest
 from flamingofront.process.counted_store import CountedTableStore
-from flamingofront.process.former_sends import Sender
+from flamingofront.process.former_sends import SenderProcess
 from flamingofront.process.forwarding.control import ControlHandler
 from flamingofront.process.forwarding.duty import LeaderLease
 from flamingofront.process.forwarding.endpoint_row import EndpointRow
@@ -129,7 +129,7 @@
         self._build_requests()
         self._build_peers()
         self._build_leader_tasks()
-        self.store.on_return(self.peers.register_again)
+        self.store.add_restore_listener(self.peers.register_again)
         services = Services(self.tasks, self.timers, rng, self.metrics, log)
         self.held = QuarantineSync(
             self.hub.guard,
@@ -150,7 +150,7 @@
     def _make_recorder(self, rows: IntentRows, services: Services) -> IntentRecorder:
         """Return the recorder of send intents, which are written before each send."""
         settings = self.settings
-        sender = Sender(settings.vm_id, self._dependencies.incarnation, settings.first_start)
+        sender = SenderProcess(settings.vm_id, self._dependencies.incarnation, settings.first_start)
         vanished = UnobservedRemovals(self.store, self._dependencies.tables)
         return IntentRecorder(self.hub, rows, services, sender, self.member_share, vanished.read)
 
@@ -460,7 +460,7 @@
             self.peers.cluster_time,
             self.log,
         )
-        self.store.on_return(rollout_controller.invalidate_rows)
+        self.store.add_restore_listener(rollout_controller.invalidate_rows)
         self.rollouts.on_order = lambda: self.tasks.start(rollout_controller.load_status())
         self.leader_tasks.append(rollout_controller)
 
