--- a/flamingofront/platform/tests/test_adapter.py
+++ b/flamingofront/platform/tests/test_adapter.py
@@ -15,7 +15,7 @@
 from flamingofront.platform.endpoints import decode_endpoint
 from flamingofront.platform.requests import PlatformProtocol
 from flamingofront.platform.settings import parse_settings
-from flamingofront.process.store import EndpointOrder, UsageReport
+from flamingofront.process.store import ScalingRequest, UsageReport
 from flamingofront.version.forwarding import Backend, ForwardedRoute, RequestKind
 
 PACKAGE = Path(__file__).resolve().parents[2]
@@ -224,7 +224,7 @@
     def test_what_a_partition_holds_up_is_given_up_before_the_wait_ends(self):
         cloud = PlatformCloud("127.0.0.1:1", 1.0)
         for task in (
-            cloud.order("front-1", 2, EndpointOrder("s", "z", 1, True)),
+            cloud.request_endpoints("front-1", 2, ScalingRequest("s", "z", 1, True)),
             cloud.report_usage("front-1", 2, UsageReport(7, {})),
         ):
             call = next(task)
--- a/flamingofront/process/control.py
+++ b/flamingofront/process/control.py
@@ -103,7 +103,7 @@
         respond_json(exchange, {})
 
     def _peer_rows(self, req: InboundRequest, exchange: Exchange) -> None:
-        respond_json(exchange, {"rows": self._rows.of(_parse(req)["subject"])})
+        respond_json(exchange, {"rows": self._rows.build_rows(_parse(req)["subject"])})
 
     def _handover(self, req: InboundRequest, exchange: Exchange) -> None:
         if not self._takes_work():
--- a/flamingofront/process/dissemination.py
+++ b/flamingofront/process/dissemination.py
@@ -12,7 +12,10 @@
 
 from flamingofront.decisions.quarantine_facts import QuarantineWord
 from flamingofront.process.membership import Fact, FactTable, Role, VmState
-from flamingofront.process.quarantine_codec import decode_word, encode_word
+from flamingofront.process.quarantine_codec import (
+    decode_quarantine_update,
+    encode_quarantine_update,
+)
 from flamingofront.process.status import StatusRecord, StatusTable
 from flamingofront.version.model import (
     Configuration,
@@ -42,14 +45,14 @@
             "revision": self.revision,
             "hashes": list(self.hashes),
             "records": [each.to_json() for each in self.records],
-            "quarantine": encode_word(self.quarantine),
+            "quarantine": encode_quarantine_update(self.quarantine),
         }
 
     @classmethod
     def from_json(cls, data: dict[str, Any]) -> "Digest":
         """Return the digest that `to_json` was called on."""
         records = tuple(StatusRecord.from_json(each) for each in data["records"])
-        word = decode_word(data.get("quarantine"))
+        word = decode_quarantine_update(data.get("quarantine"))
         return cls(data["sender"], data["revision"], tuple(data["hashes"]), records, word)
 
 
@@ -67,7 +70,7 @@
         return {
             "facts": [each.to_json() for each in self.facts],
             "configuration": None if cfg is None else configuration_to_json(cfg),
-            "quarantine": encode_word(self.quarantine),
+            "quarantine": encode_quarantine_update(self.quarantine),
         }
 
     @classmethod
@@ -77,7 +80,7 @@
         return cls(
             tuple(Fact.from_json(each) for each in data["facts"]),
             None if cfg is None else configuration_from_json(cfg),
-            decode_word(data.get("quarantine")),
+            decode_quarantine_update(data.get("quarantine")),
         )
 
 
--- a/flamingofront/process/forwarding/digests.py
+++ b/flamingofront/process/forwarding/digests.py
@@ -18,7 +18,10 @@
     decode_starts,
     rollout_word,
 )
-from flamingofront.process.quarantine_codec import decode_word, encode_word
+from flamingofront.process.quarantine_codec import (
+    decode_quarantine_update,
+    encode_quarantine_update,
+)
 
 __all__ = [
     "ALL_ZONES",
@@ -146,7 +149,7 @@
             digest.relays,
             digest.usage,
             digest.told_until,
-            encode_word(relay.quarantine),
+            encode_quarantine_update(relay.quarantine),
             encode_limits(relay.limits),
             relay.leaving_endpoints,
             [relay.position, relay.ages],
@@ -200,7 +203,7 @@
         follows=bool(follows),
         leaving=bool(leaving),
         rollouts=rollout_word(rollouts),
-        quarantine=decode_word(quarantine),
+        quarantine=decode_quarantine_update(quarantine),
         # A relay of an earlier version tells none.
         limits=decode_limits(*values[17:18] or ((),)),
         leaving_endpoints=decode_starts(*values[18:19] or ((),)),
--- a/flamingofront/process/forwarding/duty.py
+++ b/flamingofront/process/forwarding/duty.py
@@ -20,7 +20,7 @@
 from flamingofront.messages import Sleep
 from flamingofront.process.forwarding.reports import PeerReport
 from flamingofront.process.logs import Log
-from flamingofront.process.store import RowCondition, RowWrite, StoredRow, TableStore, era_of
+from flamingofront.process.store import RowCondition, RowWrite, StoredRow, TableStore, get_era
 from flamingofront.process.tasks import Task
 
 __all__ = ["DutyLease", "DutyState", "HeldLease"]
@@ -198,7 +198,7 @@
         """
         era = self._era
         found = yield from self._store.read(DUTY_TABLE, DUTY_PART)
-        if era_of(found.version) == era:
+        if get_era(found.version) == era:
             return False
         self._log.warning("duty lease lost", fencing=self._lease.fencing, era=era)
         self._lease = None
@@ -232,7 +232,7 @@
         A store that came back from a copy lacks what was written since. Reports that this process
         knows to have been there may have been sent, and stand.
         """
-        self._era = max(self._era, era_of(version))
+        self._era = max(self._era, get_era(version))
         self._version = row.version if row is not None else 0
         state = _decode(row)
         self._highest_fencing = max(self._highest_fencing, state.fencing)
@@ -324,7 +324,7 @@
         write = RowWrite(DUTY_TABLE, DUTY_KEY, _encode(state))
         outcome = yield from self._store.transact(DUTY_PART, (condition,), (write,))
         if outcome.ok:
-            self._era = max(self._era, era_of(outcome.version))
+            self._era = max(self._era, get_era(outcome.version))
             self._version, self.state = outcome.version, state
             self._highest_fencing = max(self._highest_fencing, state.fencing)
             self._known_reports = dict(state.reports)
--- a/flamingofront/process/forwarding/node.py
+++ b/flamingofront/process/forwarding/node.py
@@ -15,7 +15,7 @@
 from flamingofront.decisions.shared_retry import SharedRetryBudget
 from flamingofront.messages import InboundRequest
 from flamingofront.process.counted_store import CountedTableStore
-from flamingofront.process.former_sends import Sender
+from flamingofront.process.former_sends import SenderProcess
 from flamingofront.process.forwarding.control import ControlCalls
 from flamingofront.process.forwarding.duty import DutyLease
 from flamingofront.process.forwarding.endpoint_row import EndpointRow
@@ -126,7 +126,7 @@
         self._build_requests()
         self._build_peers()
         self._build_duties()
-        self.store.on_return(self.peers.register_again)
+        self.store.add_restore_listener(self.peers.register_again)
         services = Services(self.tasks, self.timers, rng, self.metrics, log)
         self.held = HeldRequests(
             self.hub.guard,
@@ -147,7 +147,7 @@
     def _recorder(self, rows: IntentRows, services: Services) -> IntentRecorder:
         """Return what records requests before they are sent."""
         settings = self.settings
-        sender = Sender(settings.vm_id, self._needs.incarnation, settings.first_start)
+        sender = SenderProcess(settings.vm_id, self._needs.incarnation, settings.first_start)
         vanished = VanishedEndpoints(self.store, self._needs.tables)
         return IntentRecorder(self.hub, rows, services, sender, self.member_share, vanished.read)
 
@@ -446,7 +446,7 @@
             self.peers.true_time,
             self.log,
         )
-        self.store.on_return(rollout_duty.read_again)
+        self.store.add_restore_listener(rollout_duty.read_again)
         self.rollouts.on_order = lambda: self.tasks.start(rollout_duty.look_up())
         self.duties.append(rollout_duty)
 
--- a/flamingofront/process/forwarding/scaling.py
+++ b/flamingofront/process/forwarding/scaling.py
@@ -16,7 +16,7 @@
 from flamingofront.process.forwarding.endpoint_row import EndpointRow
 from flamingofront.process.logs import Log
 from flamingofront.process.metrics import Metrics
-from flamingofront.process.store import Cloud, EndpointOrder
+from flamingofront.process.store import Cloud, ScalingRequest
 from flamingofront.process.tasks import Task
 from flamingofront.version.forwarding import ForwardingConfiguration
 
@@ -140,7 +140,7 @@
                 except PlatformError as exc:
                     self._log.warning("order failed", order=str(order), detail=str(exc))
 
-    def wanted(self) -> Iterable[EndpointOrder]:
+    def wanted(self) -> Iterable[ScalingRequest]:
         """Return the orders that are to be sent now."""
         now = self._now()
         orders = []
@@ -156,7 +156,7 @@
             plan = self._policy.plan(service.scaling, self._known_demand(service.name), state)
             for reclaimable, counts in ((True, plan.reclaimable), (False, plan.firm)):
                 for zone, count in counts.items():
-                    order = EndpointOrder(service.name, zone, count, reclaimable)
+                    order = ScalingRequest(service.name, zone, count, reclaimable)
                     if self._is_needed(order, service.scaling.start_seconds, now):
                         orders.append(order)
         return sorted(orders, key=self._rank)
@@ -224,14 +224,14 @@
             if each.service == service and each.reclaimable is reclaimable and each.ready
         )
 
-    def _rank(self, order: EndpointOrder) -> int:
+    def _rank(self, order: ScalingRequest) -> int:
         """Return in which order to send: first what makes room within the limits at a start."""
         known = self._ordered.get(_subject(order))
         if known is None:
             return 0 if order.count == 0 else 1
         return 2 if order.count < known.granted else 1
 
-    def _is_needed(self, order: EndpointOrder, start_seconds: float, now: float) -> bool:
+    def _is_needed(self, order: ScalingRequest, start_seconds: float, now: float) -> bool:
         """Tell whether an order is to be sent now.
 
         Notes
@@ -263,11 +263,11 @@
     def _has_demand(self, service: str) -> bool:
         return service in self._first_seen
 
-    def _order(self, order: EndpointOrder) -> Task:
+    def _order(self, order: ScalingRequest) -> Task:
         lease = self._lease.held()
         if lease is None:
             return
-        granted = yield from self._cloud.order(self._vm_id, lease.fencing, order)
+        granted = yield from self._cloud.request_endpoints(self._vm_id, lease.fencing, order)
         result = "granted" if granted else "refused"
         self._metrics.count("orders_total", kind="endpoints", result=result)
         now = self._now()
@@ -309,5 +309,5 @@
     return start_seconds + REFUSED_SECONDS if live < wanted else REPEAT_SECONDS
 
 
-def _subject(order: EndpointOrder) -> _Subject:
+def _subject(order: ScalingRequest) -> _Subject:
     return _Subject(order.service, order.zone, order.reclaimable)
--- a/flamingofront/process/forwarding/tests/test_restored_store.py
+++ b/flamingofront/process/forwarding/tests/test_restored_store.py
@@ -20,8 +20,8 @@
     usage,
 )
 from flamingofront.process.forwarding.tests.test_rollouts import Rollout
-from flamingofront.process.holds import HOLD_TABLE
-from flamingofront.process.store import RowCondition, RowWrite, position, version_of
+from flamingofront.process.holds import QUARANTINE_TABLE
+from flamingofront.process.store import RowCondition, RowWrite, get_era_version, make_revision
 from flamingofront.standins.forward_endpoint import ForwardFault
 from flamingofront.standins.table_store import StoreFault
 from flamingofront.tests.crashing_world import CONTACT_SECONDS, crashing_world
@@ -109,7 +109,7 @@
         repeat(world, "/write/x", seconds=3.0)
         restore(world, 12.0)
         world.run(CONTACT_SECONDS)
-        assert len(world.store.rows(HOLD_TABLE)) == 1
+        assert len(world.store.rows(QUARANTINE_TABLE)) == 1
         ends = len(world.ends_under(POISON))
         for name in list(world.fronts):
             world.kill(name)
@@ -142,9 +142,9 @@
         world.store.restore(0.8)
         world.heal()
         other = world.fronts["front-2"].store
-        while world.store.rows("own").get("key", (b"", 0))[1] < version_of(first.version):
+        while world.store.rows("own").get("key", (b"", 0))[1] < get_era_version(first.version):
             known = world.store.rows("own").get("key", (b"", 0))[1]
-            condition = RowCondition("own", "key", position(1, known) if known else 0)
+            condition = RowCondition("own", "key", make_revision(1, known) if known else 0)
             task = other.transact("", (condition,), (RowWrite("own", "key", b"other"),))
             world.fronts["front-2"].tasks.start(task, outcomes.append)
             world.run(0.1)
--- a/flamingofront/process/node.py
+++ b/flamingofront/process/node.py
@@ -15,8 +15,8 @@
 from flamingofront.process.documents import DocumentStore
 from flamingofront.process.drain import DrainController, DrainState
 from flamingofront.process.expiry import Sweeper
-from flamingofront.process.former_sends import Sender
-from flamingofront.process.holds import DocumentHolds, HoldKeeper
+from flamingofront.process.former_sends import SenderProcess
+from flamingofront.process.holds import DocumentQuarantine, QuarantineStore
 from flamingofront.process.intent_rows import DocumentIntents
 from flamingofront.process.intents import IntentRecorder
 from flamingofront.process.leases import LeaseKeeper
@@ -95,7 +95,7 @@
         self._exchanges = 0
         self.documents = documents
         self.tasks = TaskRunner(transport, timers, self._fault)
-        documents.on_return(lambda: self.tasks.start(self._write_again()))
+        documents.add_restore_listener(lambda: self.tasks.start(self._write_again()))
         self._headers = _peer_headers(settings.control_token)
         self._build_membership(incarnation)
         self._build_requests(transport, incarnation)
@@ -199,7 +199,7 @@
         """Write what the store has lost by coming back from a copy, until that is done."""
         while True:
             try:
-                count = yield from self.documents.write_again()
+                count = yield from self.documents.rewrite_recent()
             except PlatformError as exc:
                 self.metrics.count("platform_errors_total", operation="write_again")
                 self.log.info("lost documents not written yet", detail=str(exc))
@@ -215,17 +215,19 @@
         self.gossip.on_word = guard.merge_update
         guard.on_update = lambda: self.links.push(Push(quarantine=guard.build_update()))
         guard.entry_start_times = self._starts
-        self._hold_rows = DocumentHolds(self.documents)
+        self._hold_rows = DocumentQuarantine(self.documents)
         services = Services(self.tasks, self.timers, self._rng, self.metrics, self.log)
-        self.holds = HoldKeeper(guard, self._hold_rows, services, HOLDS_SECONDS + SLACK_SECONDS)
+        self.holds = QuarantineStore(
+            guard, self._hold_rows, services, HOLDS_SECONDS + SLACK_SECONDS
+        )
         self._recorder = IntentRecorder(
             self.hub,
             DocumentIntents(self.documents),
             services,
-            Sender(self.settings.vm_id, incarnation),
+            SenderProcess(self.settings.vm_id, incarnation),
             lambda: self.limits.capacity_share(),
         )
-        self.documents.on_return(self._recorder.write_again)
+        self.documents.add_restore_listener(self._recorder.rewrite_intents)
 
     def _starts(self) -> list[float]:
         """Return when the entry processes that are known began, on the wall clock."""
@@ -237,10 +239,10 @@
         while True:
             try:
                 for each in (yield from self._hold_rows.read_all()):
-                    self.holds.take(each)
+                    self.holds.merge_entry(each)
                 kept = yield from self._hold_rows.read_evidence()
                 for fingerprint, ends in kept.items():
-                    self.holds.take_evidence(fingerprint, ends)
+                    self.holds.merge_evidence(fingerprint, ends)
             except PlatformError as exc:
                 self.metrics.count("platform_errors_total", operation="holds")
                 self.log.info("holds not read", detail=str(exc))
@@ -289,7 +291,7 @@
             self.timers,
             self.links,
             self._rng,
-            self.rows.of,
+            self.rows.build_rows,
             self.put_in_force,
         )
         self.control = ControlInterface(
@@ -319,7 +321,7 @@
         self.sweeper = Sweeper(
             self.documents,
             self.timers.wall,
-            lambda: self.lease.current() is not None,
+            lambda: self.lease.valid_lease() is not None,
             self._rng,
         )
 
--- a/flamingofront/process/quarantine_codec.py
+++ b/flamingofront/process/quarantine_codec.py
@@ -9,15 +9,15 @@
 
 __all__ = [
     "decode_evidence",
-    "decode_hold",
-    "decode_word",
+    "decode_quarantine_entry",
+    "decode_quarantine_update",
     "encode_evidence",
-    "encode_hold",
-    "encode_word",
+    "encode_quarantine_entry",
+    "encode_quarantine_update",
 ]
 
 
-def encode_word(word: QuarantineWord | None) -> list | None:
+def encode_quarantine_update(word: QuarantineWord | None) -> list | None:
     """Return the JSON values of what is told; lists without names, as it is told often."""
     if word is None:
         return None
@@ -28,7 +28,7 @@
     ]
 
 
-def decode_word(value: Any) -> QuarantineWord | None:
+def decode_quarantine_update(value: Any) -> QuarantineWord | None:
     """Return what was told.
 
     Raises
@@ -75,7 +75,7 @@
     )
 
 
-def encode_hold(hold: Hold) -> dict[str, Any]:
+def encode_quarantine_entry(hold: Hold) -> dict[str, Any]:
     """Return a hold as it is kept in the store, with names for whoever reads it there."""
     return {
         "fingerprint": hold.fingerprint,
@@ -87,7 +87,7 @@
     }
 
 
-def decode_hold(key: str, value: Any) -> Hold:
+def decode_quarantine_entry(key: str, value: Any) -> Hold:
     """Return a hold as it was kept.
 
     Raises
--- a/flamingofront/process/rows.py
+++ b/flamingofront/process/rows.py
@@ -60,7 +60,7 @@
             "counters": self._counters,
         }
 
-    def of(self, subject: str) -> Rows:
+    def build_rows(self, subject: str) -> Rows:
         """Return the rows of a subject."""
         return self._makers[subject]()
 
@@ -184,14 +184,14 @@
         return rows
 
     def _leases(self) -> Rows:
-        views = [self._state.lease.view()]
+        views = [self._state.lease.get_view()]
         return [
             {
                 "lease": view.name,
                 "vm": self._vm_id,
                 "holder": view.holder,
                 "fencing": view.fencing,
-                "held": view.held_here,
+                "held": view.is_held,
             }
             for view in views
         ]
--- a/flamingofront/process/tests/test_intents.py
+++ b/flamingofront/process/tests/test_intents.py
@@ -8,7 +8,7 @@
 from flamingofront.errors import PlatformError
 from flamingofront.process.forwarding.duty import DUTY_TABLE
 from flamingofront.process.intent_rows import INTENT_TABLE, decode_record, encode_record
-from flamingofront.process.intent_state import WRITES_AT_ONCE
+from flamingofront.process.intent_state import WRITE_BURST
 from flamingofront.process.intents import ALL_WRITES_PER_SECOND
 from flamingofront.process.tests.test_holds import JSON
 from flamingofront.tests.crashing_world import CONTACT_SECONDS, crashing_world
@@ -130,7 +130,7 @@
             world.run(0.005)
         seconds = 400 * 0.005
         duties = 10 * seconds
-        bound = seconds * ALL_WRITES_PER_SECOND + 3 * (WRITES_AT_ONCE + 2 * seconds) + duties
+        bound = seconds * ALL_WRITES_PER_SECOND + 3 * (WRITE_BURST + 2 * seconds) + duties
         assert world.store.version - before <= bound
         world.run(8.0)
         assert all(each.done for each in callers)
