--- a/flamingofront/process/former_sends.py
+++ b/flamingofront/process/former_sends.py
@@ -29,7 +29,7 @@
 MAX_PROBES = 8
 # Crashes that are found within this time are reported to the guard in one batch.
 BATCH_DELAY_SECONDS = 0.02
-MAX_CRASHED = 1024
+MAX_CRASHED_ENDPOINTS = 1024
 _BACKOFF = Backoff(0.1, 1.0)
 
 
@@ -112,7 +112,7 @@
         Any request that another process had recorded at the endpoint may have caused the crash.
         """
         self._crashed[endpoint_id] = None
-        while len(self._crashed) > MAX_CRASHED:
+        while len(self._crashed) > MAX_CRASHED_ENDPOINTS:
             self._crashed.popitem(last=False)
         if self._is_reload_scheduled:
             return
--- a/flamingofront/process/tests/test_documents.py
+++ b/flamingofront/process/tests/test_documents.py
@@ -19,7 +19,7 @@
 from flamingofront.tests.network import FakeTransport
 from flamingofront.tests.world import World
 
-LARGE = "x" * (2 * MAX_ROW_BYTES)
+LARGE_VALUE = "x" * (2 * MAX_ROW_BYTES)
 
 
 class DocumentClient:
@@ -98,9 +98,9 @@
 
 class TestLargeDocuments:
     def test_value_that_is_too_large_for_a_row_is_stored_as_an_object(self, store):
-        store.write(Write("large", LARGE), Write("small", 1))
+        store.write(Write("large", LARGE_VALUE), Write("small", 1))
         large, small = store.read("large", "small")
-        assert (large.value, small.value) == (LARGE, 1)
+        assert (large.value, small.value) == (LARGE_VALUE, 1)
         assert list(store.platform.store.objects) == [large.object_name]
         assert not small.object_name
         assert all(
@@ -111,13 +111,13 @@
     def test_failure_of_the_object_store_writes_no_document(self, store):
         store.platform.fail("objects", FaultMode.LOSE_ANSWER)
         with pytest.raises(PlatformError) as caught:
-            store.write(Write("large", LARGE))
+            store.write(Write("large", LARGE_VALUE))
         assert not caught.value.maybe_done
         store.platform.fail("objects", FaultMode.UP)
         assert store.read("large")[0].revision == 0
 
     def test_object_of_a_deleted_document_can_be_dropped_repeatedly(self, store):
-        store.write(Write("large", LARGE))
+        store.write(Write("large", LARGE_VALUE))
         (large,) = store.read("large")
         store.write(Write("large", None))
         store.run(store.documents.drop_object(large))
@@ -125,22 +125,22 @@
         assert store.platform.store.objects == {}
 
     def test_replacing_deletes_the_old_object_and_a_failed_replace_changes_nothing(self, store):
-        store.write(Write("large", LARGE))
+        store.write(Write("large", LARGE_VALUE))
         (old,) = store.read("large")
-        assert store.run(store.documents.replace(old, LARGE + "y", Write("other", 1)))
+        assert store.run(store.documents.replace(old, LARGE_VALUE + "y", Write("other", 1)))
         (new,) = store.read("large")
         assert list(store.platform.store.objects) == [new.object_name]
-        assert not store.run(store.documents.replace(old, LARGE + "z"))
-        assert store.read("large")[0].value == LARGE + "y"
+        assert not store.run(store.documents.replace(old, LARGE_VALUE + "z"))
+        assert store.read("large")[0].value == LARGE_VALUE + "y"
 
     def test_replacing_a_value_by_itself_keeps_its_object(self, store):
-        store.write(Write("large", LARGE))
+        store.write(Write("large", LARGE_VALUE))
         (row,) = store.read("large")
-        assert store.run(store.documents.replace(row, LARGE))
-        assert store.read("large")[0].value == LARGE
+        assert store.run(store.documents.replace(row, LARGE_VALUE))
+        assert store.read("large")[0].value == LARGE_VALUE
 
     def test_missing_object_is_an_error_and_not_an_empty_document(self, store):
-        store.write(Write("large", LARGE))
+        store.write(Write("large", LARGE_VALUE))
         store.platform.store.objects.clear()
         with pytest.raises(PlatformError, match="object of document large not found"):
             store.read("large")
--- a/flamingofront/process/tests/test_holds.py
+++ b/flamingofront/process/tests/test_holds.py
@@ -76,11 +76,12 @@
 
 class TestStore:
     def build_entry(self, world, fingerprint="f-1", **changes):
+        """Return a new entry whose first trial is due in 20 s, with some fields changed."""
         now = world.clock.now()
         values = {"endpoints": ("e-1",), "since": now, "next_trial": now + 20.0, **changes}
         return Hold(fingerprint, **values)
 
-    def read_stored(self, world):
+    def read_stored_entries(self, world):
         """Return the quarantine entries in the store by key."""
         return {
             key: decode_quarantine_entry(key, row[0])
@@ -93,10 +94,10 @@
         node = world.fronts["front-1"]
         node.hub.guard.on_quarantine_change(self.build_entry(world), True)
         world.run(5.0)
-        assert not self.read_stored(world)
+        assert not self.read_stored_entries(world)
         world.store.fault = StoreFault.NONE
         world.run(3.0)
-        assert set(self.read_stored(world)) == {"f-1"}
+        assert set(self.read_stored_entries(world)) == {"f-1"}
         assert all(each.hub.guard.quarantine_entry("f-1") for each in world.fronts.values())
 
     def test_entry_that_all_processes_found_is_written_once(self):
@@ -106,7 +107,7 @@
         for number, node in enumerate(world.fronts.values()):
             node.hub.guard.on_quarantine_change(entry, number == 0)
         world.run(4.0)
-        assert set(self.read_stored(world)) == {"f-1"}
+        assert set(self.read_stored_entries(world)) == {"f-1"}
         lease_writes = sum(each.lease.holding() is not None for each in world.fronts.values()) * 5
         assert world.store.version - before <= 1 + lease_writes
 
--- a/flamingofront/process/tests/test_leases.py
+++ b/flamingofront/process/tests/test_leases.py
@@ -13,8 +13,8 @@
 from flamingofront.standins.platform import FaultMode
 from flamingofront.tests.world import World, demo_world
 
-DURATION = 6.0
-TAKEOVER_DELAY = 2.0
+LEASE_SECONDS = 6.0
+TAKEOVER_DELAY_SECONDS = 2.0
 
 
 class Keepers:
@@ -26,9 +26,10 @@
         for number in range(count):
             host = self.world._host(f"keeper-{number}", f"zone-{number}")
             host.handler = lambda req, exchange: None
-            self.start(host, number)
+            self.start_keeper(host, number)
 
-    def start(self, host, number):
+    def start_keeper(self, host, number):
+        """Start a process on a host that tries to acquire and renew the lease."""
         from flamingofront.process.tasks import TaskRunner
         from flamingofront.tests.network import FakeTransport
 
@@ -45,13 +46,14 @@
             f"keeper-{number}/1",
             host.timers.now,
             random.Random(number),
-            DURATION,
-            TAKEOVER_DELAY,
+            LEASE_SECONDS,
+            TAKEOVER_DELAY_SECONDS,
         )
         runner.start(keeper.run())
         self.keepers.append(keeper)
 
     def list_holders(self):
+        """Return the keepers that hold a valid lease by their own clock."""
         return [each for each in self.keepers if each.valid_lease() is not None]
 
 
@@ -68,7 +70,7 @@
         name = f"keeper-{pair.keepers.index(first)}"
         old = first.valid_lease().fencing
         pair.world.pause(name)
-        pair.world.run(DURATION + TAKEOVER_DELAY + 6.0)
+        pair.world.run(LEASE_SECONDS + TAKEOVER_DELAY_SECONDS + 6.0)
         # The clock advanced while the holder was paused, so its lease is invalid at the next check.
         assert first.valid_lease() is None
         (second,) = pair.list_holders()
@@ -83,7 +85,7 @@
         pair = Keepers()
         pair.world.run(5.0)
         pair.world.platform.fail("table", mode)
-        pair.world.run(DURATION + 3.0)
+        pair.world.run(LEASE_SECONDS + 3.0)
         assert pair.list_holders() == []
         pair.world.platform.fail("table", FaultMode.UP)
         pair.world.run(20.0)
@@ -102,7 +104,7 @@
         TaskRunner(FakeTransport(pair.world, host), host.timers, print).start(task)
         pair.world.pause(f"keeper-{number}")
         pair.world.host(f"keeper-{number}").paused = False
-        assert pair.world.run_until(lambda: pair.list_holders(), 5.0) < DURATION
+        assert pair.world.run_until(lambda: pair.list_holders(), 5.0) < LEASE_SECONDS
 
 
 class LeaseFuzz(RuleBasedStateMachine):
@@ -147,6 +149,7 @@
 
 class TestOrders:
     def load_other_model(self, world, name):
+        """Make an engine serve a model that is not the configured one."""
         world.engines[name].model = "other"
 
     def test_holder_makes_engines_load_the_configured_model(self):
@@ -206,7 +209,7 @@
             "h/1",
             lambda: 0.0,
             random.Random(1),
-            DURATION,
+            LEASE_SECONDS,
         )
         task = keeper.run()
         next(task)
