--- a/flamingofront/platform/tests/test_adapter.py
+++ b/flamingofront/platform/tests/test_adapter.py
@@ -116,7 +116,7 @@
             b' "spot": true, "leaves_ms": 2500, "sequence": 7, "slots": 8, "version": "v1",'
             b' "cold_left_ms": 0, "born": 1764721441000}',
         )
-        assert row.position == (1764721441000, 7)
+        assert row.order_key == (1764721441000, 7)
         assert (row.ready, row.reclaimable, row.leaves_in, row.sequence) == (False, True, 2.5, 7)
 
     @pytest.mark.parametrize("data", [b"", b"{}", b"[1]", b'{"service": 1}', b"\xff\xfe", b"1e999"])
@@ -203,7 +203,7 @@
         host, _, port = row.address.rpartition(":")
         assert host.count(".") == 3 and 0 < int(port) < 65536
         assert type(row.slots) is int and row.slots >= 0
-        assert row.position >= (0, 0) and row.ready in (True, False)
+        assert row.order_key >= (0, 0) and row.ready in (True, False)
 
 
 class TestErrorAnswers:
--- a/flamingofront/process/dissemination.py
+++ b/flamingofront/process/dissemination.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass, replace
 from typing import Any
 
-from flamingofront.decisions.quarantine_facts import QuarantineWord
+from flamingofront.decisions.quarantine_facts import QuarantineUpdate
 from flamingofront.process.membership import Fact, FactTable, Role, VmState
 from flamingofront.process.quarantine_codec import (
     decode_quarantine_update,
@@ -36,7 +36,7 @@
     revision: int
     hashes: tuple[int, ...]
     records: tuple[StatusRecord, ...]
-    quarantine: QuarantineWord | None = None
+    quarantine: QuarantineUpdate | None = None
 
     def to_json(self) -> dict[str, Any]:
         """Return the digest as JSON values."""
@@ -62,7 +62,7 @@
 
     facts: tuple[Fact, ...] = ()
     configuration: Configuration | None = None
-    quarantine: QuarantineWord | None = None
+    quarantine: QuarantineUpdate | None = None
 
     def to_json(self) -> dict[str, Any]:
         """Return the push as JSON values."""
@@ -142,8 +142,8 @@
         self.facts = FactTable()
         self.statuses = StatusTable()
         self.configuration = Configuration()
-        self.word: Callable[[], QuarantineWord | None] = lambda: None
-        self.on_word: Callable[[QuarantineWord | None], None] = lambda word: None
+        self.word: Callable[[], QuarantineUpdate | None] = lambda: None
+        self.on_word: Callable[[QuarantineUpdate | None], None] = lambda word: None
         self._rng = rng
         self._on_configuration = on_configuration
         self._on_facts = on_facts
--- a/flamingofront/process/former_sends.py
+++ b/flamingofront/process/former_sends.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass
 
 from flamingofront.connection.interfaces import Reach
-from flamingofront.decisions.quarantine_facts import EndpointEnd, RecordedSends
+from flamingofront.decisions.quarantine_facts import EndpointCrash, IntentSummary
 from flamingofront.decisions.send_intents import IntentRecord, SendIntent
 from flamingofront.errors import PlatformError
 from flamingofront.messages import Sleep
@@ -258,8 +258,10 @@
                 if send.endpoint_id in self._crashed and not self.is_local(send):
                     named = (versioned.record.fingerprint, send)
                     at_endpoint.setdefault(send.endpoint_id, []).append(named)
-            summary = RecordedSends(len(versioned.record.sends), frozenset(versioned.record.unseen))
-            self._guard.quarantine.take_record(versioned.record.fingerprint, summary)
+            summary = IntentSummary(
+                len(versioned.record.sends), frozenset(versioned.record.unobserved)
+            )
+            self._guard.quarantine.merge_intents(versioned.record.fingerprint, summary)
         crashes = tuple(_build_crash(each) for each in at_endpoint.values())
         for crash in crashes:
             self._log.info(
@@ -272,7 +274,7 @@
         self._guard.load_evidence(crashes)
 
 
-def _build_crash(sends: list[tuple[str, SendIntent]]) -> EndpointEnd:
+def _build_crash(sends: list[tuple[str, SendIntent]]) -> EndpointCrash:
     """Return the crash of one endpoint, reconstructed from the sends recorded there.
 
     Parameters
@@ -285,4 +287,4 @@
     at = max(send.at for _, send in sends)
     # Other requests may have been in flight there: a request that an endpoint has answered before
     # is not recorded.
-    return EndpointEnd(first.endpoint_id, first.zone, at, fingerprints, untold=1)
+    return EndpointCrash(first.endpoint_id, first.zone, at, fingerprints, omitted=1)
--- a/flamingofront/process/forwarding/digests.py
+++ b/flamingofront/process/forwarding/digests.py
@@ -15,8 +15,8 @@
     PeerReport,
     ProcessCounts,
     decode_ages,
+    decode_rollouts,
     decode_starts,
-    rollout_word,
 )
 from flamingofront.process.quarantine_codec import (
     decode_quarantine_update,
@@ -130,7 +130,7 @@
         relay = digest.relay
         identity = [relay.vm_id, relay.incarnation, relay.sequence, relay.zone, relay.ip]
         state = [relay.address, relay.configuration, relay.endpoints, relay.rollouts]
-        flags = [relay.cut_off, relay.follows, relay.leaving]
+        flags = [relay.store_unreachable, relay.follows, relay.leaving]
         claim = digest.claim
         values = [
             identity,
@@ -202,7 +202,7 @@
         cut_off=bool(cut_off),
         follows=bool(follows),
         leaving=bool(leaving),
-        rollouts=rollout_word(rollouts),
+        rollouts=decode_rollouts(rollouts),
         quarantine=decode_quarantine_update(quarantine),
         # A relay of an earlier version tells none.
         limits=decode_limits(*values[17:18] or ((),)),
--- a/flamingofront/process/forwarding/tests/test_restored_store.py
+++ b/flamingofront/process/forwarding/tests/test_restored_store.py
@@ -57,7 +57,7 @@
         world.run(3.0)
         for node in world.fronts.values():
             assert node.configuration.version == 7
-            assert "plain-9" in {each.endpoint_id for each in node.knowledge.endpoints.rows()}
+            assert "plain-9" in {each.endpoint_id for each in node.store_view.endpoints.rows()}
 
     def test_configuration_does_not_go_back(self):
         world = ready_world(fronts=3)
@@ -184,11 +184,11 @@
             world.finish(world.ask(f"front-{1 + number % 3}", "/read/x"))
             world.run(0.2)
         first = holder(world)
-        fencing = world.fronts[first].lease.holding().fencing
+        fencing = world.fronts[first].lease.valid_lease().fencing
         restore(world, 6.0, out=0.3)
         world.run(2.0)
         assert holder(world) == first
-        assert world.fronts[first].lease.holding().fencing == fencing
+        assert world.fronts[first].lease.valid_lease().fencing == fencing
         world.run(12.0)
         windows = sorted(usage(world))
         assert windows == list(range(windows[0], windows[-1] + 1))
--- a/flamingofront/process/held_rows.py
+++ b/flamingofront/process/held_rows.py
@@ -24,7 +24,7 @@
 def held_rows(vm_id: str, guard: RequestGuard) -> list[dict[str, Any]]:
     """Return one row for each request that a process has quarantined, suspects or has recorded."""
     records = {each.fingerprint: each for each in guard.intents.known_records()}
-    quarantined = {each.fingerprint for each in guard.quarantine.holds()}
+    quarantined = {each.fingerprint for each in guard.quarantine.list_entries()}
     fingerprints = sorted({*quarantined, *guard.suspects(), *records})
     return [{"vm": vm_id, **_build_row(guard, each, records.get(each))} for each in fingerprints]
 
@@ -34,7 +34,7 @@
 ) -> dict[str, Any]:
     """Return the columns of one request, without the VM id; ages and delays are in seconds."""
     wall, entry = guard.wall(), guard.quarantine_entry(fingerprint)
-    crashes = guard.quarantine.ends_under(fingerprint)
+    crashes = guard.quarantine.get_crashes(fingerprint)
     names = entry.endpoints if entry is not None else [each.endpoint_id for each in crashes]
     since = entry.since if entry is not None else max((each.at for each in crashes), default=None)
     return {
@@ -45,6 +45,6 @@
         "trials": entry.trials if entry is not None else None,
         "next_trial_in": round(entry.next_trial - wall, 1) if entry is not None else None,
         "recorded_sends": len(record.sends) if record is not None else 0,
-        "unseen_ends": len(record.unseen) if record is not None else 0,
+        "unseen_ends": len(record.unobserved) if record is not None else 0,
         "waiting": guard.intents.count_waiting(fingerprint),
     }
--- a/flamingofront/process/holds.py
+++ b/flamingofront/process/holds.py
@@ -11,8 +11,13 @@
 
 import orjson
 
-from flamingofront.decisions.quarantine import MAX_HOLDS
-from flamingofront.decisions.quarantine_facts import EndpointEnd, Hold, is_forgotten, is_over
+from flamingofront.decisions.quarantine import MAX_ENTRIES
+from flamingofront.decisions.quarantine_facts import (
+    EndpointCrash,
+    QuarantineEntry,
+    is_entry_expired,
+    is_expired,
+)
 from flamingofront.errors import PlatformError
 from flamingofront.messages import Sleep
 from flamingofront.process.backoff import Backoff
@@ -57,7 +62,7 @@
 class VersionedEntry:
     """A stored quarantine entry and the version of its row."""
 
-    entry: Hold
+    entry: QuarantineEntry
     version: int
 
 
@@ -65,7 +70,7 @@
     """Storage of quarantine entries and of crash evidence."""
 
     @abstractmethod
-    def write(self, entry: Hold, version: int) -> Task:
+    def write(self, entry: QuarantineEntry, version: int) -> Task:
         """Write an entry if its row has the given version; return True if it was written.
 
         Parameters
@@ -93,7 +98,7 @@
     def __init__(self, store: TableStore):
         self._store = store
 
-    def write(self, entry: Hold, version: int) -> Task:
+    def write(self, entry: QuarantineEntry, version: int) -> Task:
         """Write an entry if its row has the given version; return True if it was written."""
         condition = RowCondition(QUARANTINE_TABLE, entry.fingerprint, version)
         row = RowWrite(
@@ -134,7 +139,7 @@
     def __init__(self, documents: DocumentStore):
         self._documents = documents
 
-    def write(self, entry: Hold, version: int) -> Task:
+    def write(self, entry: QuarantineEntry, version: int) -> Task:
         """Write an entry if its document has the given revision; return True if it was written."""
         key = QUARANTINE_PREFIX + entry.fingerprint
         result = yield from self._documents.transact(
@@ -223,7 +228,7 @@
         self._metrics = services.metrics
         self._log = services.log
         self._versions: dict[str, int] = {}
-        self._stored: dict[str, Hold] = {}
+        self._stored: dict[str, QuarantineEntry] = {}
         guard.on_quarantine_change = self._on_entry_change
         guard.acquire_trial = self._acquire_trial
         guard.on_evidence = lambda evidence: self._tasks.start(self._store_evidence(evidence))
@@ -231,7 +236,7 @@
     def merge_entry(self, versioned: VersionedEntry) -> None:
         """Pass an entry from the store to the guard; delete it from the store if it has expired."""
         fingerprint = versioned.entry.fingerprint
-        if is_forgotten(versioned.entry, self._guard.wall()):
+        if is_entry_expired(versioned.entry, self._guard.wall()):
             self._tasks.start(self._delete_expired(versioned))
             return
         if self._versions.get(fingerprint, 0) < versioned.version:
@@ -242,7 +247,7 @@
         """Cache an entry as stored; keep at most as many entries as the guard does."""
         self._versions[versioned.entry.fingerprint] = versioned.version
         self._stored[versioned.entry.fingerprint] = versioned.entry
-        while len(self._stored) > MAX_HOLDS:
+        while len(self._stored) > MAX_ENTRIES:
             oldest = next(iter(self._stored))
             del self._stored[oldest]
             self._versions.pop(oldest, None)
@@ -273,9 +278,9 @@
                 self._metrics.count("platform_errors_total", operation="hold")
                 self._log.warning("quarantine row rejected", work=row.key, detail=str(exc))
 
-    def merge_evidence(self, fingerprint: str, crashes: tuple[EndpointEnd, ...]) -> None:
+    def merge_evidence(self, fingerprint: str, crashes: tuple[EndpointCrash, ...]) -> None:
         """Pass stored crashes of a request to the guard; delete them if all have expired."""
-        if all(is_over(each.at, self._guard.wall()) for each in crashes):
+        if all(is_expired(each.at, self._guard.wall()) for each in crashes):
             self._tasks.start(self._store_evidence({fingerprint: ()}))
         else:
             self._guard.load_evidence(crashes)
@@ -284,14 +289,14 @@
         """Store all entries again after the store was restored from an older snapshot."""
         self._versions.clear()
         self._stored.clear()
-        for entry in self._guard.quarantine.holds():
+        for entry in self._guard.quarantine.list_entries():
             self._on_entry_change(entry, is_local=False)
 
-    def _on_entry_change(self, entry: Hold, is_local: bool) -> None:
+    def _on_entry_change(self, entry: QuarantineEntry, is_local: bool) -> None:
         """Start to store an entry that is new or was released from quarantine."""
         self._tasks.start(self._store_entry(entry, is_local))
 
-    def _store_entry(self, entry: Hold, is_local: bool) -> Task:
+    def _store_entry(self, entry: QuarantineEntry, is_local: bool) -> Task:
         """Write an entry until the store has it, or one that supersedes it.
 
         Parameters
@@ -334,12 +339,12 @@
             else:
                 return
 
-    def _is_unstored(self, entry: Hold) -> bool:
+    def _is_unstored(self, entry: QuarantineEntry) -> bool:
         """Return True unless the store is known to have this entry or one that supersedes it."""
         stored = self._stored.get(entry.fingerprint)
         return stored is None or stored.rank < entry.rank
 
-    def _write_entry(self, entry: Hold) -> Task:
+    def _write_entry(self, entry: QuarantineEntry) -> Task:
         """Write an entry over the cached version of its row, then reload the row."""
         fingerprint = entry.fingerprint
         is_written = yield from self._rows.write(entry, self._versions.get(fingerprint, 0))
@@ -357,11 +362,11 @@
             self._cache_entry(versioned)
             self._guard.load_entry(versioned.entry)
 
-    def _acquire_trial(self, entry: Hold, on_done: Callable[[bool], None]) -> None:
+    def _acquire_trial(self, entry: QuarantineEntry, on_done: Callable[[bool], None]) -> None:
         """Start to claim a trial; `on_done` is called with True if it was granted."""
         self._tasks.start(self._claim_trial(entry), on_done)
 
-    def _claim_trial(self, entry: Hold) -> Task:
+    def _claim_trial(self, entry: QuarantineEntry) -> Task:
         """Claim a trial by one conditional write; return True if it was granted.
 
         No trial is granted while the store does not respond.
--- a/flamingofront/process/intent_rows.py
+++ b/flamingofront/process/intent_rows.py
@@ -37,7 +37,7 @@
 
 def encode_record(record: IntentRecord) -> dict[str, Any]:
     """Return an intent record as a JSON object, as it is stored."""
-    return {"sends": [asdict(each) for each in record.sends], "unseen": list(record.unseen)}
+    return {"sends": [asdict(each) for each in record.sends], "unseen": list(record.unobserved)}
 
 
 def decode_record(fingerprint: str, value: Any) -> IntentRecord:
--- a/flamingofront/process/intents.py
+++ b/flamingofront/process/intents.py
@@ -12,7 +12,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from flamingofront.decisions.quarantine_facts import is_over
+from flamingofront.decisions.quarantine_facts import is_expired
 from flamingofront.decisions.send_intents import (
     UNANSWERED_WAIT_SECONDS,
     IntentPolicy,
@@ -181,7 +181,7 @@
             return True
         if len(self._pending) + len(self._waiting) >= MAX_PENDING_SENDS:
             return False
-        return self._policy.is_recorded(fingerprint, service, self._timers.now())
+        return self._policy.must_record(fingerprint, service, self._timers.now())
 
     def record_send(
         self, details: SendDetails, on_ready: Callable[[RecordOutcome], None]
@@ -230,7 +230,7 @@
         """Delete the records of a request to which an endpoint has responded."""
         if not self._local_sends and not self._cache.by_fingerprint:
             return
-        self._policy.answered(fingerprint)
+        self._policy.record_response(fingerprint)
         for handle in [
             each for each in self._local_sends.values() if each.fingerprint == fingerprint
         ]:
@@ -251,7 +251,7 @@
 
     def _remove_unless_crashed(self, handle: _SendHandle) -> None:
         """Remove a send from its record if its endpoint has not crashed."""
-        if handle.intent.endpoint_id not in self._guard.quarantine.ended_endpoints():
+        if handle.intent.endpoint_id not in self._guard.quarantine.get_crashed_endpoints():
             self.remove_send(handle)
 
     def remove_send(self, handle: _SendHandle) -> None:
@@ -287,7 +287,7 @@
         Any recorded request may have caused it, so this process adds the endpoint to its records.
         """
         service = self._directory.service_of(endpoint_id)
-        if self._policy.unseen_end(endpoint_id, service, self._timers.now()):
+        if self._policy.record_unobserved_crash(endpoint_id, service, self._timers.now()):
             self._log.info("recording of sends enabled", service=service, endpoint=endpoint_id)
         local = {handle.fingerprint for handle in self._local_sends.values()}
         changed = [each for each in self._cache.by_fingerprint if each in local]
@@ -303,7 +303,7 @@
         """Mark records for deletion whose sends are too old to be evidence."""
         now = self._guard.wall()
         for fingerprint, versioned in self._cache.by_fingerprint.items():
-            if all(is_over(each.at, now) for each in versioned.record.sends):
+            if all(is_expired(each.at, now) for each in versioned.record.sends):
                 self._cache.to_delete[fingerprint] = None
         if self._cache.to_delete:
             self._schedule_cleanup()
@@ -431,7 +431,7 @@
 
     def _build_record(self, fingerprint: str, handles: list[_SendHandle]) -> IntentRecord:
         """Return the record of a request with further sends and the unobserved crashes."""
-        record = self._cache.get_record(fingerprint).with_unseen(self._policy.unseen())
+        record = self._cache.get_record(fingerprint).with_unobserved(self._policy.get_unobserved())
         return record.with_sends(tuple(each.intent for each in handles))
 
     def _remove_stored_send(self, handle: _SendHandle) -> None:
@@ -542,5 +542,5 @@
                 send.endpoint_id
             )
             if send.vm_id == self._sender.vm_id and is_closed:
-                record = record.without(send)
-        return record.with_unseen(self._policy.unseen())
+                record = record.without_send(send)
+        return record.with_unobserved(self._policy.get_unobserved())
--- a/flamingofront/process/node.py
+++ b/flamingofront/process/node.py
@@ -425,7 +425,7 @@
         self.metrics.gauge("requests_in_flight", len(self.hub.active))
         self.metrics.gauge("requests_waiting", self.hub.count_queued())
         self.metrics.gauge("requests_suspected", len(self.hub.guard.suspects()))
-        self.metrics.gauge("requests_held", len(self.hub.guard.quarantine.holds()))
+        self.metrics.gauge("requests_held", len(self.hub.guard.quarantine.list_entries()))
         self.metrics.gauge("configuration_revision", self.gossip.configuration.revision)
         self.metrics.gauge("ready", int(self.ready))
         for state in VmState:
--- a/flamingofront/process/quarantine_codec.py
+++ b/flamingofront/process/quarantine_codec.py
@@ -4,7 +4,12 @@
 
 import orjson
 
-from flamingofront.decisions.quarantine_facts import EndpointEnd, Hold, QuarantineWord, Release
+from flamingofront.decisions.quarantine_facts import (
+    EndpointCrash,
+    QuarantineEntry,
+    QuarantineUpdate,
+    Release,
+)
 from flamingofront.errors import PlatformError
 
 __all__ = [
@@ -17,7 +22,7 @@
 ]
 
 
-def encode_quarantine_update(update: QuarantineWord | None) -> list | None:
+def encode_quarantine_update(update: QuarantineUpdate | None) -> list | None:
     """Return the JSON values of an update, None if there is no update.
 
     Notes
@@ -28,15 +33,15 @@
         return None
     return [
         [
-            [each.endpoint_id, each.zone, each.at, each.requests, each.untold]
-            for each in update.ends
+            [each.endpoint_id, each.zone, each.at, each.requests, each.omitted]
+            for each in update.crashes
         ],
-        [_entry_to_list(each) for each in update.holds],
-        [[each.fingerprint, each.at] for each in update.released],
+        [_entry_to_list(each) for each in update.entries],
+        [[each.fingerprint, each.at] for each in update.releases],
     ]
 
 
-def decode_quarantine_update(value: Any) -> QuarantineWord | None:
+def decode_quarantine_update(value: Any) -> QuarantineUpdate | None:
     """Return the update that another process has sent, None if it has sent none.
 
     Raises
@@ -48,10 +53,12 @@
         return None
     try:
         crash_values, entry_values, release_values = value
-        return QuarantineWord(
+        return QuarantineUpdate(
             tuple(
-                EndpointEnd(str(name), str(zone), float(at), tuple(map(str, requests)), int(untold))
-                for name, zone, at, requests, untold in crash_values
+                EndpointCrash(
+                    str(name), str(zone), float(at), tuple(map(str, requests)), int(omitted)
+                )
+                for name, zone, at, requests, omitted in crash_values
             ),
             tuple(_entry_from_list(each) for each in entry_values),
             tuple(Release(str(fingerprint), float(at)) for fingerprint, at in release_values),
@@ -60,7 +67,7 @@
         raise ValueError(f"malformed quarantine update: {exc!r:.100}") from exc
 
 
-def _entry_to_list(entry: Hold) -> list:
+def _entry_to_list(entry: QuarantineEntry) -> list:
     """Return the fields of an entry in the order in which updates contain them."""
     return [
         entry.fingerprint,
@@ -68,24 +75,24 @@
         entry.since,
         entry.trials,
         entry.next_trial,
-        entry.lifted,
+        entry.is_released,
     ]
 
 
-def _entry_from_list(values: Any) -> Hold:
+def _entry_from_list(values: Any) -> QuarantineEntry:
     """Return the entry with these fields; raises a built-in error if they are malformed."""
-    fingerprint, endpoints, since, trials, next_trial, lifted = values
-    return Hold(
+    fingerprint, endpoints, since, trials, next_trial, is_released = values
+    return QuarantineEntry(
         str(fingerprint),
         tuple(map(str, endpoints)),
         float(since),
         int(trials),
         float(next_trial),
-        bool(lifted),
+        bool(is_released),
     )
 
 
-def encode_quarantine_entry(entry: Hold) -> dict[str, Any]:
+def encode_quarantine_entry(entry: QuarantineEntry) -> dict[str, Any]:
     """Return a quarantine entry as a JSON object with field names, as it is stored."""
     return {
         "fingerprint": entry.fingerprint,
@@ -93,11 +100,11 @@
         "since": entry.since,
         "trials": entry.trials,
         "next_trial": entry.next_trial,
-        "lifted": entry.lifted,
+        "lifted": entry.is_released,
     }
 
 
-def decode_quarantine_entry(key: str, value: Any) -> Hold:
+def decode_quarantine_entry(key: str, value: Any) -> QuarantineEntry:
     """Return a quarantine entry from its stored value.
 
     Parameters
@@ -128,7 +135,7 @@
         raise PlatformError(f"malformed quarantine entry {key}: {exc!r:.100}") from exc
 
 
-def encode_evidence(evidence: tuple[EndpointEnd, ...]) -> dict[str, Any]:
+def encode_evidence(evidence: tuple[EndpointCrash, ...]) -> dict[str, Any]:
     """Return the crashes attributed to one request as a JSON object, as they are stored."""
     return {
         "ends": [
@@ -137,7 +144,7 @@
     }
 
 
-def decode_evidence(fingerprint: str, value: Any) -> tuple[EndpointEnd, ...]:
+def decode_evidence(fingerprint: str, value: Any) -> tuple[EndpointCrash, ...]:
     """Return the stored crashes that are attributed to one request.
 
     Parameters
@@ -153,7 +160,7 @@
     try:
         doc = orjson.loads(value) if isinstance(value, bytes) else value
         return tuple(
-            EndpointEnd(
+            EndpointCrash(
                 str(each["endpoint"]), str(each["zone"]), float(each["at"]), (fingerprint,), 1
             )
             for each in doc["ends"]
--- a/flamingofront/process/tests/test_holds.py
+++ b/flamingofront/process/tests/test_holds.py
@@ -8,13 +8,13 @@
 from hypothesis import strategies as st
 
 from flamingofront.decisions.quarantine_facts import (
-    FORGOTTEN_SECONDS,
-    SUSPECTED_SECONDS,
-    EndpointEnd,
-    Hold,
-    QuarantineWord,
+    ENTRY_LIFETIME_SECONDS,
+    EVIDENCE_LIFETIME_SECONDS,
+    EndpointCrash,
+    QuarantineEntry,
+    QuarantineStatus,
+    QuarantineUpdate,
     Release,
-    Standing,
 )
 from flamingofront.errors import PlatformError
 from flamingofront.process.holds import EVIDENCE_PREFIX, QUARANTINE_TABLE
@@ -29,9 +29,9 @@
 from flamingofront.standins.table_store import StoreFault
 from flamingofront.tests.forwarding_world import ready_world
 
-UPDATE = QuarantineWord(
-    (EndpointEnd("e-1", "zone-a", 12.5, ("f-1", "f-2"), 3),),
-    (Hold("f-1", ("e-1", "e-2"), 12.5, 1, 32.5, False),),
+UPDATE = QuarantineUpdate(
+    (EndpointCrash("e-1", "zone-a", 12.5, ("f-1", "f-2"), 3),),
+    (QuarantineEntry("f-1", ("e-1", "e-2"), 12.5, 1, 32.5, False),),
     (Release("f-3", 11.0),),
 )
 JSON = st.recursive(
@@ -60,12 +60,12 @@
         except ValueError as exc:
             assert "malformed" in str(exc)
         else:
-            assert found is None or isinstance(found, QuarantineWord)
+            assert found is None or isinstance(found, QuarantineUpdate)
 
     @given(JSON)
     def test_malformed_entry_raises_an_error_with_its_key(self, value):
         try:
-            assert isinstance(decode_quarantine_entry("f-1", value), Hold)
+            assert isinstance(decode_quarantine_entry("f-1", value), QuarantineEntry)
         except PlatformError as exc:
             assert "f-1" in str(exc)
 
@@ -79,7 +79,7 @@
         """Return a new entry whose first trial is due in 20 s, with some fields changed."""
         now = world.clock.now()
         values = {"endpoints": ("e-1",), "since": now, "next_trial": now + 20.0, **changes}
-        return Hold(fingerprint, **values)
+        return QuarantineEntry(fingerprint, **values)
 
     def read_stored_entries(self, world):
         """Return the quarantine entries in the store by key."""
@@ -108,7 +108,9 @@
             node.hub.guard.on_quarantine_change(entry, number == 0)
         world.run(4.0)
         assert set(self.read_stored_entries(world)) == {"f-1"}
-        lease_writes = sum(each.lease.holding() is not None for each in world.fronts.values()) * 5
+        lease_writes = (
+            sum(each.lease.valid_lease() is not None for each in world.fronts.values()) * 5
+        )
         assert world.store.version - before <= 1 + lease_writes
 
     @pytest.mark.parametrize("seed", range(10))
@@ -134,10 +136,10 @@
 
     def test_expired_rows_are_deleted(self):
         world = ready_world()
-        old = world.clock.now() - SUSPECTED_SECONDS - 1
-        evidence = (EndpointEnd("e-1", "zone-a", old, ("f-2",), 1),)
+        old = world.clock.now() - EVIDENCE_LIFETIME_SECONDS - 1
+        evidence = (EndpointCrash("e-1", "zone-a", old, ("f-2",), 1),)
         world.store.put(QUARANTINE_TABLE, EVIDENCE_PREFIX + "f-2", encode_evidence(evidence))
-        entry = self.build_entry(world, since=world.clock.now() - FORGOTTEN_SECONDS - 1)
+        entry = self.build_entry(world, since=world.clock.now() - ENTRY_LIFETIME_SECONDS - 1)
         world.store.put(QUARANTINE_TABLE, "f-1", encode_quarantine_entry(entry))
         world.run(1.0)
         assert not world.store.rows(QUARANTINE_TABLE)
@@ -147,12 +149,14 @@
         world = ready_world()
         guard = world.fronts["front-1"].hub.guard
         now = world.clock.now()
-        evidence = [EndpointEnd(f"e-{each}", f"zone-{each}", now, ("f-2",), 1) for each in range(2)]
+        evidence = [
+            EndpointCrash(f"e-{each}", f"zone-{each}", now, ("f-2",), 1) for each in range(2)
+        ]
         world.store.put(QUARANTINE_TABLE, EVIDENCE_PREFIX + "f-2", encode_evidence(tuple(evidence)))
         world.run(5.0)
-        assert guard.quarantine_status("f-2") is Standing.SUSPECTED
-        guard.load_evidence((EndpointEnd("e-9", "zone-9", now + 5.0, ("f-2",)),))
-        assert guard.quarantine_status("f-2") is Standing.HELD
+        assert guard.quarantine_status("f-2") is QuarantineStatus.SUSPECTED
+        guard.load_evidence((EndpointCrash("e-9", "zone-9", now + 5.0, ("f-2",)),))
+        assert guard.quarantine_status("f-2") is QuarantineStatus.QUARANTINED
 
     @given(JSON)
     def test_malformed_evidence_raises_an_error_with_its_fingerprint(self, value):
--- a/flamingofront/process/tests/test_intents.py
+++ b/flamingofront/process/tests/test_intents.py
@@ -6,7 +6,7 @@
 
 from flamingofront.decisions.send_intents import IntentRecord, SendIntent
 from flamingofront.errors import PlatformError
-from flamingofront.process.forwarding.duty import DUTY_TABLE
+from flamingofront.process.forwarding.duty import LEADER_TABLE
 from flamingofront.process.intent_rows import INTENT_TABLE, decode_record, encode_record
 from flamingofront.process.intent_state import WRITE_BURST
 from flamingofront.process.intents import MAX_CLUSTER_WRITES_PER_SECOND
@@ -75,7 +75,7 @@
         (record,) = read_records(world).values()
         (send,) = record.sends
         assert send.vm_id == "front-0"
-        assert len(record.unseen) == 3
+        assert len(record.unobserved) == 3
 
     def test_repeated_send_is_stored_before_it_reaches_its_endpoint(self):
         world = recording_world()
@@ -170,7 +170,7 @@
         caller = world.ask("front-0", "/stream/once/x", body=BODY)
         world.finish(caller)
         assert caller.status == 200
-        assert world.store.rows(DUTY_TABLE, DUTY_TABLE)
+        assert world.store.rows(LEADER_TABLE, LEADER_TABLE)
 
 
 class TestStartOfRecording:
--- a/flamingofront/tests/test_crashing_requests.py
+++ b/flamingofront/tests/test_crashing_requests.py
@@ -60,7 +60,7 @@
         world.poison.add(POISON)
         repeat(world, "/stream/once/x", seconds=10.0)
         assert world.sent_late(POISON) <= MAX_SENT_LATE
-        assert all(each.hub.guard.quarantine.holds() for each in world.fronts.values())
+        assert all(each.hub.guard.quarantine.list_entries() for each in world.fronts.values())
 
     @pytest.mark.parametrize("path", ["/stream/again/x", "/write/x"])
     def test_many_that_come_at_once_again_and_again(self, path):
@@ -281,7 +281,7 @@
             world.run(0.5)
         world.run(5.0)
         assert self.refused(callers) == 0
-        assert not any(each.hub.guard.quarantine.holds() for each in world.fronts.values())
+        assert not any(each.hub.guard.quarantine.list_entries() for each in world.fronts.values())
 
     @pytest.mark.parametrize("seed", range(3))
     def test_request_on_the_connection_of_an_endpoint_that_had_ended_was_not_there(self, seed):
@@ -309,7 +309,7 @@
             world.run(4.0)
         world.run(5.0)
         assert self.refused(callers) == 0
-        held = [each.hub.guard.quarantine.holds() for each in world.fronts.values()]
+        held = [each.hub.guard.quarantine.list_entries() for each in world.fronts.values()]
         assert not any(held)
 
     @pytest.mark.parametrize(
@@ -405,7 +405,7 @@
         rows = world.store.rows(QUARANTINE_TABLE)
         assert not [each for each in rows if each.startswith(EVIDENCE_PREFIX)]
         (kept,) = [decode_quarantine_entry(key, row[0]) for key, row in rows.items()]
-        assert kept.lifted
+        assert kept.is_released
 
     def test_only_one_of_many_processes_gets_the_trial(self):
         world = crashing_world()
