--- a/flamingofront/process/forwarding/follower.py
+++ b/flamingofront/process/forwarding/follower.py
@@ -146,7 +146,7 @@
                 self._version = None
             except PlatformError as exc:
                 self._record_failure(exc)
-                yield Sleep(BACKOFF.delay(self._failures - 1, self._rng))
+                yield Sleep(BACKOFF.compute_delay(self._failures - 1, self._rng))
 
     def step(self) -> Task:
         """Read the whole table, or long-poll its next changes."""
--- a/flamingofront/process/forwarding/tests/test_endpoints.py
+++ b/flamingofront/process/forwarding/tests/test_endpoints.py
@@ -176,7 +176,7 @@
     def test_restart_revives_endpoint_marked_gone_elsewhere(self):
         harness = ViewHarness()
         harness.view.merge_row(self.FIRST)
-        harness.facts.mark("i-1", VmState.GONE)
+        harness.facts.advance_state("i-1", VmState.GONE)
         harness.view.merge_row(self.SECOND)
         assert harness.state() is VmState.LIVE
 
--- a/flamingofront/process/holds.py
+++ b/flamingofront/process/holds.py
@@ -318,7 +318,7 @@
                     self._log.warning(
                         "quarantine entry not stored yet", work=entry.fingerprint, detail=str(exc)
                     )
-                yield Sleep(_BACKOFF.delay(tries, self._rng))
+                yield Sleep(_BACKOFF.compute_delay(tries, self._rng))
                 tries += 1
 
     def _store_evidence(self, evidence: Evidence) -> Task:
@@ -335,7 +335,7 @@
                     self._log.info(
                         "crash evidence not stored yet", work=list(evidence), detail=str(exc)
                     )
-                yield Sleep(_BACKOFF.delay(tries, self._rng))
+                yield Sleep(_BACKOFF.compute_delay(tries, self._rng))
             else:
                 return
 
--- a/flamingofront/process/limits.py
+++ b/flamingofront/process/limits.py
@@ -20,7 +20,7 @@
         self._timers = timers
 
     def _heard_peers(self) -> list[StatusRecord]:
-        heard = self._gossip.statuses.heard(self._timers.now())
+        heard = self._gossip.statuses.live_records(self._timers.now())
         return [each for each in heard if each.vm_id != self._gossip.own_id]
 
     def _member_count(self) -> int:
--- a/flamingofront/process/node.py
+++ b/flamingofront/process/node.py
@@ -211,8 +211,8 @@
     def _guard_endpoints(self, incarnation: int) -> None:
         """Tell the others what crashes endpoints, and keep it in the store."""
         guard = self.hub.guard
-        self.gossip.word = guard.build_update
-        self.gossip.on_word = guard.merge_update
+        self.gossip.build_quarantine_update = guard.build_update
+        self.gossip.on_quarantine_update = guard.merge_update
         guard.on_update = lambda: self.links.push(Push(quarantine=guard.build_update()))
         guard.entry_start_times = self._starts
         self._hold_rows = DocumentQuarantine(self.documents)
@@ -261,7 +261,7 @@
             settings.zone,
             settings.list_period,
             self._notice,
-            self.put_in_force,
+            self.activate_configuration,
             self._listed,
             self._vanished,
         )
@@ -292,7 +292,7 @@
             self.links,
             self._rng,
             self.rows.build_rows,
-            self.put_in_force,
+            self.activate_configuration,
         )
         self.control = ControlInterface(
             self.settings.control_token,
@@ -382,7 +382,7 @@
             self._leave()
 
     def _tell_leaving(self) -> None:
-        facts = self.gossip.facts.mark(self.settings.vm_id, VmState.LEAVING)
+        facts = self.gossip.facts.advance_state(self.settings.vm_id, VmState.LEAVING)
         if facts:
             self.links.push(Push(facts=facts))
 
@@ -416,7 +416,7 @@
     def _gossip_round(self) -> None:
         self.links.exchange()
         now = self.timers.now()
-        for record in self.gossip.statuses.heard(now):
+        for record in self.gossip.statuses.live_records(now):
             if record.vm_id != self.settings.vm_id:
                 self.directory.apply_load_reports(record.loads, now)
         self._set_gauges()
@@ -438,7 +438,7 @@
         self._exchanges += 1
 
     def _listed(self, facts: list[Fact]) -> None:
-        self.links.push(self.gossip.take_facts(facts))
+        self.links.push(self.gossip.merge_facts(facts))
 
     def _vanished(self, vm_id: str) -> None:
         if vm_id != self.settings.vm_id:
@@ -448,7 +448,7 @@
         """Take note that a VM leaves or is gone, and tell the peers."""
         fact = self.gossip.facts.get(vm_id)
         if fact is not None:
-            self.links.push(self.gossip.take_facts([replace(fact, state=state)]))
+            self.links.push(self.gossip.merge_facts([replace(fact, state=state)]))
 
     def _notice(self, vm_id: str, seconds: float) -> None:
         """Take a reclaim notice."""
@@ -491,9 +491,9 @@
 
     # Configuration
 
-    def put_in_force(self, cfg: Configuration) -> None:
+    def activate_configuration(self, cfg: Configuration) -> None:
         """Put a configuration in force here and push it to the peers."""
-        self.links.push(self.gossip.take_configuration(cfg))
+        self.links.push(self.gossip.apply_configuration(cfg))
 
     def _configuration_changed(self, cfg: Configuration) -> None:
         self.metrics.count("configurations_total")
