--- a/bench/mutations.py
+++ b/bench/mutations.py
@@ -89,15 +89,15 @@
     Mutation(
         "4 digests repair",
         "process/peers.py",
-        "            self._tasks.start(self._exchange_with(address))",
+        "            self._tasks.start(self._exchange_digests_with(address))",
         "            pass",
         "process/tests/test_configuration.py",
     ),
     Mutation(
         "4 facts only grow",
         "process/membership.py",
-        "if known is not None and known.rank >= fact.rank:",
-        "if known is not None and known.rank == fact.rank:",
+        "if current is not None and current.rank >= fact.rank:",
+        "if current is not None and current.rank == fact.rank:",
         "process/tests/test_leaving.py",
     ),
     Mutation(
@@ -138,7 +138,7 @@
     Mutation(
         "6 ready only with a known revision",
         "process/node.py",
-        "return self.watch.revision_read_failed and heard_peer and known",
+        "return self.watch.revision_read_failed and has_exchanged and has_configuration",
         "return self.watch.revision_read_failed",
         "process/tests/test_configuration.py",
     ),
--- a/bench/quarantine_mutations.py
+++ b/bench/quarantine_mutations.py
@@ -108,7 +108,7 @@
     Mutation(
         "Q processes of the product tell one another",
         "process/node.py",
-        "        self.gossip.on_word = guard.merge_update\n",
+        "        self.gossip.on_quarantine_update = guard.merge_update\n",
         "",
         PRODUCT,
     ),
--- a/flamingofront/process/__init__.py
+++ b/flamingofront/process/__init__.py
@@ -1,3 +1,3 @@
-"""What lives for a process: timers, membership, leases, platform access, logs, metrics."""
+"""Process-wide components: timers, membership, leases, platform access, logs, metrics."""
 
 __all__ = []
--- a/flamingofront/process/backoff.py
+++ b/flamingofront/process/backoff.py
@@ -1,4 +1,4 @@
-"""Exponential backoff with full jitter."""
+"""Exponential backoff with jitter."""
 
 import random
 from dataclasses import dataclass
@@ -8,24 +8,26 @@
 
 @dataclass(frozen=True)
 class Backoff:
-    """Delays between tries.
+    """Delays between attempts.
 
     Parameters
     ----------
-    first, longest : float
-        Bounds of the delay in seconds.
+    first_seconds : float
+        Upper bound of the first delay.
+    max_seconds : float
+        Upper bound of every delay.
     """
 
-    first: float = 0.05
-    longest: float = 2.0
+    first_seconds: float = 0.05
+    max_seconds: float = 2.0
 
-    def delay(self, tries: int, rng: random.Random) -> float:
-        """Return the seconds to wait after `tries` failed tries.
+    def compute_delay(self, failures: int, rng: random.Random) -> float:
+        """Return the seconds to wait after `failures` failed attempts.
 
         Notes
         -----
         The jitter covers the upper half of the range, so that retries of many processes spread out
-        but none comes back at once.
+        but none retries immediately.
         """
-        ceiling = min(self.longest, self.first * 2 ** min(tries, 30))
+        ceiling = min(self.max_seconds, self.first_seconds * 2 ** min(failures, 30))
         return ceiling * (0.5 + 0.5 * rng.random())
--- a/flamingofront/process/dissemination.py
+++ b/flamingofront/process/dissemination.py
@@ -1,8 +1,8 @@
-"""Spread facts, status and configuration among the entry processes.
+"""Gossip of facts, status and configuration between entry processes.
 
-News is pushed at once to a few peers, which push it on when it was news to them; a periodic
-exchange of digests with random peers repairs what the pushes missed. Decisions only: messages go
-in and out.
+A change is pushed at once to a few peers, which forward it if it is new to them; a periodic
+anti-entropy exchange of digests with random peers repairs lost pushes. The classes here do no I/O:
+they take and return messages.
 """
 
 import random
@@ -22,12 +22,27 @@
 
 __all__ = ["Digest", "DigestReply", "Dissemination", "Push"]
 
+# Number of peers that each change is pushed to.
 PUSH_FANOUT = 4
 
 
 @dataclass(frozen=True)
 class Digest:
-    """What one process tells another in the periodic exchange."""
+    """Summary of a process's state, sent in the periodic anti-entropy exchange.
+
+    Parameters
+    ----------
+    sender : str
+        VM id of the sending process.
+    revision : int
+        Revision of the sender's active configuration.
+    hashes : tuple of int
+        Hash of each bucket of the sender's facts.
+    records : tuple of StatusRecord
+        The sender's own status record and some that it received.
+    quarantine : QuarantineWord or None
+        Quarantine update, None if there is nothing to send.
+    """
 
     sender: str
     revision: int
@@ -47,15 +62,15 @@
 
     @classmethod
     def from_json(cls, data: dict[str, Any]) -> "Digest":
-        """Return the digest that `to_json` was called on."""
+        """Return the digest encoded by `to_json`."""
         records = tuple(StatusRecord.from_json(each) for each in data["records"])
-        word = decode_word(data.get("quarantine"))
-        return cls(data["sender"], data["revision"], tuple(data["hashes"]), records, word)
+        update = decode_word(data.get("quarantine"))
+        return cls(data["sender"], data["revision"], tuple(data["hashes"]), records, update)
 
 
 @dataclass(frozen=True)
 class Push:
-    """Facts, a configuration or word of what crashes endpoints, sent because they are news."""
+    """Changed facts, a new configuration or a quarantine update, sent without being requested."""
 
     facts: tuple[Fact, ...] = ()
     configuration: Configuration | None = None
@@ -72,7 +87,7 @@
 
     @classmethod
     def from_json(cls, data: dict[str, Any]) -> "Push":
-        """Return the push that `to_json` was called on."""
+        """Return the push encoded by `to_json`."""
         cfg = data["configuration"]
         return cls(
             tuple(Fact.from_json(each) for each in data["facts"]),
@@ -83,7 +98,17 @@
 
 @dataclass(frozen=True)
 class DigestReply:
-    """Answer to a digest: what the sender lacks, and what this process would like to have."""
+    """Reply to a digest.
+
+    Parameters
+    ----------
+    digest : Digest
+        Digest of the replying process.
+    push : Push
+        Facts and configuration that the sender of the first digest may lack.
+    wanted_buckets : tuple of int
+        Buckets whose facts the replying process requests.
+    """
 
     digest: Digest
     push: Push
@@ -99,67 +124,67 @@
 
     @classmethod
     def from_json(cls, data: dict[str, Any]) -> "DigestReply":
-        """Return the reply that `to_json` was called on."""
+        """Return the reply encoded by `to_json`."""
         return cls(
             Digest.from_json(data["digest"]), Push.from_json(data["push"]), tuple(data["wanted"])
         )
 
 
 class Dissemination:
-    """The gossip decisions of one process.
+    """Gossip state and protocol of one process.
 
     Parameters
     ----------
     own : Fact
-        The fact about this process.
+        Membership fact about this process.
     on_configuration : callable
-        Gets each configuration with a higher revision than the one before.
+        Called with each configuration of a higher revision than the last.
     on_facts : callable
-        Gets the facts that were news.
-    own_record : callable
-        Returns the current status record of this process.
+        Called with the facts that changed.
+    build_status_record : callable
+        Returns a current status record of this process.
 
     Attributes
     ----------
-    word : callable
-        Returns what is to be told of requests that crash endpoints.
-    on_word : callable
-        Gets what others tell of them.
+    build_quarantine_update : callable
+        Returns the quarantine update to send, None if there is nothing to send.
+    on_quarantine_update : callable
+        Called with each quarantine update received, None if a message had none.
     """
 
     def __init__(
         self,
-        own: Fact,
+        local_fact: Fact,
         rng: random.Random,
         on_configuration: Callable[[Configuration], None],
         on_facts: Callable[[tuple[Fact, ...]], None],
-        own_record: Callable[[], StatusRecord],
+        build_status_record: Callable[[], StatusRecord],
     ):
-        self.own_id = own.vm_id
+        self.own_id = local_fact.vm_id
         self.facts = FactTable()
         self.statuses = StatusTable()
         self.configuration = Configuration()
-        self.word: Callable[[], QuarantineWord | None] = lambda: None
-        self.on_word: Callable[[QuarantineWord | None], None] = lambda word: None
+        self.build_quarantine_update: Callable[[], QuarantineWord | None] = lambda: None
+        self.on_quarantine_update: Callable[[QuarantineWord | None], None] = lambda update: None
         self._rng = rng
         self._on_configuration = on_configuration
         self._on_facts = on_facts
-        self._own_record = own_record
-        self.facts.merge((own,))
+        self._build_status_record = build_status_record
+        self.facts.merge((local_fact,))
 
     def set_address(self, address: str) -> None:
-        """Change the address of this process, before anybody was told of it."""
-        own = self.facts.get(self.own_id)
+        """Set the address of this process; must be called before the first message is sent."""
+        local_fact = self.facts.get(self.own_id)
         self.facts.clear()
-        self.facts.merge((replace(own, address=address),))
+        self.facts.merge((replace(local_fact, address=address),))
 
     def peers(self) -> tuple[Fact, ...]:
-        """Return the other entry processes that are not gone."""
+        """Return the facts of all other entry processes, live or leaving."""
         members = self.facts.select(Role.ENTRY) + self.facts.select(Role.ENTRY, VmState.LEAVING)
         return tuple(each for each in members if each.vm_id != self.own_id)
 
     def pick_peers(self, count: int) -> list[Fact]:
-        """Return random peers, at least one of them in another zone where there is one."""
+        """Return up to `count` random peers, at least one of them in another zone if possible."""
         peers = self.peers()
         if len(peers) <= count:
             return list(peers)
@@ -171,71 +196,73 @@
                 picked[0] = self._rng.choice(elsewhere)
         return picked
 
-    def take_facts(self, facts: Iterable[Fact]) -> Push | None:
-        """Merge facts; return the push to send on if any was news."""
-        news = self.facts.merge(facts)
-        if not news:
+    def merge_facts(self, facts: Iterable[Fact]) -> Push | None:
+        """Merge facts; return the changed ones as a push to forward, None if none changed."""
+        changed = self.facts.merge(facts)
+        if not changed:
             return None
-        for fact in news:
+        for fact in changed:
             if fact.state is VmState.GONE:
                 self.statuses.forget(fact.vm_id)
-        self._on_facts(news)
-        return Push(facts=news)
+        self._on_facts(changed)
+        return Push(facts=changed)
 
-    def take_configuration(self, cfg: Configuration) -> Push | None:
-        """Put a configuration in force if it is newer; return the push to send on."""
+    def apply_configuration(self, cfg: Configuration) -> Push | None:
+        """Activate a configuration if it is newer; return the push to forward, else None."""
         if cfg.revision <= self.configuration.revision:
             return None
         self.configuration = cfg
         self._on_configuration(cfg)
         return Push(configuration=cfg)
 
-    def take_push(self, push: Push) -> Push | None:
-        """Take a peer's push; return what of it was news and should be pushed on."""
-        self.on_word(push.quarantine)
-        facts = self.take_facts(push.facts)
-        cfg = None if push.configuration is None else self.take_configuration(push.configuration)
+    def apply_push(self, push: Push) -> Push | None:
+        """Apply a peer's push; return its new content to forward, None if nothing was new."""
+        self.on_quarantine_update(push.quarantine)
+        facts = self.merge_facts(push.facts)
+        cfg = None if push.configuration is None else self.apply_configuration(push.configuration)
         if facts is None and cfg is None:
             return None
         return Push(facts.facts if facts else (), cfg.configuration if cfg else None)
 
     def make_digest(self, now: float) -> Digest:
-        """Return the digest for a periodic exchange."""
-        records = self.statuses.relay(self._own_record(), now, self._rng)
+        """Return a digest of the current state for a periodic exchange."""
+        records = self.statuses.select_for_digest(self._build_status_record(), now, self._rng)
         return Digest(
             self.own_id,
             self.configuration.revision,
             self.facts.hashes(),
             tuple(records),
-            self.word(),
+            self.build_quarantine_update(),
         )
 
     def answer_digest(self, digest: Digest, now: float) -> DigestReply:
-        """Take a peer's digest and answer it."""
+        """Merge a peer's digest and return the reply."""
         self.statuses.merge(digest.records, now)
-        self.on_word(digest.quarantine)
-        differing = self.facts.differing(digest.hashes)
+        self.on_quarantine_update(digest.quarantine)
+        differing = self.facts.find_differing_buckets(digest.hashes)
         newer = self.configuration.revision > digest.revision
-        push = Push(self.facts.in_buckets(differing), self.configuration if newer else None)
+        push = Push(
+            self.facts.list_facts_in_buckets(differing), self.configuration if newer else None
+        )
         return DigestReply(self.make_digest(now), push, differing)
 
-    def take_reply(self, reply: DigestReply, now: float) -> tuple[Push | None, Push | None]:
-        """Take the answer to an own digest.
+    def apply_reply(self, reply: DigestReply, now: float) -> tuple[Push | None, Push | None]:
+        """Apply a peer's reply to a digest of this process.
 
         Returns
         -------
         to_peer : Push or None
-            What the peer lacks.
+            Facts and configuration that the peer lacks.
         onward : Push or None
-            What was news here and should be pushed to others.
+            Content that was new here, to forward to other peers.
         """
         self.statuses.merge(reply.digest.records, now)
-        self.on_word(reply.digest.quarantine)
-        missing = self.facts.in_buckets(reply.wanted_buckets)
+        self.on_quarantine_update(reply.digest.quarantine)
+        requested = self.facts.list_facts_in_buckets(reply.wanted_buckets)
         newer = self.configuration.revision > reply.digest.revision
-        onward = self.take_push(reply.push)
-        known = frozenset(reply.push.facts)
-        lacking = tuple(each for each in missing if each not in known)
+        onward = self.apply_push(reply.push)
+        received = frozenset(reply.push.facts)
+        lacking = tuple(each for each in requested if each not in received)
         to_peer = None
         if lacking or newer:
             to_peer = Push(lacking, self.configuration if newer else None)
--- a/flamingofront/process/drain.py
+++ b/flamingofront/process/drain.py
@@ -1,4 +1,4 @@
-"""Graceful shutdown of an entry process: finish what can be finished, hand over the rest."""
+"""Graceful shutdown of an entry process: finish requests in time, hand over the others."""
 
 from collections.abc import Callable
 from enum import StrEnum
@@ -19,11 +19,11 @@
 
 __all__ = ["DrainController", "DrainState"]
 
-AGAIN_SECONDS = 0.5
+HANDOVER_RETRY_SECONDS = 0.5
 
 
 class DrainState(StrEnum):
-    """Where an entry process stands."""
+    """Drain state of an entry process."""
 
     OPEN = "open"
     DRAINING = "draining"
@@ -32,14 +32,16 @@
 
 
 class DrainController:
-    """Takes an entry process out of service.
+    """Drains an entry process.
 
     Parameters
     ----------
     peers : callable
-        Returns the peers that may take requests.
+        Returns the peers that may receive requests by handover.
+    headers : tuple
+        Headers that authorize calls to peers.
     on_drained : callable
-        Called once no request is left here.
+        Called when no request is left in this process.
     """
 
     def __init__(
@@ -69,19 +71,26 @@
 
     @property
     def is_open(self) -> bool:
-        """True if new work is taken."""
+        """True if new requests are accepted."""
         return self.state is DrainState.OPEN
 
-    def begin(self, seconds: float, zone_is_going: bool = False) -> None:
-        """Refuse new work; hand over what is left after some seconds.
+    def begin(self, seconds: float, zone_is_leaving: bool = False) -> None:
+        """Reject new requests; hand over those still in flight after `seconds`.
+
+        Parameters
+        ----------
+        seconds : float
+            Time until the handover starts.
+        zone_is_leaving : bool
+            True if at least half of the zone is leaving: peers in other zones are preferred.
 
         Notes
         -----
-        A later call with less time brings the hand-over forward; one with more time has no effect.
+        A later call with less time brings the handover forward; one with more time has no effect.
         """
         if self.state in (DrainState.HANDING_OVER, DrainState.DRAINED):
             return
-        if zone_is_going:
+        if zone_is_leaving:
             self._avoid_zone = self._zone
         due = self._timers.now() + max(0.0, seconds)
         if self._timer is not None and self._timer.due <= due:
@@ -90,10 +99,10 @@
             self._timer.cancel()
         self.state = DrainState.DRAINING
         self._timer = self._timers.once(seconds, self._hand_over_all)
-        self.check()
+        self.finish_if_idle()
 
     def reopen(self) -> None:
-        """Take new work again, unless requests are just being handed over."""
+        """Accept new requests again, unless a handover is in progress."""
         if self.state is DrainState.HANDING_OVER:
             return
         if self._timer is not None:
@@ -101,8 +110,8 @@
             self._timer = None
         self.state = DrainState.OPEN
 
-    def check(self) -> None:
-        """End the drain once no request is left."""
+    def finish_if_idle(self) -> None:
+        """Complete the drain if no request is left."""
         ending = self.state in (DrainState.DRAINING, DrainState.HANDING_OVER)
         if ending and not self._hub.active:
             self.state = DrainState.DRAINED
@@ -115,28 +124,28 @@
         for request in list(self._hub.active.values()):
             if isinstance(request, ModelRequest) and request.can_move:
                 self.hand_over(request)
-        self.check()
+        self.finish_if_idle()
         if self.state is DrainState.HANDING_OVER:
-            self._timer = self._timers.once(AGAIN_SECONDS, self._hand_over_all)
+            self._timer = self._timers.once(HANDOVER_RETRY_SECONDS, self._hand_over_all)
 
     def hand_over(self, request: ActiveRequest) -> None:
-        """Freeze a request and offer its record to the peers."""
+        """Freeze a request and offer its record to peers."""
         targets = rank_targets(request.request_id, self._peers(), self._avoid_zone)
         if not targets:
             self._metrics.count("handovers_total", result="no_peer")
             return
         record = request.freeze()
         task = offer_record(record, self._own_id, targets, self._headers)
-        self._tasks.start(task, lambda outcome: self._offered(request, *outcome))
+        self._tasks.start(task, lambda outcome: self._handle_offer_result(request, *outcome))
 
-    def _offered(
+    def _handle_offer_result(
         self, request: ActiveRequest, result: HandoverResult, target: HandoverTarget | None
     ) -> None:
         self._metrics.count("handovers_total", result=result.value)
         if result is HandoverResult.NOT_TAKEN:
-            # Nobody else has the text, so it may go on here after all.
+            # No peer accepted the record, so the request can safely continue in this process.
             self._hub.resume_frozen(request)
             return
         self._hub.record_move(request.request_id, target.vm_id)
         request.moved()
-        self.check()
+        self.finish_if_idle()
--- a/flamingofront/process/former_sends.py
+++ b/flamingofront/process/former_sends.py
@@ -157,7 +157,7 @@
                 self._metrics.count("platform_errors_total", operation="recorded_sends")
                 if tries == 0:
                     self._log.warning("recorded sends not read yet", detail=str(exc))
-                yield Sleep(_BACKOFF.delay(tries, self._rng))
+                yield Sleep(_BACKOFF.compute_delay(tries, self._rng))
                 tries += 1
             else:
                 self._take_former(found)
--- a/flamingofront/process/forwarding/follower.py
+++ b/flamingofront/process/forwarding/follower.py
@@ -142,7 +142,7 @@
                 self._version = None
             except PlatformError as exc:
                 self._note_failure(exc)
-                yield Sleep(BACKOFF.delay(self._failures - 1, self._rng))
+                yield Sleep(BACKOFF.compute_delay(self._failures - 1, self._rng))
 
     def step(self) -> Task:
         """Read the table, or wait for its next changes."""
--- a/flamingofront/process/forwarding/tests/test_endpoints.py
+++ b/flamingofront/process/forwarding/tests/test_endpoints.py
@@ -176,7 +176,7 @@
     def test_address_that_another_endpoint_has_says_nothing_of_a_later_start(self):
         seen = View()
         seen.view.put(self.FIRST)
-        seen.facts.mark("i-1", VmState.GONE)
+        seen.facts.advance_state("i-1", VmState.GONE)
         seen.view.put(self.SECOND)
         assert seen.state() is VmState.LIVE
 
--- a/flamingofront/process/holds.py
+++ b/flamingofront/process/holds.py
@@ -271,7 +271,7 @@
                 self._metrics.count("platform_errors_total", operation="hold")
                 if tries == 0:
                     self._log.warning("hold not kept yet", work=hold.fingerprint, detail=str(exc))
-                yield Sleep(_BACKOFF.delay(tries, self._rng))
+                yield Sleep(_BACKOFF.compute_delay(tries, self._rng))
                 tries += 1
 
     def _keep_evidence(self, evidence: Evidence) -> Task:
@@ -283,7 +283,7 @@
                 self._metrics.count("platform_errors_total", operation="evidence")
                 if tries == 0:
                     self._log.info("ends not kept yet", work=list(evidence), detail=str(exc))
-                yield Sleep(_BACKOFF.delay(tries, self._rng))
+                yield Sleep(_BACKOFF.compute_delay(tries, self._rng))
             else:
                 return
 
--- a/flamingofront/process/intents.py
+++ b/flamingofront/process/intents.py
@@ -307,7 +307,7 @@
                 yield from self._write_batch(batch)
             except PlatformError as exc:
                 self._not_written(batch, exc, tries)
-                yield Sleep(_BACKOFF.delay(tries, self._rng))
+                yield Sleep(_BACKOFF.compute_delay(tries, self._rng))
                 tries += 1
             else:
                 tries = 0
--- a/flamingofront/process/limits.py
+++ b/flamingofront/process/limits.py
@@ -1,4 +1,4 @@
-"""This process's part of what all entry processes share: slots and workspace limits."""
+"""Share of this process in limits common to all entry processes: slots and workspace limits."""
 
 from flamingofront.decisions.admission import WorkspaceShare, shared_limit
 from flamingofront.process.dissemination import Dissemination
@@ -12,49 +12,53 @@
 
 
 class SharedLimits:
-    """Works out parts from the demand that the gossip tells of."""
+    """Computes the share of this process from the demand that peers report by gossip."""
 
     def __init__(self, dissemination: Dissemination, hub: RequestHub, timers: TimerService):
         self._gossip = dissemination
         self._hub = hub
         self._timers = timers
 
-    def _heard_peers(self) -> list[StatusRecord]:
-        heard = self._gossip.statuses.heard(self._timers.now())
-        return [each for each in heard if each.vm_id != self._gossip.own_id]
+    def _list_live_peers(self) -> list[StatusRecord]:
+        live = self._gossip.statuses.live_records(self._timers.now())
+        return [each for each in live if each.vm_id != self._gossip.own_id]
 
-    def _member_count(self) -> int:
+    def _count_members(self) -> int:
         return len(self._gossip.facts.select(Role.ENTRY)) or 1
 
-    def capacity_share(self) -> float:
-        """Return this process's part of the endpoints' slots, by the demand that it hears of.
+    def compute_capacity_share(self) -> float:
+        """Return this process's share of the endpoints' slots, from 0 to 1, by its demand.
 
         Notes
         -----
-        With peers out of hearing the slots are divided by number: those that are heard can be
-        reached by the same endpoints, the others are taken to be on the far side of a cut.
+        While some peers are unreachable, the slots are divided evenly among this process and its
+        live peers: these use the same endpoints, and the others are assumed to be on the other side
+        of a network partition.
         """
-        heard = self._heard_peers()
-        if len(heard) < self._member_count() - 1:
-            return 1.0 / (len(heard) + 1) if heard else 1.0 / self._member_count()
-        own = len(self._hub.active) + 1.0
-        total = own + sum(each.in_flight + 1.0 for each in heard)
-        return own / total
-
-    def workspace_limit(self, workspace: Workspace) -> int:
-        """Return the requests of a workspace that may run here at the same time."""
-        heard = {
-            each.vm_id: float(each.demand.get(workspace.name, 0)) for each in self._heard_peers()
+        live = self._list_live_peers()
+        if len(live) < self._count_members() - 1:
+            return 1.0 / (len(live) + 1) if live else 1.0 / self._count_members()
+        local_demand = len(self._hub.active) + 1.0
+        total = local_demand + sum(each.in_flight + 1.0 for each in live)
+        return local_demand / total
+
+    def compute_workspace_limit(self, workspace: Workspace) -> int:
+        """Return how many requests of a workspace may run here concurrently."""
+        peer_demand = {
+            each.vm_id: float(each.demand.get(workspace.name, 0))
+            for each in self._list_live_peers()
         }
-        members = self._member_count()
-        own = float(self._hub.in_flight_by_workspace().get(workspace.name, 0))
-        unheard = max(0, members - 1 - len(heard))
-        return shared_limit(workspace.max_in_flight, own, heard, members, unheard)
+        members = self._count_members()
+        local_demand = float(self._hub.in_flight_by_workspace().get(workspace.name, 0))
+        unreachable = max(0, members - 1 - len(peer_demand))
+        return shared_limit(
+            workspace.max_in_flight, local_demand, peer_demand, members, unreachable
+        )
 
-    def share_of(self, name: str) -> WorkspaceShare:
-        """Return the admission share of a workspace; a deleted one keeps the defaults."""
+    def get_admission_share(self, name: str) -> WorkspaceShare:
+        """Return the admission share of a workspace, the default share for a deleted one."""
         workspace = self._gossip.configuration.workspace(name)
         if workspace is None:
             return WorkspaceShare(name)
-        limit = self.workspace_limit(workspace)
+        limit = self.compute_workspace_limit(workspace)
         return WorkspaceShare(name, workspace.weight, workspace.priority, limit)
--- a/flamingofront/process/logs.py
+++ b/flamingofront/process/logs.py
@@ -1,4 +1,4 @@
-"""Logs as JSON lines, through logbook."""
+"""Structured logging as JSON lines, based on logbook."""
 
 import os
 import sys
@@ -11,25 +11,32 @@
 
 __all__ = ["RESERVED_FIELDS", "JsonLinesHandler", "Log", "NonBlockingStream", "set_up_logs"]
 
-# Lines a second beyond which further ones are counted and dropped: several times the requests that
-# one entry VM answers in a second at its peak.
+# Further lines within a second are counted and dropped. The limit is several times the peak request
+# rate of one entry VM.
 MAX_LINES_PER_SECOND = 400
-MAX_HELD_BYTES = 256 * 1024
-# Fields that each line sets itself. One of an event that overwrote the severity hid a refusal from
-# everybody who filters by it.
+MAX_BUFFERED_BYTES = 256 * 1024
+# Fields that the handler sets in each line. An event field that overwrote the severity hid a
+# rejection from operators who filter by it.
 RESERVED_FIELDS = frozenset({"time", "level", "part", "event", "exception"})
 
 
 class NonBlockingStream:
-    """Text stream on a file descriptor that drops lines rather than wait.
+    """Text stream on a file descriptor that drops lines instead of blocking.
 
-    A reader that does not keep up must not hold up requests, so what it has not taken is held up to
-    a bound, and beyond it lines are dropped. Their number is told in the next line that passes.
+    A slow reader must not delay requests, so unread output is buffered up to a limit, and lines
+    beyond it are dropped. The next line written is preceded by one with their number.
 
     Parameters
     ----------
     fileno : int
-        Descriptor, for example of standard output.
+        File descriptor, for example of standard output.
+    clock : callable
+        Returns seconds, for the limit on lines per second.
+
+    Attributes
+    ----------
+    dropped : int
+        Lines dropped since the last one was accepted.
     """
 
     encoding = "utf-8"
@@ -38,51 +45,54 @@
         os.set_blocking(fileno, False)
         self._fileno = fileno
         self._clock = clock
-        self._held = b""
-        self._second = 0
-        self._lines = 0
+        self._buffer = b""
+        self._current_second = 0
+        self._lines_this_second = 0
         self.dropped = 0
 
     def write(self, text: str) -> None:
-        """Write a line now, hold it, or drop it."""
+        """Write a line, buffer it, or drop it if a limit is exceeded."""
         if not self._admit():
             self.dropped += 1
             return
         if self.dropped:
-            note = {"event": "log lines dropped", "count": self.dropped}
-            self._held += orjson.dumps(note) + b"\n"
+            notice = {"event": "log lines dropped", "count": self.dropped}
+            self._buffer += orjson.dumps(notice) + b"\n"
             self.dropped = 0
-        self._held += text.encode()
+        self._buffer += text.encode()
         self.flush()
 
     def _admit(self) -> bool:
-        second = int(self._clock())
-        if second != self._second:
-            self._second, self._lines = second, 0
-        self._lines += 1
-        return self._lines <= MAX_LINES_PER_SECOND and len(self._held) < MAX_HELD_BYTES
+        current_second = int(self._clock())
+        if current_second != self._current_second:
+            self._current_second, self._lines_this_second = current_second, 0
+        self._lines_this_second += 1
+        return (
+            self._lines_this_second <= MAX_LINES_PER_SECOND
+            and len(self._buffer) < MAX_BUFFERED_BYTES
+        )
 
     def flush(self) -> None:
-        """Give the descriptor as much as it takes at once."""
+        """Write as much of the buffer as the descriptor accepts without blocking."""
         try:
-            self._held = self._held[os.write(self._fileno, self._held) :]
+            self._buffer = self._buffer[os.write(self._fileno, self._buffer) :]
         except BlockingIOError:
             return
         except OSError:
-            # Nobody reads any more; the process goes on without its log.
-            self._held = b""
+            # The reader is gone; the process continues without a log.
+            self._buffer = b""
 
 
 class JsonLinesHandler(logbook.StreamHandler):
-    """Write each record as one JSON object on one line.
+    """Log handler that writes each record as a JSON object on one line.
 
     Notes
     -----
-    A field with a reserved name gets an underscore behind it; the test suite refuses such a field.
+    An underscore is appended to a field with a reserved name; the test suite fails on such a field.
     """
 
     def format(self, record: logbook.LogRecord) -> str:
-        """Return the line for a record."""
+        """Return the JSON line for a record."""
         line: dict[str, Any] = {
             "time": record.time.isoformat(timespec="milliseconds") + "Z",
             "level": record.level_name.lower(),
@@ -97,14 +107,14 @@
 
 
 class Log:
-    """Logger with fixed fields.
+    """Logger that adds fixed fields to each line.
 
     Parameters
     ----------
     part : str
-        Part of the program.
+        Name of the program component, the field ``part`` of each line.
     fields
-        Fields of each line, for example the VM and the zone.
+        Fixed fields, for example the VM and the zone.
     """
 
     def __init__(self, part: str, **fields: Any):
@@ -112,30 +122,30 @@
         self._fields = fields
 
     def bind(self, **fields: Any) -> "Log":
-        """Return a logger with further fixed fields."""
+        """Return a logger with additional fixed fields."""
         bound = Log(self._logger.name)
         bound._fields = {**self._fields, **fields}
         return bound
 
     def debug(self, event: str, **fields: Any) -> None:
-        """Log details of normal work."""
+        """Log a detail of normal operation."""
         self._logger.debug(event, **{**self._fields, **fields})
 
     def info(self, event: str, **fields: Any) -> None:
-        """Log normal work."""
+        """Log an event of normal operation."""
         self._logger.info(event, **{**self._fields, **fields})
 
     def warning(self, event: str, **fields: Any) -> None:
-        """Log something that was handled but should be known."""
+        """Log a handled problem that operators should know of."""
         self._logger.warning(event, **{**self._fields, **fields})
 
     def error(self, event: str, exc: BaseException | None = None, **fields: Any) -> None:
-        """Log a fault of the program, with its traceback."""
+        """Log an error, with the traceback of `exc` if given."""
         exc_info = (type(exc), exc, exc.__traceback__) if exc is not None else None
         self._logger.error(event, exc_info=exc_info, **{**self._fields, **fields})
 
 
 def set_up_logs(level: str, stream: TextIO = sys.stderr) -> None:
-    """Send all logs of the process to `stream`."""
+    """Write log records of at least `level` to `stream` as JSON lines."""
     handler = JsonLinesHandler(stream, level=level.upper())
     handler.push_application()
--- a/flamingofront/process/members.py
+++ b/flamingofront/process/members.py
@@ -1,4 +1,4 @@
-"""Questions about the VMs that this process knows."""
+"""Queries on the membership facts of this process."""
 
 from flamingofront.process.dissemination import Dissemination
 from flamingofront.process.membership import Fact, Role, VmState
@@ -8,7 +8,7 @@
 
 
 class Members:
-    """Answers from the membership facts.
+    """Queries on the membership facts.
 
     Parameters
     ----------
@@ -22,36 +22,36 @@
         self._links = links
 
     def is_gone(self, vm_id: str) -> bool:
-        """Tell whether a VM is gone for good."""
+        """Return True if a VM is gone permanently."""
         fact = self._gossip.facts.get(vm_id)
         return fact is not None and fact.state is VmState.GONE
 
     def address_of(self, vm_id: str) -> str | None:
-        """Return the address of a VM, None if it is not known."""
+        """Return the address of a VM, None if there is no fact about it."""
         fact = self._gossip.facts.get(vm_id)
         return None if fact is None else fact.address
 
-    def takers(self) -> tuple[Fact, ...]:
-        """Return the peers that may take requests over."""
+    def list_handover_targets(self) -> tuple[Fact, ...]:
+        """Return the live peers, to which requests may be handed over."""
         live = self._gossip.facts.select(Role.ENTRY)
         return tuple(each for each in live if each.vm_id != self._gossip.own_id)
 
-    def holders(self, request_id: str, moved_to: str | None) -> list[str]:
-        """Return the addresses of the peers that may hold a request, the likeliest first.
+    def rank_holders(self, request_id: str, moved_to: str | None) -> list[str]:
+        """Return the addresses of the peers that may own a request, the most likely first.
 
         Parameters
         ----------
         moved_to : str or None
-            VM that this process gave the request to.
+            VM that this process handed the request over to.
         """
-        holders = self._links.holders(request_id)
+        holders = self._links.rank_holders(request_id)
         address = self.address_of(moved_to) if moved_to else None
         if address is None:
             return holders
         return [address, *(each for each in holders if each != address)]
 
-    def zone_is_going(self) -> bool:
-        """Tell whether at least half of the entry VMs of the own zone are leaving."""
+    def is_zone_leaving(self) -> bool:
+        """Return True if at least half of the entry VMs of the local zone are leaving."""
         entries = [
             each
             for state in (VmState.LIVE, VmState.LEAVING)
--- a/flamingofront/process/membership.py
+++ b/flamingofront/process/membership.py
@@ -1,8 +1,8 @@
 """Membership facts: which VMs are live, leaving or gone.
 
-A fact about a VM only ever grows, in the order of its incarnation and then live, leaving, gone.
-Facts from any source (platform, notice, peer) merge in any order to the same result, and a stale
-list cannot revive a VM.
+Facts about a VM are ordered by incarnation, then by state (live, leaving, gone), and only a higher
+one replaces another. So facts from any source (platform, notice, peer) merge to the same result in
+any order, and a stale list cannot revive a VM.
 """
 
 import hashlib
@@ -13,19 +13,20 @@
 
 __all__ = ["BUCKETS", "Fact", "FactTable", "Role", "VmState"]
 
+# Number of hash buckets that facts are compared by.
 BUCKETS = 16
 HASH_BYTES = 4
 
 
 class Role(StrEnum):
-    """What a VM is for."""
+    """Purpose of a VM."""
 
     ENTRY = "entry"
     ENDPOINT = "endpoint"
 
 
 class VmState(StrEnum):
-    """State of one incarnation of a VM; it never goes back."""
+    """State of one incarnation of a VM; it only advances."""
 
     LIVE = "live"
     LEAVING = "leaving"
@@ -37,16 +38,17 @@
 
 @dataclass(frozen=True)
 class Fact:
-    """What is known about one VM.
+    """Membership entry of one VM.
 
     Parameters
     ----------
     incarnation : int
-        Start of its process; 0 for VMs that run no process of this system.
+        Start time of its process in milliseconds since the epoch; 0 for VMs that run no process of
+        this system, or if unknown.
     address : str
         ``IP:PORT`` of an endpoint, or of the control server of an entry VM.
     slots : int
-        Requests that an endpoint says it runs at once; 0 if it says nothing.
+        Concurrent requests that an endpoint advertises; 0 if it advertises no number.
     """
 
     vm_id: str
@@ -65,7 +67,7 @@
 
     @property
     def rank(self) -> tuple[int, int]:
-        """Order in which facts about the same VM supersede each other."""
+        """Sort key: the fact with the higher rank supersedes others about the same VM."""
         return self.incarnation, _STATE_RANK[self.state]
 
     def to_json(self) -> list[Any]:
@@ -88,27 +90,32 @@
 
     @classmethod
     def from_json(cls, values: list[Any]) -> "Fact":
-        """Return the fact that `to_json` was called on."""
+        """Return the fact encoded by `to_json`."""
         vm_id, incarnation, state, role, *rest = values
         return cls(vm_id, incarnation, VmState(state), Role(role), *rest)
 
 
-def _bucket_of(vm_id: str) -> int:
+def _get_bucket(vm_id: str) -> int:
     return hashlib.blake2b(vm_id.encode(), digest_size=1).digest()[0] % BUCKETS
 
 
-def _fact_hash(fact: Fact) -> int:
+def _hash_fact(fact: Fact) -> int:
     text = f"{fact.vm_id}/{fact.incarnation}/{fact.state}"
     return int.from_bytes(hashlib.blake2b(text.encode(), digest_size=HASH_BYTES).digest(), "big")
 
 
 class FactTable:
-    """All facts that a process knows.
+    """Facts about all VMs, the latest of each.
+
+    Attributes
+    ----------
+    changes : int
+        Number of changes so far, for caches that depend on the table.
 
     Notes
     -----
-    The hash of a bucket is the exclusive-or of its facts' hashes, kept up to date with each change,
-    so that making a digest costs the same for 8 and for 410 members.
+    The hash of a bucket is the exclusive-or of its facts' hashes, updated with each change, so that
+    building a digest costs the same for 8 and for 410 members.
     """
 
     def __init__(self):
@@ -120,17 +127,17 @@
         return len(self._facts)
 
     def clear(self) -> None:
-        """Forget all facts."""
+        """Remove all facts."""
         self._facts.clear()
         self._hashes = [0] * BUCKETS
         self.changes += 1
 
     def get(self, vm_id: str) -> Fact | None:
-        """Return the fact about a VM."""
+        """Return the fact about a VM, None if there is none."""
         return self._facts.get(vm_id)
 
     def all(self) -> tuple[Fact, ...]:
-        """Return all facts."""
+        """Return the facts about all VMs."""
         return tuple(self._facts.values())
 
     def select(self, role: Role, state: VmState = VmState.LIVE) -> tuple[Fact, ...]:
@@ -140,38 +147,38 @@
         )
 
     def merge(self, facts: Iterable[Fact]) -> tuple[Fact, ...]:
-        """Take facts in and return those that were news."""
-        return tuple(fact for fact in facts if self._merge_one(fact))
+        """Merge facts and return those that superseded an older one or are about a new VM."""
+        return tuple(fact for fact in facts if self._merge_fact(fact))
 
-    def _merge_one(self, fact: Fact) -> bool:
-        known = self._facts.get(fact.vm_id)
-        if known is not None and known.rank >= fact.rank:
+    def _merge_fact(self, fact: Fact) -> bool:
+        current = self._facts.get(fact.vm_id)
+        if current is not None and current.rank >= fact.rank:
             return False
-        bucket = _bucket_of(fact.vm_id)
-        if known is not None:
-            self._hashes[bucket] ^= _fact_hash(known)
-        self._hashes[bucket] ^= _fact_hash(fact)
+        bucket = _get_bucket(fact.vm_id)
+        if current is not None:
+            self._hashes[bucket] ^= _hash_fact(current)
+        self._hashes[bucket] ^= _hash_fact(fact)
         self._facts[fact.vm_id] = fact
         self.changes += 1
         return True
 
-    def mark(self, vm_id: str, state: VmState) -> tuple[Fact, ...]:
-        """Move a known VM to a later state and return the fact if that was news."""
-        known = self._facts.get(vm_id)
-        return () if known is None else self.merge((replace(known, state=state),))
+    def advance_state(self, vm_id: str, state: VmState) -> tuple[Fact, ...]:
+        """Move a VM to a later state; return the changed fact, empty if nothing changed."""
+        current = self._facts.get(vm_id)
+        return () if current is None else self.merge((replace(current, state=state),))
 
     def hashes(self) -> tuple[int, ...]:
         """Return the hash of each bucket."""
         return tuple(self._hashes)
 
-    def differing(self, hashes: Iterable[int]) -> tuple[int, ...]:
-        """Return the buckets whose hash is not the given one."""
+    def find_differing_buckets(self, hashes: Iterable[int]) -> tuple[int, ...]:
+        """Return the indices of the buckets whose hash differs from the given one."""
         pairs = zip(self._hashes, hashes, strict=True)
-        return tuple(index for index, (own, other) in enumerate(pairs) if own != other)
+        return tuple(index for index, (local, remote) in enumerate(pairs) if local != remote)
 
-    def in_buckets(self, buckets: Iterable[int]) -> tuple[Fact, ...]:
-        """Return the facts in some buckets."""
-        wanted = frozenset(buckets)
-        if not wanted:
+    def list_facts_in_buckets(self, buckets: Iterable[int]) -> tuple[Fact, ...]:
+        """Return the facts in the given buckets."""
+        indices = frozenset(buckets)
+        if not indices:
             return ()
-        return tuple(each for each in self._facts.values() if _bucket_of(each.vm_id) in wanted)
+        return tuple(each for each in self._facts.values() if _get_bucket(each.vm_id) in indices)
--- a/flamingofront/process/node.py
+++ b/flamingofront/process/node.py
@@ -1,6 +1,6 @@
-"""One entry process, without its sockets: wires the decisions together.
+"""Composition root of an entry process, independent of sockets and clocks.
 
-The daemon gives it a transport and a timer service over circuits; tests give it fakes.
+The daemon injects a transport and a timer service that are based on circuits; tests inject fakes.
 """
 
 import random
@@ -26,7 +26,7 @@
 from flamingofront.process.membership import Fact, Role, VmState
 from flamingofront.process.metrics import Metrics
 from flamingofront.process.operators import OperatorService
-from flamingofront.process.orders import EndpointOrders
+from flamingofront.process.orders import EngineReconciler
 from flamingofront.process.peers import PeerLinks
 from flamingofront.process.rows import LocalRows, LocalState
 from flamingofront.process.services import Services
@@ -47,29 +47,32 @@
 
 __all__ = ["EntryNode"]
 
-NOTICE_MARGIN_SECONDS = 4.0
+# The handover of requests starts this long before the VM is reclaimed.
+RECLAIM_MARGIN_SECONDS = 4.0
+# Remaining lifetime assumed for a leaving endpoint whose reclaim notice cannot be read.
 DEFAULT_NOTICE_SECONDS = 10.0
 MIN_READY_EXCHANGES = 1
-# Pause between two looks at the requests that are held back. Peers tell of them at once; a process
-# that hears none of them has to know before three seconds are over.
-HOLDS_SECONDS = 2.0
-# Pause after a failed try to write again what a copy of the store lacks.
-WRITE_AGAIN_SECONDS = 0.2
+# Interval between two reads of the quarantine from the store. Peers send updates at once; a process
+# that can reach no peer must learn of a quarantined request within three seconds.
+QUARANTINE_POLL_SECONDS = 2.0
+# Delay before retrying to rewrite documents that a restored snapshot of the store lacks.
+REWRITE_RETRY_SECONDS = 0.2
 
 
 class EntryNode:
-    """All parts of one entry process.
+    """Builds and connects the components of one entry process.
 
     Parameters
     ----------
     settings : EntrySettings
-        Checked settings.
+        Validated settings.
     documents : DocumentStore
-        What all entry processes keep in the platform's store.
+        Documents that all entry processes share in the platform's store.
     incarnation : int
-        Start of the process; higher than that of any earlier process on this VM.
+        Start time of the process in milliseconds since the epoch; higher than that of any earlier
+        process on this VM.
     on_exit : callable
-        Called when a drain that ends the process is complete.
+        Called when the process has drained for shutdown and may exit.
     """
 
     def __init__(
@@ -92,20 +95,20 @@
         self._on_exit = on_exit
         self._exiting = False
         self._sequence = 0
-        self._exchanges = 0
+        self._exchange_count = 0
         self.documents = documents
-        self.tasks = TaskRunner(transport, timers, self._fault)
-        documents.on_return(lambda: self.tasks.start(self._write_again()))
+        self.tasks = TaskRunner(transport, timers, self._log_unhandled)
+        documents.on_return(lambda: self.tasks.start(self._rewrite_lost_documents()))
         self._headers = _peer_headers(settings.control_token)
         self._build_membership(incarnation)
         self._build_requests(transport, incarnation)
         self._build_watches()
-        self._build_duties(incarnation)
+        self._build_leader_tasks(incarnation)
         self._build_operators()
 
     def _build_membership(self, incarnation: int) -> None:
         settings = self.settings
-        own = Fact(
+        local_fact = Fact(
             settings.vm_id,
             incarnation,
             VmState.LIVE,
@@ -114,7 +117,11 @@
             str(settings.advertise or settings.control_bind),
         )
         self.gossip = Dissemination(
-            own, self._rng, self._configuration_changed, self._facts_changed, self.own_record
+            local_fact,
+            self._rng,
+            self._handle_configuration,
+            self._handle_facts,
+            self.build_status_record,
         )
         self.links = PeerLinks(
             self.gossip,
@@ -124,7 +131,7 @@
             self._rng,
             self._headers,
             tuple(str(each) for each in settings.peers),
-            self._exchanged,
+            self._count_exchange,
         )
         self.members = Members(settings.zone, self.gossip, self.links)
 
@@ -145,10 +152,10 @@
             self.log,
             self._rng,
         )
-        self._guard_endpoints(incarnation)
+        self._build_quarantine(incarnation)
         self.limits = SharedLimits(self.gossip, self.hub, self.timers)
-        self.hub.capacity_share = self.limits.capacity_share
-        self.directory.local_share = self.limits.capacity_share
+        self.hub.capacity_share = self.limits.compute_capacity_share
+        self.directory.local_share = self.limits.compute_capacity_share
         self.keyed = KeyedRequests(
             settings.vm_id,
             self.hub,
@@ -156,14 +163,16 @@
             self.tasks,
             self._rng,
             self.members.is_gone,
-            self.links.ask_not_run,
+            self.links.query_not_run,
         )
         self.reattachment = Reattachment(
             self.hub,
             self.documents,
             self.tasks,
             transport,
-            lambda request_id: self.members.holders(request_id, self.hub.moved_to.get(request_id)),
+            lambda request_id: self.members.rank_holders(
+                request_id, self.hub.moved_to.get(request_id)
+            ),
             self._headers,
         )
         self.gateway = Gateway(
@@ -175,11 +184,16 @@
             self.reattachment,
             self._rng,
             settings.default_deadline,
-            self.limits.workspace_limit,
-            self._refusal,
+            self.limits.compute_workspace_limit,
+            self._get_rejection,
         )
         self.inheritance = Inheritance(
-            settings.vm_id, self.hub, self.documents, self.tasks, self.keyed, self.limits.share_of
+            settings.vm_id,
+            self.hub,
+            self.documents,
+            self.tasks,
+            self.keyed,
+            self.limits.get_admission_share,
         )
         self.migrations = StreamMigrator(self.hub, self.tasks, self.members.address_of)
         self.drain = DrainController(
@@ -189,62 +203,64 @@
             self.tasks,
             self.timers,
             self.metrics,
-            self.members.takers,
+            self.members.list_handover_targets,
             self._headers,
-            self._drained,
+            self._handle_drained,
         )
-        self.hub.on_request_end = self.drain.check
+        self.hub.on_request_end = self.drain.finish_if_idle
 
-    def _write_again(self) -> Task:
-        """Write what the store has lost by coming back from a copy, until that is done."""
+    def _rewrite_lost_documents(self) -> Task:
+        """Rewrite the documents that a restored snapshot of the store lacks; retry until done."""
         while True:
             try:
                 count = yield from self.documents.write_again()
             except PlatformError as exc:
                 self.metrics.count("platform_errors_total", operation="write_again")
-                self.log.info("lost documents not written yet", detail=str(exc))
-                yield Sleep(WRITE_AGAIN_SECONDS)
+                self.log.info("rewriting lost documents failed", detail=str(exc))
+                yield Sleep(REWRITE_RETRY_SECONDS)
             else:
-                self.log.info("lost documents written again", count=count)
+                self.log.info("lost documents rewritten", count=count)
                 return
 
-    def _guard_endpoints(self, incarnation: int) -> None:
-        """Tell the others what crashes endpoints, and keep it in the store."""
+    def _build_quarantine(self, incarnation: int) -> None:
+        """Build the quarantine of poison requests, shared through gossip and the store."""
         guard = self.hub.guard
-        self.gossip.word = guard.build_update
-        self.gossip.on_word = guard.merge_update
+        self.gossip.build_quarantine_update = guard.build_update
+        self.gossip.on_quarantine_update = guard.merge_update
         guard.on_update = lambda: self.links.push(Push(quarantine=guard.build_update()))
-        guard.entry_start_times = self._starts
-        self._hold_rows = DocumentHolds(self.documents)
+        guard.entry_start_times = self._list_entry_start_times
+        self._quarantine_rows = DocumentHolds(self.documents)
         services = Services(self.tasks, self.timers, self._rng, self.metrics, self.log)
-        self.holds = HoldKeeper(guard, self._hold_rows, services, HOLDS_SECONDS + SLACK_SECONDS)
+        self.quarantine_sync = HoldKeeper(
+            guard, self._quarantine_rows, services, QUARANTINE_POLL_SECONDS + SLACK_SECONDS
+        )
         self._recorder = IntentRecorder(
             self.hub,
             DocumentIntents(self.documents),
             services,
             Sender(self.settings.vm_id, incarnation),
-            lambda: self.limits.capacity_share(),
+            lambda: self.limits.compute_capacity_share(),
         )
         self.documents.on_return(self._recorder.write_again)
 
-    def _starts(self) -> list[float]:
-        """Return when the entry processes that are known began, on the wall clock."""
+    def _list_entry_start_times(self) -> list[float]:
+        """Return the start times of all known entry processes, in seconds since the epoch."""
         entries = [each for each in self.gossip.facts.all() if each.role is Role.ENTRY]
         return [each.incarnation / 1000 for each in entries if each.incarnation]
 
-    def _read_holds(self) -> Task:
-        """Read the requests that are held back, for zones that hear nobody; never returns."""
+    def _poll_quarantine(self) -> Task:
+        """Reload the quarantine from the store forever, for zones that can reach no peer."""
         while True:
             try:
-                for each in (yield from self._hold_rows.read_all()):
-                    self.holds.take(each)
-                kept = yield from self._hold_rows.read_evidence()
-                for fingerprint, ends in kept.items():
-                    self.holds.take_evidence(fingerprint, ends)
+                for each in (yield from self._quarantine_rows.read_all()):
+                    self.quarantine_sync.take(each)
+                evidence = yield from self._quarantine_rows.read_evidence()
+                for fingerprint, crashes in evidence.items():
+                    self.quarantine_sync.take_evidence(fingerprint, crashes)
             except PlatformError as exc:
                 self.metrics.count("platform_errors_total", operation="holds")
-                self.log.info("holds not read", detail=str(exc))
-            yield Sleep(HOLDS_SECONDS, relaxed=True)
+                self.log.info("reading the quarantine failed", detail=str(exc))
+            yield Sleep(QUARANTINE_POLL_SECONDS, relaxed=True)
 
     def _build_watches(self) -> None:
         settings = self.settings
@@ -258,15 +274,15 @@
             self._rng,
             settings.zone,
             settings.list_period,
-            self._notice,
-            self.put_in_force,
-            self._listed,
-            self._vanished,
+            self._handle_reclaim_notice,
+            self.activate_configuration,
+            self._handle_vm_list,
+            self._handle_vm_gone,
         )
         self.endpoint_watch = EndpointWatch(
-            self.gossip, self.tasks, self.timers, self._load_read, self._cache_events
+            self.gossip, self.tasks, self.timers, self._handle_load, self._handle_cache_events
         )
-        self._own_loads: dict[str, float] = {}
+        self._local_loads: dict[str, float] = {}
 
     def _build_operators(self) -> None:
         self.rows = LocalRows(
@@ -279,7 +295,7 @@
                 self.hub,
                 self.lease,
                 self.metrics,
-                self.own_record,
+                self.build_status_record,
             )
         )
         self.operators = OperatorService(
@@ -290,7 +306,7 @@
             self.links,
             self._rng,
             self.rows.of,
-            self.put_in_force,
+            self.activate_configuration,
         )
         self.control = ControlInterface(
             self.settings.control_token,
@@ -304,7 +320,7 @@
             lambda: self.drain.is_open,
         )
 
-    def _build_duties(self, incarnation: int) -> None:
+    def _build_leader_tasks(self, incarnation: int) -> None:
         settings = self.settings
         holder = f"{settings.vm_id}/{incarnation}"
         self.lease = LeaseKeeper(
@@ -315,7 +331,7 @@
             self._rng,
             settings.lease_duration,
         )
-        self.orders = EndpointOrders(self.lease, self.gossip, self.tasks, self.metrics)
+        self.engine_reconciler = EngineReconciler(self.lease, self.gossip, self.tasks, self.metrics)
         self.sweeper = Sweeper(
             self.documents,
             self.timers.wall,
@@ -324,24 +340,24 @@
         )
 
     def advertise(self, address: str) -> None:
-        """Tell peers another control address; to be called before `start`."""
+        """Set the control address sent to peers; must be called before `start`."""
         self.gossip.set_address(address)
 
     def start(self) -> None:
-        """Begin all periodic work."""
+        """Start all periodic tasks."""
         self.watch.start()
         self.inheritance.reclaim_own()
-        self.timers.every(self.settings.gossip_period, self._gossip_round)
+        self.timers.every(self.settings.gossip_period, self._run_gossip_round)
         self.timers.every(self.settings.load_period, self.endpoint_watch.poll)
         self.tasks.start(self.lease.run())
         self.tasks.start(self.sweeper.run())
-        self.tasks.start(self._read_holds())
+        self.tasks.start(self._poll_quarantine())
         self._recorder.start()
-        self.timers.every(self.settings.lease_duration / 2, self.orders.step)
+        self.timers.every(self.settings.lease_duration / 2, self.engine_reconciler.reconcile)
         self.log.info("started", zone=self.settings.zone)
 
-    def _fault(self, exc: Exception) -> None:
-        """Log a fault of the program."""
+    def _log_unhandled(self, exc: Exception) -> None:
+        """Count and log an exception that no task handled."""
         self.metrics.count("faults_total")
         self.log.error("fault", exc=exc)
 
@@ -349,55 +365,55 @@
 
     @property
     def ready(self) -> bool:
-        """True if the balancer may send new work here.
+        """True if the load balancer may send new requests here.
 
         Notes
         -----
-        A new process must have the highest revision that it can hear of: from the platform, or
-        while that is out, from a peer.
+        A new process becomes ready once it has the newest reachable configuration revision: from
+        the platform, or from a peer during a platform outage.
         """
         return self.drain.is_open and self._is_current()
 
     def _is_current(self) -> bool:
         if self.watch.revision_was_read:
             return True
-        heard_peer = self._exchanges >= MIN_READY_EXCHANGES
-        known = self.gossip.configuration.revision > 0
-        return self.watch.revision_read_failed and heard_peer and known
+        has_exchanged = self._exchange_count >= MIN_READY_EXCHANGES
+        has_configuration = self.gossip.configuration.revision > 0
+        return self.watch.revision_read_failed and has_exchanged and has_configuration
 
-    def _refusal(self) -> ErrorKind | None:
+    def _get_rejection(self) -> ErrorKind | None:
         if not self.drain.is_open:
             return ErrorKind.DRAINING
         return None if self._is_current() else ErrorKind.NOT_READY
 
     def shut_down(self) -> None:
-        """Begin a graceful shutdown; `on_exit` is called at its end."""
+        """Start a graceful shutdown; `on_exit` is called when it is complete."""
         self._exiting = True
         self.log.info("shutting down", requests=len(self.hub.active))
-        self._tell_leaving()
+        self._announce_leaving()
         self.drain.begin(self.settings.drain_timeout)
         if self.drain.state is DrainState.DRAINED:
-            self._leave()
+            self._release_and_exit()
 
-    def _tell_leaving(self) -> None:
-        facts = self.gossip.facts.mark(self.settings.vm_id, VmState.LEAVING)
+    def _announce_leaving(self) -> None:
+        facts = self.gossip.facts.advance_state(self.settings.vm_id, VmState.LEAVING)
         if facts:
             self.links.push(Push(facts=facts))
 
-    def _drained(self) -> None:
+    def _handle_drained(self) -> None:
         self.log.info("drained")
         if self._exiting:
-            self._leave()
+            self._release_and_exit()
 
-    def _leave(self) -> None:
+    def _release_and_exit(self) -> None:
         self.tasks.start(self.lease.release())
-        # Time for the releases, the last pushes and the last bytes to callers.
+        # Leaves time to release the lease, push the last updates and flush responses to callers.
         self.timers.once(0.3, self._on_exit)
 
     # Membership
 
-    def own_record(self) -> StatusRecord:
-        """Return the status record of this process as it is now."""
+    def build_status_record(self) -> StatusRecord:
+        """Return a new status record of this process, with the next sequence number."""
         self._sequence += 1
         return StatusRecord(
             self.settings.vm_id,
@@ -408,13 +424,13 @@
             self.ready,
             len(self.hub.active),
             self.hub.in_flight_by_workspace(),
-            dict(self._own_loads),
+            dict(self._local_loads),
         )
 
-    def _gossip_round(self) -> None:
-        self.links.exchange()
+    def _run_gossip_round(self) -> None:
+        self.links.exchange_digests()
         now = self.timers.now()
-        for record in self.gossip.statuses.heard(now):
+        for record in self.gossip.statuses.live_records(now):
             if record.vm_id != self.settings.vm_id:
                 self.directory.apply_load_reports(record.loads, now)
         self._set_gauges()
@@ -432,56 +448,56 @@
             endpoints = len(facts.select(Role.ENDPOINT, state))
             self.metrics.gauge("endpoints", endpoints, state=state.value)
 
-    def _exchanged(self) -> None:
-        self._exchanges += 1
+    def _count_exchange(self) -> None:
+        self._exchange_count += 1
 
-    def _listed(self, facts: list[Fact]) -> None:
-        self.links.push(self.gossip.take_facts(facts))
+    def _handle_vm_list(self, facts: list[Fact]) -> None:
+        self.links.push(self.gossip.merge_facts(facts))
 
-    def _vanished(self, vm_id: str) -> None:
+    def _handle_vm_gone(self, vm_id: str) -> None:
         if vm_id != self.settings.vm_id:
-            self.mark(vm_id, VmState.GONE)
+            self.set_vm_state(vm_id, VmState.GONE)
 
-    def mark(self, vm_id: str, state: VmState) -> None:
-        """Take note that a VM leaves or is gone, and tell the peers."""
+    def set_vm_state(self, vm_id: str, state: VmState) -> None:
+        """Record that a VM is leaving or gone, and push the change to peers."""
         fact = self.gossip.facts.get(vm_id)
         if fact is not None:
-            self.links.push(self.gossip.take_facts([replace(fact, state=state)]))
+            self.links.push(self.gossip.merge_facts([replace(fact, state=state)]))
 
-    def _notice(self, vm_id: str, seconds: float) -> None:
-        """Take a reclaim notice."""
+    def _handle_reclaim_notice(self, vm_id: str, seconds: float) -> None:
+        """Drain this VM, or migrate streams off another one that is being reclaimed."""
         if vm_id == self.settings.vm_id:
-            self._own_notice(seconds)
+            self._handle_own_notice(seconds)
             return
-        self.mark(vm_id, VmState.LEAVING)
+        self.set_vm_state(vm_id, VmState.LEAVING)
         self.migrations.migrate_streams(vm_id, seconds)
 
-    def _own_notice(self, seconds: float) -> None:
+    def _handle_own_notice(self, seconds: float) -> None:
         if not self._exiting:
             self.log.warning("reclaim notice", seconds=seconds)
             self._exiting = True
-            self._tell_leaving()
-        zone_is_going = self.members.zone_is_going()
-        self.drain.begin(max(0.0, seconds - NOTICE_MARGIN_SECONDS), zone_is_going)
+            self._announce_leaving()
+        zone_is_leaving = self.members.is_zone_leaving()
+        self.drain.begin(max(0.0, seconds - RECLAIM_MARGIN_SECONDS), zone_is_leaving)
 
-    def _facts_changed(self, facts: tuple[Fact, ...]) -> None:
+    def _handle_facts(self, facts: tuple[Fact, ...]) -> None:
         for fact in facts:
             if fact.role is Role.ENDPOINT:
-                self._endpoint_changed(fact)
+                self._handle_endpoint_fact(fact)
             elif fact.state is VmState.GONE and fact.vm_id != self.settings.vm_id:
                 self.inheritance.member_gone(fact.vm_id, self.gossip.peers())
 
-    def _endpoint_changed(self, fact: Fact) -> None:
+    def _handle_endpoint_fact(self, fact: Fact) -> None:
         if fact.state is VmState.LEAVING and self.directory.in_flight_at(fact.vm_id):
-            self.tasks.start(self._ask_notice(fact))
+            self.tasks.start(self._read_endpoint_notice(fact))
         elif fact.state is VmState.GONE:
             self.hub.guard.crash_detector.record_row_removal(fact.vm_id)
             self.directory.forget(fact.vm_id)
             self.migrations.forget_endpoint(fact.vm_id)
-            self._own_loads.pop(fact.vm_id, None)
+            self._local_loads.pop(fact.vm_id, None)
 
-    def _ask_notice(self, fact: Fact) -> Task:
-        """Find out how long an endpoint of another zone stays, and plan for its streams."""
+    def _read_endpoint_notice(self, fact: Fact) -> Task:
+        """Read the notices of an endpoint's zone; if that fails, migrate its streams now."""
         try:
             yield from self.watch.read_notices(fact.zone)
         except PlatformError:
@@ -489,18 +505,18 @@
 
     # Configuration
 
-    def put_in_force(self, cfg: Configuration) -> None:
-        """Put a configuration in force here and push it to the peers."""
-        self.links.push(self.gossip.take_configuration(cfg))
+    def activate_configuration(self, cfg: Configuration) -> None:
+        """Activate a configuration if it is newer, and push it to peers."""
+        self.links.push(self.gossip.apply_configuration(cfg))
 
-    def _configuration_changed(self, cfg: Configuration) -> None:
+    def _handle_configuration(self, cfg: Configuration) -> None:
         self.metrics.count("configurations_total")
-        self.log.info("configuration in force", revision=cfg.revision, operator=cfg.operator)
+        self.log.info("configuration activated", revision=cfg.revision, operator=cfg.operator)
         self.directory.configuration = cfg
         self.gateway.configuration = cfg
-        self._follow_drains(cfg)
+        self._apply_drains(cfg)
 
-    def _follow_drains(self, cfg: Configuration) -> None:
+    def _apply_drains(self, cfg: Configuration) -> None:
         drained = self.settings.vm_id in cfg.drained(
             DrainKind.VM
         ) or self.settings.zone in cfg.drained(DrainKind.ZONE)
@@ -511,11 +527,11 @@
 
     # Endpoints
 
-    def _load_read(self, endpoint_id: str, load: float) -> None:
-        self._own_loads[endpoint_id] = load
+    def _handle_load(self, endpoint_id: str, load: float) -> None:
+        self._local_loads[endpoint_id] = load
         self.directory.apply_load_reports({endpoint_id: load}, self.timers.now())
 
-    def _cache_events(
+    def _handle_cache_events(
         self, endpoint_id: str, stored: list[str], evicted: list[str], gap: bool
     ) -> None:
         if gap:
@@ -526,12 +542,12 @@
     # Inbound calls
 
     def handle_caller(self, req: InboundRequest, exchange: Exchange) -> None:
-        """Take a request that came to the callers' address."""
+        """Handle a request received on the callers' address."""
         if not self._handle_health(req, exchange):
             self.gateway.handle(req, exchange)
 
     def handle_control(self, req: InboundRequest, exchange: Exchange) -> None:
-        """Take a request that came to the control address."""
+        """Handle a request received on the control address."""
         if not self._handle_health(req, exchange):
             self.control.handle(req, exchange)
 
--- a/flamingofront/process/operators.py
+++ b/flamingofront/process/operators.py
@@ -1,4 +1,4 @@
-"""The operators' interface: statements in, rows or outcomes out."""
+"""Operator interface: executes statements, returns rows or the outcome of a change."""
 
 import random
 from collections.abc import Callable, Iterable
@@ -74,8 +74,8 @@
     "held": HELD_COLUMNS,
     "counters": ("vm", "counter", "labels", "value"),
 }
-# Subjects of which each process knows only its own part.
-COLLECTED = ("requests", "leases", "held", "counters", "drains", "shares")
+# Subjects whose rows must be collected from all processes.
+PER_PROCESS_SUBJECTS = ("requests", "leases", "held", "counters", "drains", "shares")
 _OBJECT_SUBJECTS = {
     "services": ObjectKind.SERVICE,
     "routes": ObjectKind.ROUTE,
@@ -93,14 +93,14 @@
 
 
 class OperatorService:
-    """Answers queries and carries out changes.
+    """Executes operators' queries and changes.
 
     Parameters
     ----------
     local_rows : callable
         Returns this process's rows of a subject.
     on_configuration : callable
-        Gets each configuration that was accepted here.
+        Called with each configuration committed by this process.
     """
 
     def __init__(
@@ -124,26 +124,26 @@
         self._on_configuration = on_configuration
 
     def handle(self, req: InboundRequest, exchange: Exchange) -> None:
-        """Take the statements of one call; changes in them take effect together."""
+        """Execute the statements of one call; several changes are committed atomically."""
         data = _parse_body(req.body)
         try:
             statements = [parse(text) for text in data["statements"]]
-            self._carry_out(statements, data, exchange)
+            self._execute(statements, data, exchange)
         except CommandError as exc:
             raise RequestError(ErrorKind.INVALID_COMMAND, str(exc)) from exc
 
-    def _carry_out(self, statements: list, data: dict, exchange: Exchange) -> None:
+    def _execute(self, statements: list, data: dict, exchange: Exchange) -> None:
         if all(isinstance(each, Change) for each in statements):
             edits = tuple(edit for each in statements for edit in each.edits)
-            self._change(edits, data, exchange)
+            self._commit_edits(edits, data, exchange)
         elif len(statements) > 1:
-            raise CommandError("only changes can be given together in one call")
+            raise CommandError("several statements in one call must all be changes")
         elif isinstance(statements[0], Query):
-            self._query(statements[0], exchange)
+            self._respond_query(statements[0], exchange)
         else:
             self._settle(statements[0], data["operator"], exchange)
 
-    def _change(self, edits: tuple[Edit, ...], data: dict, exchange: Exchange) -> None:
+    def _commit_edits(self, edits: tuple[Edit, ...], data: dict, exchange: Exchange) -> None:
         operation = data.get("operation") or f"op-{self._rng.getrandbits(64):016x}"
         base = data.get("base")
         if base is None:
@@ -158,9 +158,9 @@
             self._rng,
             until=self._timers.wall() + KEPT_SECONDS,
         )
-        self._tasks.start(task, lambda outcome: self._committed(outcome, exchange))
+        self._tasks.start(task, lambda outcome: self._handle_commit(outcome, exchange))
 
-    def _committed(self, outcome: CommitOutcome, exchange: Exchange) -> None:
+    def _handle_commit(self, outcome: CommitOutcome, exchange: Exchange) -> None:
         if outcome.configuration is not None:
             self._on_configuration(outcome.configuration)
         _respond_outcome(outcome, exchange)
@@ -169,23 +169,23 @@
         task = settle(self._documents, statement.operation, operator, self._rng)
         self._tasks.start(task, lambda outcome: _respond_outcome(outcome, exchange))
 
-    def _query(self, query: Query, exchange: Exchange) -> None:
+    def _respond_query(self, query: Query, exchange: Exchange) -> None:
         columns = COLUMNS[query.subject]
-        run_query(query, (), columns)  # names the bad field before any peer is asked
-        if query.subject in COLLECTED:
+        run_query(query, (), columns)  # rejects an unknown field before any peer is queried
+        if query.subject in PER_PROCESS_SUBJECTS:
             self._links.collect_rows(
                 query.subject,
-                lambda rows, missing: self._collected(query, rows, missing, exchange),
+                lambda rows, missing: self._handle_collected_rows(query, rows, missing, exchange),
             )
         else:
-            self._respond_rows(query, self._known_rows(query.subject), [], exchange)
+            self._respond_rows(query, self._build_rows(query.subject), [], exchange)
 
-    def _collected(
+    def _handle_collected_rows(
         self, query: Query, rows: list[dict], missing: list[str], exchange: Exchange
     ) -> None:
         rows = rows + self._local_rows(query.subject)
         if query.subject in ("drains", "shares"):
-            rows = _summed(rows, COLUMNS[query.subject])
+            rows = _sum_requests(rows, COLUMNS[query.subject])
         self._respond_rows(query, rows, missing, exchange)
 
     def _respond_rows(
@@ -196,7 +196,7 @@
         body = {"columns": list(columns), "rows": found, "missing": missing}
         exchange.respond(200, JSON_HEADERS, orjson.dumps(body))
 
-    def _known_rows(self, subject: str) -> list[dict[str, Any]]:
+    def _build_rows(self, subject: str) -> list[dict[str, Any]]:
         kind = _OBJECT_SUBJECTS.get(subject)
         if kind is not None:
             objects = self._gossip.configuration.of(kind).values()
@@ -204,8 +204,8 @@
         return self._local_rows(subject)
 
 
-def _summed(rows: list[dict], columns: tuple[str, ...]) -> list[dict]:
-    """Add up the rows of several processes that are about the same thing."""
+def _sum_requests(rows: list[dict], columns: tuple[str, ...]) -> list[dict]:
+    """Sum the request counts of rows that agree in all other columns."""
     totals: dict[tuple, int] = {}
     names = [each for each in columns if each != "requests"]
     for row in rows:
@@ -218,16 +218,22 @@
     try:
         data = orjson.loads(body)
     except orjson.JSONDecodeError as exc:
-        raise RequestError(ErrorKind.MALFORMED_REQUEST, f"not valid JSON: {exc}") from None
+        raise RequestError(
+            ErrorKind.MALFORMED_REQUEST, f"the body is not valid JSON: {exc}"
+        ) from None
     if not isinstance(data, dict) or not isinstance(data.get("statements"), list):
-        raise RequestError(ErrorKind.MALFORMED_REQUEST, "statements must be a list of texts")
+        raise RequestError(ErrorKind.MALFORMED_REQUEST, "statements must be a list of strings")
     if not data["statements"] or not all(isinstance(each, str) for each in data["statements"]):
-        raise RequestError(ErrorKind.MALFORMED_REQUEST, "statements must be a list of texts")
+        raise RequestError(
+            ErrorKind.MALFORMED_REQUEST, "statements must be a non-empty list of strings"
+        )
     if not isinstance(data.get("operator"), str) or not data["operator"]:
-        raise RequestError(ErrorKind.MALFORMED_REQUEST, "operator must be a name")
+        raise RequestError(ErrorKind.MALFORMED_REQUEST, "operator must be a non-empty string")
     base = data.get("base")
     if base is not None and (not isinstance(base, int) or base < 0):
-        raise RequestError(ErrorKind.MALFORMED_REQUEST, f"base must be a revision, got {base!r}")
+        raise RequestError(
+            ErrorKind.MALFORMED_REQUEST, f"base must be a revision number, got {base!r}"
+        )
     return data
 
 
--- a/flamingofront/process/orders.py
+++ b/flamingofront/process/orders.py
@@ -1,8 +1,8 @@
-"""Orders to endpoints, given only by the holder of a lease.
+"""Reconciliation of engines with the configuration, done only by the holder of a leader lease.
 
-Each order says what an endpoint should be ("hold model X"), never how to change, so repeating it or
-giving it late does no further harm. It carries the fencing number of the lease; endpoints that
-check it refuse the order of an earlier holder. Of the others the state is read back and put right.
+Each request to an engine is declarative and idempotent ("load model X"), so a repeated or delayed
+one does no harm. It carries the lease's fencing token; endpoints that check the token reject
+requests of an earlier holder. The state of the other endpoints is read again and corrected.
 """
 
 import orjson
@@ -15,14 +15,14 @@
 from flamingofront.process.tasks import Reply, Task, TaskRunner
 from flamingofront.version.model import ServiceKind
 
-__all__ = ["EndpointOrders"]
+__all__ = ["EngineReconciler"]
 
-ORDER_TIMEOUT_SECONDS = 1.5
+CALL_TIMEOUT_SECONDS = 1.5
 STATUS_STALE_FENCING = 409
 
 
-class EndpointOrders:
-    """Brings the engines of a zone to hold the models that the configuration names."""
+class EngineReconciler:
+    """Makes the engines of a zone load the models that the configuration assigns to them."""
 
     def __init__(
         self,
@@ -35,31 +35,31 @@
         self._gossip = dissemination
         self._tasks = tasks
         self._metrics = metrics
-        self._busy: set[str] = set()
+        self._in_progress: set[str] = set()
 
-    def step(self) -> None:
-        """Check each engine of the zone, if this process holds the lease."""
+    def reconcile(self) -> None:
+        """Check every engine of the zone, if this process holds the lease."""
         if self._lease.current() is None:
             return
         zone = self._gossip.facts.get(self._gossip.own_id).zone
         for fact in self._gossip.facts.select(Role.ENDPOINT):
             service = self._gossip.configuration.service(fact.service)
             is_engine = service is not None and service.kind is ServiceKind.MODEL
-            if fact.zone == zone and is_engine and fact.vm_id not in self._busy:
-                self._busy.add(fact.vm_id)
+            if fact.zone == zone and is_engine and fact.vm_id not in self._in_progress:
+                self._in_progress.add(fact.vm_id)
                 self._tasks.start(
-                    self._converge(fact, service.model),
-                    lambda _, vm_id=fact.vm_id: self._busy.discard(vm_id),
+                    self._reconcile_engine(fact, service.model),
+                    lambda _, vm_id=fact.vm_id: self._in_progress.discard(vm_id),
                 )
 
-    def _converge(self, fact: Fact, model: str) -> Task:
-        """Read an engine's state and order the model if it holds another."""
-        reply = yield OutboundCall(fact.address, "GET", "/state", timeout=ORDER_TIMEOUT_SECONDS)
+    def _reconcile_engine(self, fact: Fact, model: str) -> Task:
+        """Read an engine's state and request the model if it has loaded another."""
+        reply = yield OutboundCall(fact.address, "GET", "/state", timeout=CALL_TIMEOUT_SECONDS)
         if isinstance(reply, CallFailed) or reply.status != 200:
             return
         if orjson.loads(reply.body)["model"] == model:
             return
-        # The lease may have lapsed during the question; it counts at the moment of the order.
+        # The lease may have expired during the state request; it must be valid at the load request.
         lease = self._lease.current()
         if lease is None:
             self._metrics.count("orders_total", kind="load", result="lease_lapsed")
@@ -71,12 +71,12 @@
             "/order",
             body,
             (("Content-Type", "application/json"),),
-            ORDER_TIMEOUT_SECONDS,
+            CALL_TIMEOUT_SECONDS,
         )
-        self._metrics.count("orders_total", kind="load", result=_result_of(reply))
+        self._metrics.count("orders_total", kind="load", result=_classify_reply(reply))
 
 
-def _result_of(reply: Reply) -> str:
+def _classify_reply(reply: Reply) -> str:
     if isinstance(reply, CallFailed):
         return "unknown" if reply.wrote else "not_sent"
     if reply.status == STATUS_STALE_FENCING:
--- a/flamingofront/process/peers.py
+++ b/flamingofront/process/peers.py
@@ -1,4 +1,4 @@
-"""Talk to the other entry processes: gossip, pushes, hand-over, relays, questions."""
+"""Client side of the protocol between entry processes: gossip and requests to peers."""
 
 import random
 from collections.abc import Callable
@@ -24,21 +24,22 @@
 
 __all__ = ["PeerLinks"]
 
-MAX_HOLDERS_ASKED = 4
-QUESTION_TIMEOUT_SECONDS = 1.0
+# Number of peers that are tried to find the owner of a request.
+MAX_HOLDERS = 4
+REQUEST_TIMEOUT_SECONDS = 1.0
 
 
 class PeerLinks:
-    """The outgoing side of the conversations with peers.
+    """Sends gossip and requests to peers.
 
     Parameters
     ----------
     headers : tuple
         Headers that authorize calls to peers.
     seeds : tuple of str
-        Control addresses to ask while no member is known.
+        Control addresses to contact while no peer is known.
     on_exchange : callable
-        Called after each digest exchange that was answered.
+        Called after each successful digest exchange.
     """
 
     def __init__(
@@ -61,28 +62,28 @@
         self._seeds = seeds
         self._on_exchange = on_exchange
 
-    def exchange(self) -> None:
-        """Exchange digests with one random peer, and with one seed while there is none."""
+    def exchange_digests(self) -> None:
+        """Start a digest exchange with a random peer, or with all seeds while no peer is known."""
         peers = self._gossip.pick_peers(1)
         addresses = [each.address for each in peers]
         if not addresses:
             addresses = list(self._seeds)
         for address in addresses:
-            self._tasks.start(self._exchange_with(address))
+            self._tasks.start(self._exchange_digests_with(address))
 
     def _post(self, address: str, path: str, data: Any, timeout: float = 2.0) -> OutboundCall:
         headers = (("Content-Type", "application/json"), *self.headers)
         return OutboundCall(address, "POST", path, orjson.dumps(data), headers, timeout)
 
-    def _exchange_with(self, address: str) -> Task:
+    def _exchange_digests_with(self, address: str) -> Task:
         digest = self._gossip.make_digest(self._timers.now())
         reply = yield self._post(address, "/peer/digest", digest.to_json())
         if isinstance(reply, CallFailed) or reply.status != 200:
             self._metrics.count("gossip_total", kind="digest", result="failed")
             return
         self._metrics.count("gossip_total", kind="digest", result="ok")
-        answer = DigestReply.from_json(orjson.loads(reply.body))
-        to_peer, onward = self._gossip.take_reply(answer, self._timers.now())
+        digest_reply = DigestReply.from_json(orjson.loads(reply.body))
+        to_peer, onward = self._gossip.apply_reply(digest_reply, self._timers.now())
         if onward is not None:
             self.push(onward)
         self._on_exchange()
@@ -90,33 +91,33 @@
             yield self._post(address, "/peer/push", to_peer.to_json())
 
     def push(self, push: Push | None) -> None:
-        """Send news to a few peers at once."""
+        """Send changes to a few random peers; None has no effect."""
         if push is None:
             return
         for peer in self._gossip.pick_peers(PUSH_FANOUT):
-            self._tasks.start(self._push_to(peer, push))
+            self._tasks.start(self._send_push(peer, push))
 
-    def _push_to(self, peer: Fact, push: Push) -> Task:
+    def _send_push(self, peer: Fact, push: Push) -> Task:
         reply = yield self._post(peer.address, "/peer/push", push.to_json())
         failed = isinstance(reply, CallFailed) or reply.status != 200
         self._metrics.count("gossip_total", kind="push", result="failed" if failed else "ok")
 
-    def take_digest(self, data: dict) -> dict:
-        """Answer a peer's digest."""
+    def handle_digest(self, data: dict) -> dict:
+        """Merge a peer's digest and return the reply, both as JSON values."""
         reply = self._gossip.answer_digest(Digest.from_json(data), self._timers.now())
         return reply.to_json()
 
-    def take_push(self, data: dict) -> None:
-        """Take a peer's news and pass on what was new."""
-        self.push(self._gossip.take_push(Push.from_json(data)))
+    def handle_push(self, data: dict) -> None:
+        """Apply a peer's push and forward what was new."""
+        self.push(self._gossip.apply_push(Push.from_json(data)))
 
-    def holders(self, request_id: str) -> list[str]:
-        """Return the addresses of the peers that may hold a request, the likeliest first.
+    def rank_holders(self, request_id: str) -> list[str]:
+        """Return the addresses of the peers that may own a request, the most likely first.
 
         Notes
         -----
-        The holder is the process that accepted the request, unless that one handed it over: then
-        it is among the first live peers in the order in which the record was offered.
+        The process that accepted a request owns it. After a handover, the owner is one of the first
+        live peers in rendezvous order, in which the record was offered.
         """
         peers = {each.vm_id: each for each in self._gossip.peers()}
         ordered = rank(request_id, peers)
@@ -124,39 +125,45 @@
         origin = origin_of(request_id)
         if origin in peers:
             ordered.remove(origin)
-            at = 0 if peers[origin].state is VmState.LIVE else 2
-            ordered.insert(at, origin)
-        return [peers[each].address for each in ordered[:MAX_HOLDERS_ASKED]]
+            index = 0 if peers[origin].state is VmState.LIVE else 2
+            ordered.insert(index, origin)
+        return [peers[each].address for each in ordered[:MAX_HOLDERS]]
 
-    def ask_not_run(self, vm_id: str, request_id: str) -> Task:
-        """Ask the owner of a claim whether its request was certainly not run."""
+    def query_not_run(self, vm_id: str, request_id: str) -> Task:
+        """Ask the owner of a claim; return True only if it confirms its request was not run."""
         fact = self._gossip.facts.get(vm_id)
         if fact is None or fact.role is not Role.ENTRY:
             return False
         path = f"/peer/claims/{quote(request_id)}"
         reply = yield OutboundCall(
-            fact.address, "GET", path, b"", self.headers, QUESTION_TIMEOUT_SECONDS
+            fact.address, "GET", path, b"", self.headers, REQUEST_TIMEOUT_SECONDS
         )
         if isinstance(reply, CallFailed) or reply.status != 200:
             return False
         return orjson.loads(reply.body)["not_run"] is True
 
     def collect_rows(self, subject: str, on_done: Callable[[list[dict], list[str]], None]) -> None:
-        """Ask all peers for their rows of a subject; tell which could not be asked."""
-        _Collection(self, subject, on_done).start(self._gossip.peers(), self._tasks)
+        """Collect the rows of a subject from all peers.
 
-    def rows_of(self, peer: Fact, subject: str) -> Task:
-        """Ask one peer for its rows of a subject; return None if it does not answer."""
+        Parameters
+        ----------
+        on_done : callable
+            Called with the rows and the ids of the peers that did not respond.
+        """
+        _RowCollection(self, subject, on_done).start(self._gossip.peers(), self._tasks)
+
+    def fetch_rows(self, peer: Fact, subject: str) -> Task:
+        """Fetch one peer's rows of a subject; return None if it does not respond."""
         reply = yield self._post(
-            peer.address, "/peer/rows", {"subject": subject}, QUESTION_TIMEOUT_SECONDS
+            peer.address, "/peer/rows", {"subject": subject}, REQUEST_TIMEOUT_SECONDS
         )
         if isinstance(reply, CallFailed) or reply.status != 200:
             return None
         return orjson.loads(reply.body)["rows"]
 
 
-class _Collection:
-    """Rows from all peers, on their way."""
+class _RowCollection:
+    """Pending collection of rows from all peers."""
 
     def __init__(
         self,
@@ -169,24 +176,24 @@
         self._on_done = on_done
         self._rows: list[dict] = []
         self._missing: list[str] = []
-        self._left = 0
+        self._pending = 0
 
     def start(self, peers: tuple[Fact, ...], tasks: TaskRunner) -> None:
-        """Ask all peers at once."""
-        self._left = len(peers)
+        """Query all peers concurrently."""
+        self._pending = len(peers)
         if not peers:
             self._on_done([], [])
         for peer in peers:
             tasks.start(
-                self._links.rows_of(peer, self._subject),
-                lambda rows, vm_id=peer.vm_id: self._take(vm_id, rows),
+                self._links.fetch_rows(peer, self._subject),
+                lambda rows, vm_id=peer.vm_id: self._add_rows(vm_id, rows),
             )
 
-    def _take(self, vm_id: str, rows: list[dict] | None) -> None:
+    def _add_rows(self, vm_id: str, rows: list[dict] | None) -> None:
         if rows is None:
             self._missing.append(vm_id)
         else:
             self._rows += rows
-        self._left -= 1
-        if self._left == 0:
+        self._pending -= 1
+        if self._pending == 0:
             self._on_done(self._rows, sorted(self._missing))
--- a/flamingofront/process/services.py
+++ b/flamingofront/process/services.py
@@ -1,4 +1,4 @@
-"""What the parts of one process share, whatever they do."""
+"""Services that all components of one process use."""
 
 import random
 from dataclasses import dataclass
@@ -13,7 +13,7 @@
 
 @dataclass(frozen=True)
 class Services:
-    """Time, tasks, chance, metrics and the log of a process."""
+    """Task runner, timers, random numbers, metrics and log of one process."""
 
     tasks: TaskRunner
     timers: TimerService
--- a/flamingofront/process/status.py
+++ b/flamingofront/process/status.py
@@ -1,7 +1,7 @@
-"""Status records: what each entry process tells the others about itself.
+"""Status records: the state that each entry process gossips about itself.
 
-A record is replaced by a later one of the same process (incarnation, then sequence). Hearing a new
-record is the sign of life of its process; it guides choices and never gives authority.
+A record is replaced by a later one of the same process (by incarnation, then sequence). Receiving a
+new record shows that its process is live; this guides choices and never grants authority.
 """
 
 import random
@@ -11,22 +11,22 @@
 
 __all__ = ["StatusRecord", "StatusTable"]
 
-HEARD_SECONDS = 5.0
-MAX_RELAYED = 12
+LIVENESS_TIMEOUT_SECONDS = 5.0
+MAX_RELAYED_RECORDS = 12
 
 
 @dataclass(frozen=True)
 class StatusRecord:
-    """State of one entry process.
+    """Reported state of one entry process.
 
     Parameters
     ----------
     revision : int
-        Configuration in force there.
+        Revision of the active configuration there.
     demand : mapping of str to int
-        Requests held there by workspace.
+        Requests in flight there by workspace.
     loads : mapping of str to float
-        Load reports that it has read from endpoints.
+        Load of the endpoints that it polls, by endpoint id.
     """
 
     vm_id: str
@@ -41,7 +41,7 @@
 
     @property
     def rank(self) -> tuple[int, int]:
-        """Order in which records of the same process supersede each other."""
+        """Sort key: the record with the higher rank supersedes others of the same process."""
         return self.incarnation, self.sequence
 
     def to_json(self) -> list[Any]:
@@ -60,48 +60,52 @@
 
     @classmethod
     def from_json(cls, values: list[Any]) -> "StatusRecord":
-        """Return the record that `to_json` was called on."""
+        """Return the record encoded by `to_json`."""
         return cls(*values)
 
 
 class StatusTable:
-    """The latest record of each process, and when it was heard."""
+    """The latest record of each process, and when it was received."""
 
     def __init__(self):
         self._records: dict[str, tuple[StatusRecord, float]] = {}
 
     def merge(self, records: Iterable[StatusRecord], now: float) -> None:
-        """Take records in; one that is not newer is ignored."""
+        """Store records received at `now`; a record that is not newer is ignored."""
         for record in records:
-            known = self._records.get(record.vm_id)
-            if known is None or record.rank > known[0].rank:
+            current = self._records.get(record.vm_id)
+            if current is None or record.rank > current[0].rank:
                 self._records[record.vm_id] = (record, now)
 
     def forget(self, vm_id: str) -> None:
-        """Drop the record of a process that is gone."""
+        """Remove the record of a process that is gone."""
         self._records.pop(vm_id, None)
 
     def get(self, vm_id: str) -> StatusRecord | None:
-        """Return the latest record of a process."""
-        known = self._records.get(vm_id)
-        return known[0] if known else None
+        """Return the latest record of a process, None if there is none."""
+        current = self._records.get(vm_id)
+        return current[0] if current else None
 
     def all(self) -> tuple[StatusRecord, ...]:
         """Return the latest record of each process."""
         return tuple(record for record, _ in self._records.values())
 
-    def heard(self, now: float) -> tuple[StatusRecord, ...]:
-        """Return the records that were heard lately."""
-        return tuple(record for record, at in self._records.values() if now - at <= HEARD_SECONDS)
+    def live_records(self, now: float) -> tuple[StatusRecord, ...]:
+        """Return the records received within the liveness timeout."""
+        return tuple(
+            record for record, at in self._records.values() if now - at <= LIVENESS_TIMEOUT_SECONDS
+        )
 
     def age(self, vm_id: str, now: float) -> float | None:
-        """Return the seconds since a process was heard of."""
-        known = self._records.get(vm_id)
-        return None if known is None else now - known[1]
-
-    def relay(self, own: StatusRecord, now: float, rng: random.Random) -> list[StatusRecord]:
-        """Return the records for one digest: the own one and some that were heard lately."""
-        others = [each for each in self.heard(now) if each.vm_id != own.vm_id]
-        if len(others) > MAX_RELAYED:
-            others = rng.sample(others, MAX_RELAYED)
-        return [own, *others]
+        """Return the seconds since the latest record of a process was received, None if never."""
+        current = self._records.get(vm_id)
+        return None if current is None else now - current[1]
+
+    def select_for_digest(
+        self, local_record: StatusRecord, now: float, rng: random.Random
+    ) -> list[StatusRecord]:
+        """Return the records for one digest: `local_record` and a random sample of live ones."""
+        others = [each for each in self.live_records(now) if each.vm_id != local_record.vm_id]
+        if len(others) > MAX_RELAYED_RECORDS:
+            others = rng.sample(others, MAX_RELAYED_RECORDS)
+        return [local_record, *others]
--- a/flamingofront/process/tasks.py
+++ b/flamingofront/process/tasks.py
@@ -1,8 +1,8 @@
-"""Run generators that yield calls and sleeps.
+"""Tasks: generators that yield calls and sleeps, and their runner.
 
-A task is a generator: it yields an `OutboundCall` and is sent a `WholeResponse` or `CallFailed`, or
-yields a `Sleep` and is sent None. The decision in it needs neither a socket nor a clock, and a test
-can drive it step by step.
+A task yields an `OutboundCall` and is sent a `WholeResponse` or `CallFailed`, or yields a `Sleep`
+and is sent None. Its logic needs neither a socket nor a clock, and a test can drive it step by
+step.
 """
 
 from collections.abc import Callable, Generator
@@ -20,14 +20,20 @@
 )
 from flamingofront.process.timers import Timer, TimerService
 
-__all__ = ["Reply", "ReplyCollector", "Task", "TaskRunner", "call_whole"]
+__all__ = ["Reply", "ReplyCollector", "Task", "TaskRunner", "call_buffered"]
 
 Reply = WholeResponse | CallFailed
 Task = Generator[OutboundCall | Sleep, Reply | None, Any]
 
 
 class ReplyCollector:
-    """Gather the events of one call into one reply."""
+    """Collects the events of one call into one buffered reply.
+
+    Parameters
+    ----------
+    on_reply : callable
+        Called with the `WholeResponse`, or with the `CallFailed`.
+    """
 
     def __init__(self, on_reply: Callable[[Reply], None]):
         self._on_reply = on_reply
@@ -35,7 +41,7 @@
         self._parts: list[bytes] = []
 
     def __call__(self, event: CallEvent) -> None:
-        """Take one event; the last one makes the reply."""
+        """Handle one event; the last one of the call delivers the reply."""
         if isinstance(event, ResponseHead):
             self._head = event
         elif isinstance(event, ResponseData):
@@ -48,7 +54,7 @@
             self._on_reply(event)
 
 
-def call_whole(
+def call_buffered(
     transport: Transport, call: OutboundCall, on_reply: Callable[[Reply], None]
 ) -> CallHandle:
     """Send `call` and pass its complete response, or its failure, to `on_reply`."""
@@ -56,7 +62,13 @@
 
 
 class RunningTask:
-    """Handle of a task in progress."""
+    """Handle of a running task.
+
+    Attributes
+    ----------
+    done : bool
+        True once the task has returned, failed or was cancelled.
+    """
 
     def __init__(self, runner: "TaskRunner", task: Task, on_done: Callable[[Any], None] | None):
         self._runner = runner
@@ -67,7 +79,7 @@
         self.done = False
 
     def cancel(self) -> None:
-        """Stop the task where it is."""
+        """Stop the task, and cancel its pending call or sleep."""
         self.done = True
         if self._call is not None:
             self._call.cancel()
@@ -76,26 +88,26 @@
         self._task.close()
 
     def step(self, reply: Reply | None) -> None:
-        """Send `reply` into the generator and carry out what it yields next."""
+        """Resume the generator with `reply` and start the call or sleep it yields next."""
         if self.done:
             return
         self._call = None
         self._timer = None
         try:
-            wanted = self._task.send(reply)
+            request = self._task.send(reply)
         except StopIteration as exc:
             self._finish(exc.value)
             return
-        except Exception as exc:  # the fault must end in the log, not in the event loop
+        except Exception as exc:  # must be logged and not reach the event loop
             self.done = True
             self._runner.on_fault(exc)
             return
-        if isinstance(wanted, Sleep):
+        if isinstance(request, Sleep):
             self._timer = self._runner.timers.once(
-                wanted.seconds, lambda: self.step(None), wanted.relaxed
+                request.seconds, lambda: self.step(None), request.relaxed
             )
         else:
-            self._call = call_whole(self._runner.transport, wanted, self.step)
+            self._call = call_buffered(self._runner.transport, request, self.step)
 
     def _finish(self, value: Any) -> None:
         self.done = True
@@ -104,12 +116,12 @@
 
 
 class TaskRunner:
-    """Start tasks on a transport and a timer service.
+    """Starts tasks on a transport and a timer service.
 
     Parameters
     ----------
     on_fault : callable
-        Gets an exception that a task did not handle.
+        Called with an exception that a task did not handle.
     """
 
     def __init__(
@@ -123,7 +135,7 @@
         self.on_fault = on_fault
 
     def start(self, task: Task, on_done: Callable[[Any], None] | None = None) -> RunningTask:
-        """Run `task` until its first wait and return its handle."""
+        """Run `task` until its first call or sleep and return its handle."""
         running = RunningTask(self, task, on_done)
         running.step(None)
         return running
--- a/flamingofront/process/tests/test_graceful_stop.py
+++ b/flamingofront/process/tests/test_graceful_stop.py
@@ -1,4 +1,4 @@
-"""Graceful stops cut no request and leave no caller without word."""
+"""A graceful shutdown interrupts no request and leaves no caller without a response."""
 
 import pytest
 
@@ -12,11 +12,11 @@
 
 class TestRollingRestart:
     @pytest.mark.parametrize("tokens", [50, 900])
-    def test_all_entry_processes_under_load(self, tokens):
+    def test_restart_of_all_entry_processes_under_load(self, tokens):
         world = demo_world(ZONES, entries_per_zone=2, engines_per_zone=3)
-        callers, refused = [], []
+        callers, rejections = [], []
 
-        def load(seconds):
+        def send_requests(seconds):
             for _ in range(int(seconds / 0.25)):
                 for name, node in world.nodes.items():
                     if world.host(name).dead or not node.ready:
@@ -28,7 +28,7 @@
                 world.run(0.25)
 
         for name in list(world.nodes):
-            load(0.5)
+            send_requests(0.5)
             world.nodes[name].shut_down()
             world.run_until(lambda name=name: name in world.exited, 30.0)
             world.exited.discard(name)
@@ -37,14 +37,14 @@
         nodes = list(world.nodes)
         for caller in callers:
             if caller.done and caller.status == 503:
-                refused.append(caller.error["ran"])
+                rejections.append(caller.error["ran"])
                 continue
             text = follow(world, caller, caller.prompt, nodes)
             assert text == expected_text(prompt_tokens(caller.prompt), tokens)
-        assert set(refused) <= {"no"}
-        assert len(refused) < len(callers)
+        assert set(rejections) <= {"no"}
+        assert len(rejections) < len(callers)
 
-    def test_stop_takes_no_longer_than_the_drain_and_the_hand_over(self):
+    def test_shutdown_takes_no_longer_than_drain_and_handover(self):
         world = demo_world(ZONES)
         caller = world.complete("entry-a1", tokens=5000)
         world.run(0.5)
@@ -52,7 +52,7 @@
         assert world.run_until(lambda: "entry-a1" in world.exited) < 3.0
         assert b"event: reattach" in caller.body
 
-    def test_refusal_while_draining_says_not_run_and_when_to_come_back(self):
+    def test_rejection_while_draining_reports_not_run_and_retry_after(self):
         world = demo_world(ZONES)
         world.complete("entry-a1", tokens=500)
         world.nodes["entry-a1"].shut_down()
@@ -63,8 +63,8 @@
         assert world.call("entry-a1", "GET", "/readyz").status == 503
 
 
-class TestDrainOrder:
-    def test_vm_is_drained_and_taken_back_by_order(self):
+class TestDrainCommand:
+    def test_operator_drains_and_undrains_vm(self):
         world = demo_world(ZONES)
         world.operate("drain vm entry-a1", "entry-b1")
         world.run(2.0)
@@ -76,7 +76,7 @@
         world.finish(caller)
         assert caller.status == 200
 
-    def test_route_that_is_deleted_does_not_cut_its_requests(self):
+    def test_deleting_a_route_does_not_interrupt_its_requests(self):
         world = demo_world(ZONES)
         caller = world.complete("entry-a1", tokens=300)
         world.run(0.5)
@@ -86,17 +86,17 @@
         assert world.complete("entry-a1").status == 404
 
 
-class TestShare:
-    def test_growing_share_moves_keys_towards_the_new_side_only(self):
+class TestMoveShare:
+    def test_growing_share_moves_keys_to_the_new_side_only(self):
         keys = [f"workspace-{number}" for number in range(400)]
-        taken = set()
+        previous = set()
         for share in range(0, 101, 5):
             move = Move("m", "s", "old", "new", float(share))
-            now = {key for key in keys if side_of_move(move, key, "r") == "new"}
-            assert taken <= now
-            assert abs(len(now) / len(keys) - share / 100) < 0.08
-            taken = now
-        assert taken == set(keys)
+            moved = {key for key in keys if side_of_move(move, key, "r") == "new"}
+            assert previous <= moved
+            assert abs(len(moved) / len(keys) - share / 100) < 0.08
+            previous = moved
+        assert previous == set(keys)
 
     def test_requests_follow_the_share(self):
         text = DEMO + (
--- a/flamingofront/process/tests/test_leaving.py
+++ b/flamingofront/process/tests/test_leaving.py
@@ -1,4 +1,4 @@
-"""Leaving endpoints get no new work within seconds, whoever hears of it first."""
+"""A leaving endpoint gets no new requests after a few seconds, whichever process learns first."""
 
 import pytest
 from hypothesis import given
@@ -8,11 +8,14 @@
 from flamingofront.tests.world import demo_world
 
 ZONES = ("zone-a", "zone-b", "zone-c")
-FEW_SECONDS = 5.0
+PROPAGATION_LIMIT_SECONDS = 5.0
 
 
-def last_new_work(world, engine_name, seconds):
-    """Send requests from all entry VMs all the time; return when the engine last got one."""
+def measure_last_request(world, engine_name, seconds):
+    """Send requests from all entry VMs continuously for `seconds`.
+
+    Returns the seconds from the start until the engine got its last request, 0 if it got none.
+    """
     engine = world.engines[engine_name]
     start = world.clock.now()
     last = 0.0
@@ -28,39 +31,39 @@
     return last
 
 
-class TestTimeToTakeEffect:
-    def test_notice_seen_in_one_zone(self):
+class TestPropagationTime:
+    def test_reclaim_notice_read_in_one_zone(self):
         world = demo_world(ZONES, list_lag=20.0)
         world.platform.reclaim("engine-a1", 60.0)
-        assert last_new_work(world, "engine-a1", 15.0) < FEW_SECONDS
+        assert measure_last_request(world, "engine-a1", 15.0) < PROPAGATION_LIMIT_SECONDS
 
-    def test_sign_in_the_vm_list(self):
+    def test_leaving_state_in_vm_list(self):
         world = demo_world(ZONES)
         world.platform.vms["engine-a1"]["state"] = "leaving"
         world.platform._show("engine-a1", 0.0)
-        assert last_new_work(world, "engine-a1", 15.0) < FEW_SECONDS
+        assert measure_last_request(world, "engine-a1", 15.0) < PROPAGATION_LIMIT_SECONDS
 
-    def test_order_to_drain(self):
+    def test_drain_command(self):
         world = demo_world(ZONES)
         world.start_operation(["drain endpoint engine-a1"], "entry-b1")
-        assert last_new_work(world, "engine-a1", 15.0) < FEW_SECONDS
+        assert measure_last_request(world, "engine-a1", 15.0) < PROPAGATION_LIMIT_SECONDS
 
-    def test_peers_told_although_messages_are_lost_and_a_zone_is_cut_off(self):
-        """Zone c hears neither the platform nor zone a, only zone b."""
+    def test_partitioned_zone_learns_through_another_zone(self):
+        """Zone c can reach neither the platform nor zone a, only zone b."""
         world = demo_world(ZONES, list_lag=20.0)
         world.cut("zone-c", "platform")
         world.cut("zone-c", "entry-a1")
         world.platform.reclaim("engine-a1", 60.0)
-        assert last_new_work(world, "engine-a1", 15.0) < FEW_SECONDS
+        assert measure_last_request(world, "engine-a1", 15.0) < PROPAGATION_LIMIT_SECONDS
 
     @pytest.mark.parametrize("seed", range(5))
-    def test_delays_and_reordering(self, seed):
+    def test_with_delayed_and_reordered_messages(self, seed):
         world = demo_world(ZONES, list_lag=20.0, seed=seed)
         world.max_extra_delay = 0.5
         world.platform.reclaim("engine-b1", 60.0)
-        assert last_new_work(world, "engine-b1", 15.0) < FEW_SECONDS
+        assert measure_last_request(world, "engine-b1", 15.0) < PROPAGATION_LIMIT_SECONDS
 
-    def test_cut_off_zone_learns_of_its_own_endpoints_when_the_platform_is_back(self):
+    def test_isolated_zone_learns_of_its_endpoints_after_recovery(self):
         world = demo_world(ZONES)
         world.isolate("zone-c")
         world.platform.reclaim("engine-c1", 600.0)
@@ -69,9 +72,9 @@
         world.finish(caller)
         assert caller.status == 200
         world.heal()
-        assert last_new_work(world, "engine-c1", 15.0) < FEW_SECONDS
+        assert measure_last_request(world, "engine-c1", 15.0) < PROPAGATION_LIMIT_SECONDS
 
-    def test_draining_a_side_sends_its_work_to_the_other(self):
+    def test_draining_a_side_moves_its_requests_to_the_other(self):
         from flamingofront.tests.world import DEMO
 
         text = (
@@ -87,7 +90,7 @@
         world.run(0.5)
         world.operate("drain side old")
         for engine in ("old-a", "old-b", "old-c"):
-            assert last_new_work(world, engine, 6.0) < FEW_SECONDS
+            assert measure_last_request(world, engine, 6.0) < PROPAGATION_LIMIT_SECONDS
         world.finish(*callers)
         assert all(each.body.endswith(b"[DONE]\n\n") for each in callers)
 
@@ -105,10 +108,10 @@
 
 class TestFactTable:
     @given(st.lists(facts, max_size=30), st.randoms(use_true_random=False))
-    def test_order_and_repetition_make_no_difference(self, known, rng):
+    def test_merge_is_independent_of_order_and_repetition(self, all_facts, rng):
         first, second = FactTable(), FactTable()
-        first.merge(known)
-        shuffled = known + known[: len(known) // 2]
+        first.merge(all_facts)
+        shuffled = all_facts + all_facts[: len(all_facts) // 2]
         rng.shuffle(shuffled)
         second.merge(shuffled)
         ranks = [{each.vm_id: each.rank for each in table.all()} for table in (first, second)]
@@ -116,10 +119,10 @@
         assert first.hashes() == second.hashes()
 
     @given(st.lists(facts, max_size=30))
-    def test_a_fact_never_goes_back(self, known):
+    def test_rank_of_a_fact_never_decreases(self, all_facts):
         table = FactTable()
         highest = {}
-        for fact in known:
+        for fact in all_facts:
             table.merge([fact])
             highest[fact.vm_id] = max(highest.get(fact.vm_id, (0, 0)), fact.rank)
             assert table.get(fact.vm_id).rank == highest[fact.vm_id]
@@ -133,8 +136,8 @@
         assert (first.hashes() == second.hashes()) == (ranks[0] == ranks[1])
 
 
-class TestStaleList:
-    def test_a_stale_list_does_not_revive_a_vm(self):
+class TestUnreliableList:
+    def test_stale_list_does_not_revive_vm(self):
         world = demo_world(ZONES)
         before = {name: dict(each) for name, each in world.platform.shown.items()}
         world.platform.reclaim("engine-a1", 1.0)
@@ -146,7 +149,7 @@
         world.run(10.0)
         for node in world.nodes.values():
             assert node.gossip.facts.get("engine-a1").state is VmState.GONE
-        assert last_new_work(world, "engine-a1", 2.0) == 0.0
+        assert measure_last_request(world, "engine-a1", 2.0) == 0.0
 
     def test_vm_missing_from_one_list_is_not_gone(self):
         world = demo_world(ZONES)
--- a/flamingofront/process/tests/test_logs.py
+++ b/flamingofront/process/tests/test_logs.py
@@ -1,4 +1,4 @@
-"""Lines of the log."""
+"""Format of log lines."""
 
 import io
 
@@ -9,7 +9,7 @@
 from flamingofront.process.logs import RESERVED_FIELDS, JsonLinesHandler, Log
 
 
-class TestLine:
+class TestLogLine:
     @pytest.fixture
     def lines(self):
         stream = io.StringIO()
@@ -17,8 +17,8 @@
             yield lambda: [orjson.loads(each) for each in stream.getvalue().splitlines()]
 
     @pytest.mark.parametrize("name", sorted(RESERVED_FIELDS))
-    def test_field_does_not_overwrite_what_each_line_has(self, lines, name, log_watch):
-        """A quota's ``level`` took the place of the severity."""
+    def test_event_field_does_not_overwrite_reserved_field(self, lines, name, log_watch):
+        """An event field ``level`` once replaced the severity of the line."""
         logger = logbook.Logger("entry")
         logger.info("refused", **{name: -210483})
         (line,) = lines()
@@ -26,7 +26,7 @@
         assert line[f"{name}_"] == -210483
         log_watch.misnamed.clear()
 
-    def test_error_has_its_traceback(self, lines, log_watch):
+    def test_error_includes_traceback(self, lines, log_watch):
         try:
             raise RuntimeError("broken")
         except RuntimeError as exc:
--- a/flamingofront/process/tests/test_settings.py
+++ b/flamingofront/process/tests/test_settings.py
@@ -5,13 +5,13 @@
 from flamingofront.errors import SettingsError
 from flamingofront.process.settings import Address, resolve_settings
 
-GOOD = {"vm_id": "a", "zone": "z", "platform": "127.0.0.1:1"}
+REQUIRED_FLAGS = {"vm_id": "a", "zone": "z", "platform": "127.0.0.1:1"}
 
 
 class TestSettings:
-    def test_flag_goes_before_the_variable(self):
+    def test_flag_overrides_environment_variable(self):
         environment = {"FLAMINGOFRONT_ZONE": "other", "FLAMINGOFRONT_DRAIN_TIMEOUT": "7"}
-        settings = resolve_settings(GOOD, environment)
+        settings = resolve_settings(REQUIRED_FLAGS, environment)
         assert (settings.zone, settings.drain_timeout) == ("z", 7.0)
         assert settings.platform == Address("127.0.0.1", 1)
 
@@ -28,8 +28,8 @@
             ({"peers": "127.0.0.1:1,x"}, {}, "--peers"),
         ],
     )
-    def test_bad_value_is_named(self, flags, environment, message):
-        base = GOOD if flags or environment else {}
+    def test_error_names_the_invalid_value(self, flags, environment, message):
+        base = REQUIRED_FLAGS if flags or environment else {}
         with pytest.raises(SettingsError) as caught:
             resolve_settings({**base, **flags}, environment)
         assert message in str(caught.value)
--- a/flamingofront/process/tests/test_timers.py
+++ b/flamingofront/process/tests/test_timers.py
@@ -1,4 +1,4 @@
-"""Timers that end a wait, and relaxed ones that wait for company."""
+"""Exact timers, and relaxed timers that run with other wake-ups."""
 
 import pytest
 
@@ -10,43 +10,43 @@
     return TimerService(ManualClock(100.0))
 
 
-def run_at(timers, time):
+def run_due_at(timers, time):
     timers._clock.time = time
     return timers.run_due()
 
 
 class TestRelaxedTimers:
-    def test_it_ends_a_wait_only_after_its_slack(self, timers):
+    def test_relaxed_timer_wakes_only_after_its_slack(self, timers):
         timers.once(1.0, lambda: None, relaxed=True)
         assert timers.next_due() == pytest.approx(101.0 + SLACK_SECONDS)
 
-    def test_exact_timer_ends_the_wait_before(self, timers):
+    def test_exact_timer_wakes_before_relaxed_timer(self, timers):
         timers.once(1.0, lambda: None, relaxed=True)
         timers.once(1.05, lambda: None)
         assert timers.next_due() == pytest.approx(101.05)
 
-    def test_it_runs_with_whatever_wakes_the_process_once_it_is_due(self, timers):
+    def test_relaxed_timer_runs_with_any_wake_up_after_it_is_due(self, timers):
         seen = []
         timers.once(1.0, lambda: seen.append("relaxed"), relaxed=True)
-        assert run_at(timers, 100.9) == 0
-        assert run_at(timers, 101.01) == 1
+        assert run_due_at(timers, 100.9) == 0
+        assert run_due_at(timers, 101.01) == 1
         assert seen == ["relaxed"]
 
-    def test_cancelled_one_does_not_end_a_wait(self, timers):
+    def test_cancelled_timer_does_not_wake(self, timers):
         timers.once(1.0, lambda: None, relaxed=True).cancel()
         assert timers.next_due() is None
 
-    def test_periodic_ones_share_wake_ups(self, timers):
-        """Eight loops of an idle process, as in an entry process that serves nobody."""
+    def test_periodic_relaxed_timers_share_wake_ups(self, timers):
+        """Eight periodic tasks, as in an idle entry process."""
         ran = []
         for number, period in enumerate((0.2, 0.2, 0.25, 0.25, 0.25, 0.25, 0.3, 0.5)):
             first = 0.03 * number
             timers.every(period, lambda n=number: ran.append(n), first, relaxed=True)
         wake_ups = 0
         while (due := timers.next_due()) < 110.0:
-            run_at(timers, due)
+            run_due_at(timers, due)
             wake_ups += 1
-        assert len(ran) > 250  # each by itself would be a wake-up
+        assert len(ran) > 250  # each alone would need a wake-up
         assert wake_ups < 100
         assert {ran.count(number) for number in (0, 1)} <= set(range(33, 52))
 
@@ -55,7 +55,7 @@
     def test_late_periodic_timer_runs_once(self, timers):
         seen = []
         timers.every(1.0, lambda: seen.append(timers.now()))
-        run_at(timers, 107.3)
+        run_due_at(timers, 107.3)
         assert seen == [107.3]
 
     def test_period_must_be_above_zero(self, timers):
--- a/flamingofront/process/vm_list.py
+++ b/flamingofront/process/vm_list.py
@@ -1,4 +1,4 @@
-"""The platform's VM list and reclaim notices, as the entry processes of `EntryNode` read them.
+"""Client of the platform's VM list and reclaim notices, used by `EntryNode`.
 
 Each operation is a generator for `flamingofront.process.tasks`.
 """
@@ -20,7 +20,7 @@
 
 @dataclass(frozen=True)
 class VmRecord:
-    """One VM as the VM list tells it.
+    """One VM of the VM list.
 
     Parameters
     ----------
@@ -45,14 +45,14 @@
 
 
 class VmList:
-    """VM list and reclaim notices.
+    """Client of the VM list and the reclaim notices.
 
     Parameters
     ----------
     address : str
         ``IP:PORT`` of the platform.
     timeout : float
-        Seconds to wait for one answer.
+        Seconds to wait for a response.
     """
 
     def __init__(self, address: str, timeout: float = 2.0):
@@ -62,12 +62,12 @@
         self._list_tag = ""
 
     def list_vms(self) -> Task:
-        """Return the VM list as a tuple of `VmRecord`; it may lag behind.
+        """Return the VM list as a tuple of `VmRecord`; the platform may serve a stale one.
 
         Notes
         -----
-        The list is asked for with the tag of the last one, so that an unchanged list, the usual
-        case, costs a few bytes however long it is.
+        The request carries the entity tag of the last response, so that an unchanged list, the
+        usual case, costs a few bytes whatever its length.
         """
         headers = (("If-None-Match", self._list_tag),) if self._list_tag else ()
         call = self._get("/vms", headers)
@@ -77,7 +77,7 @@
             self._list_tag = reply.headers.get("etag", "")
         return self._list
 
-    def notices(self, zone: str) -> Task:
+    def fetch_notices(self, zone: str) -> Task:
         """Return the reclaim notices of a zone as a mapping from VM id to seconds left."""
         call = self._get(f"/cloud/notices?zone={quote(zone)}")
         reply = yield from ask(call, False, (STATUS_OK,))
--- a/flamingofront/process/watch.py
+++ b/flamingofront/process/watch.py
@@ -1,8 +1,9 @@
-"""Watch the platform and the endpoints: VM list, reclaim notices, revision, load reports.
+"""Polling of the platform and the endpoints: VM list, reclaim notices, revision, load reports.
 
-Each duty here is safe to do twice. To keep the cost for the platform and the endpoints flat as the
-number of entry VMs grows, a few processes of a zone, picked by rendezvous hash, do it at full rate
-and tell the others; the rest look rarely, in case those few are out of hearing.
+Every poll may safely be done by several processes. So that the load on the platform and the
+endpoints doesn't grow with the number of entry VMs, a few processes of a zone, chosen by rendezvous
+hashing, poll at the full rate and gossip the results; the others poll rarely, in case those few
+are unreachable.
 """
 
 import random
@@ -24,29 +25,38 @@
 from flamingofront.version.commit import load_configuration, load_revision
 from flamingofront.version.model import Configuration
 
-__all__ = ["EndpointWatch", "PlatformWatch", "facts_of_list"]
+__all__ = ["EndpointWatch", "PlatformWatch", "convert_vm_list"]
 
 READERS_PER_ZONE = 2
 POLLERS_PER_ENDPOINT = 1
-RARE_FACTOR = 10
-MISSING_READS = 3
+# A process that is not assigned a poll does it only every so many rounds.
+STANDBY_PERIOD_FACTOR = 10
+# Consecutive lists without a VM after which it is gone; a list may lag behind or be incomplete.
+MISSING_LISTS_UNTIL_GONE = 3
 LOAD_TIMEOUT_SECONDS = 1.0
 
 
-def facts_of_list(records: tuple[VmRecord, ...], known: Callable[[str], Fact | None]) -> list[Fact]:
-    """Return the facts that a VM list states.
+def convert_vm_list(
+    records: tuple[VmRecord, ...], get_fact: Callable[[str], Fact | None]
+) -> list[Fact]:
+    """Convert a VM list to membership facts.
+
+    Parameters
+    ----------
+    get_fact : callable
+        Returns the current fact about a VM, None if there is none.
 
     Notes
     -----
-    The list knows no incarnations. Of an entry VM that has told its own it only says whether the VM
-    is leaving; for all others incarnation 0 is used.
+    The list has no incarnations. For a VM with a fact, the fact's incarnation and address are kept
+    and the list only adds whether the VM is leaving; other VMs get incarnation 0.
     """
     facts = []
     for each in records:
         if not each.address:
-            continue  # still starting
+            continue  # the VM is still starting
         state = VmState.LEAVING if each.state == "leaving" else VmState.LIVE
-        fact = known(each.vm_id)
+        fact = get_fact(each.vm_id)
         incarnation = fact.incarnation if fact is not None else 0
         address = fact.address if fact is not None else each.address
         facts.append(
@@ -67,48 +77,55 @@
     return facts
 
 
-class _Duty:
-    """Tells whether this process does a shared duty at full rate."""
+class _PollAssignment:
+    """Assigns shared polls to processes by rendezvous hashing."""
 
     def __init__(self, dissemination: Dissemination, timers: TimerService):
         self._gossip = dissemination
         self._timers = timers
 
-    def members(self, zone: str) -> list[str]:
-        """Return the processes of a zone that were heard lately, this one included if it is."""
-        heard = self._gossip.statuses.heard(self._timers.now())
-        members = {each.vm_id for each in heard if each.zone == zone}
-        own = self._gossip.facts.get(self._gossip.own_id)
-        if own.zone == zone:
-            members.add(own.vm_id)
+    def list_live_members(self, zone: str) -> list[str]:
+        """Return the ids of the live processes of a zone, including this one if it is there."""
+        live = self._gossip.statuses.live_records(self._timers.now())
+        members = {each.vm_id for each in live if each.zone == zone}
+        local_fact = self._gossip.facts.get(self._gossip.own_id)
+        if local_fact.zone == zone:
+            members.add(local_fact.vm_id)
         return sorted(members)
 
-    def heard_ids(self) -> tuple[str, ...]:
-        """Return the ids of all processes that were heard lately."""
-        heard = self._gossip.statuses.heard(self._timers.now())
-        return tuple(sorted(each.vm_id for each in heard))
+    def list_live_ids(self) -> tuple[str, ...]:
+        """Return the sorted ids of all processes with a recent status record."""
+        live = self._gossip.statuses.live_records(self._timers.now())
+        return tuple(sorted(each.vm_id for each in live))
 
-    def is_mine(self, key: str, zone: str, count: int) -> bool:
-        """Tell whether this process is one of the `count` that do the duty `key` for a zone."""
-        members = self.members(zone)
+    def is_assigned(self, key: str, zone: str, count: int) -> bool:
+        """Return True if this process is one of the `count` assigned the poll `key` of a zone."""
+        members = self.list_live_members(zone)
         if not members:
-            members = sorted({self._gossip.own_id, *self.heard_ids()})
+            members = sorted({self._gossip.own_id, *self.list_live_ids()})
         return self._gossip.own_id in rank(key, members)[:count]
 
 
 class PlatformWatch:
-    """Reads the VM list, the notices of the own zone and the revision in force.
+    """Polls the VM list, the reclaim notices of the local zone and the configuration revision.
 
     Parameters
     ----------
     on_notice : callable
-        Gets the id of a VM that will be reclaimed and the seconds that are left.
+        Called with the id of a VM that will be reclaimed and the seconds left.
     on_configuration : callable
-        Gets a configuration read from the platform.
+        Called with a newer configuration read from the store.
     on_facts : callable
-        Gets the facts that a VM list states.
+        Called with the facts of each VM list.
     on_gone : callable
-        Gets the id of a VM that has vanished from the list.
+        Called with the id of a VM that disappeared from the list.
+
+    Attributes
+    ----------
+    revision_was_read : bool
+        True once the newest revision was read from the store.
+    revision_read_failed : bool
+        True once an attempt to read it failed.
     """
 
     def __init__(
@@ -140,21 +157,21 @@
         self._on_configuration = on_configuration
         self._on_facts = on_facts
         self._on_gone = on_gone
-        self._duty = _Duty(dissemination, timers)
-        self._missing: Counter[str] = Counter()
+        self._assignment = _PollAssignment(dissemination, timers)
+        self._missing_counts: Counter[str] = Counter()
         self._listed: set[str] = set()
         self.revision_was_read = False
         self.revision_read_failed = False
 
     def start(self) -> None:
-        """Begin to watch."""
-        for watch in (self._list_step, self._notice_step, self._revision_step):
-            self._tasks.start(self._loop(watch))
+        """Start the periodic polls."""
+        for step in (self._list_step, self._notice_step, self._revision_step):
+            self._tasks.start(self._run_periodically(step))
 
-    def _loop(self, step: Callable[[], Task]) -> Task:
+    def _run_periodically(self, step: Callable[[], Task]) -> Task:
         rounds = 0
         while True:
-            if rounds % RARE_FACTOR == 0 or self._duty.is_mine(
+            if rounds % STANDBY_PERIOD_FACTOR == 0 or self._assignment.is_assigned(
                 step.__name__, self._zone, READERS_PER_ZONE
             ):
                 try:
@@ -166,27 +183,27 @@
 
     def _list_step(self) -> Task:
         records = yield from self._vm_list.list_vms()
-        self._on_facts(facts_of_list(records, self._gossip.facts.get))
-        self._note_missing({each.vm_id for each in records})
+        self._on_facts(convert_vm_list(records, self._gossip.facts.get))
+        self._count_missing({each.vm_id for each in records})
 
-    def _note_missing(self, listed: set[str]) -> None:
-        """Count a VM as gone when several lists in a row lack it that this process saw listed."""
+    def _count_missing(self, listed: set[str]) -> None:
+        """Report listed VMs as gone that are missing from several consecutive lists."""
         self._listed |= listed
         for vm_id in list(self._listed - listed):
-            self._missing[vm_id] += 1
-            if self._missing[vm_id] >= MISSING_READS:
+            self._missing_counts[vm_id] += 1
+            if self._missing_counts[vm_id] >= MISSING_LISTS_UNTIL_GONE:
                 self._listed.discard(vm_id)
-                del self._missing[vm_id]
+                del self._missing_counts[vm_id]
                 self._on_gone(vm_id)
-        for vm_id in listed & set(self._missing):
-            del self._missing[vm_id]
+        for vm_id in listed & set(self._missing_counts):
+            del self._missing_counts[vm_id]
 
     def _notice_step(self) -> Task:
         yield from self.read_notices(self._zone)
 
     def read_notices(self, zone: str) -> Task:
-        """Read the reclaim notices of a zone."""
-        notices = yield from self._vm_list.notices(zone)
+        """Read the reclaim notices of a zone and report each."""
+        notices = yield from self._vm_list.fetch_notices(zone)
         for vm_id, seconds in notices.items():
             self._on_notice(vm_id, seconds)
 
@@ -203,14 +220,15 @@
 
 
 class EndpointWatch:
-    """Reads the load reports and cache events of the endpoints that this process polls.
+    """Polls load reports and cache events of the endpoints assigned to this process.
 
     Parameters
     ----------
     on_load : callable
-        Gets the id and load of an endpoint.
+        Called with the id and load of an endpoint.
     on_cache_events : callable
-        Gets the id of an endpoint, stored blocks, evicted blocks, and whether events were missed.
+        Called with the id of an endpoint, its stored and evicted prefix blocks, and True if events
+        were missed.
     """
 
     def __init__(
@@ -223,37 +241,37 @@
     ):
         self._gossip = dissemination
         self._tasks = tasks
-        self._duty = _Duty(dissemination, timers)
+        self._assignment = _PollAssignment(dissemination, timers)
         self._on_load = on_load
         self._on_cache_events = on_cache_events
-        self._seen: dict[str, int] = {}
-        self._busy: set[str] = set()
-        self._basis: tuple[int, tuple[str, ...]] | None = None
-        self._mine: tuple[Fact, ...] = ()
+        self._next_event: dict[str, int] = {}
+        self._pending: set[str] = set()
+        self._assignment_key: tuple[int, tuple[str, ...]] | None = None
+        self._assigned_endpoints: tuple[Fact, ...] = ()
 
     def poll(self) -> None:
-        """Ask each endpoint that falls to this process for its load and its cache events."""
-        for fact in self._assigned():
-            if fact.vm_id not in self._busy:
-                self._busy.add(fact.vm_id)
+        """Request load and cache events from each assigned endpoint without a pending request."""
+        for fact in self._list_assigned_endpoints():
+            if fact.vm_id not in self._pending:
+                self._pending.add(fact.vm_id)
                 self._tasks.start(
-                    self._ask(fact), lambda _, vm_id=fact.vm_id: self._busy.discard(vm_id)
+                    self._read_load(fact), lambda _, vm_id=fact.vm_id: self._pending.discard(vm_id)
                 )
 
-    def _assigned(self) -> tuple[Fact, ...]:
-        """Return the endpoints that fall to this process; worked out anew only after a change."""
-        basis = (self._gossip.facts.changes, self._duty.heard_ids())
-        if basis != self._basis:
-            self._basis = basis
-            self._mine = tuple(
+    def _list_assigned_endpoints(self) -> tuple[Fact, ...]:
+        """Return the endpoints assigned to this process, cached until facts or members change."""
+        assignment_key = (self._gossip.facts.changes, self._assignment.list_live_ids())
+        if assignment_key != self._assignment_key:
+            self._assignment_key = assignment_key
+            self._assigned_endpoints = tuple(
                 fact
                 for fact in self._gossip.facts.select(Role.ENDPOINT)
-                if self._duty.is_mine(fact.vm_id, fact.zone, POLLERS_PER_ENDPOINT)
+                if self._assignment.is_assigned(fact.vm_id, fact.zone, POLLERS_PER_ENDPOINT)
             )
-        return self._mine
+        return self._assigned_endpoints
 
-    def _ask(self, fact: Fact) -> Task:
-        since = self._seen.get(fact.vm_id, 0)
+    def _read_load(self, fact: Fact) -> Task:
+        since = self._next_event.get(fact.vm_id, 0)
         reply = yield OutboundCall(
             fact.address, "GET", f"/load?since={since}", timeout=LOAD_TIMEOUT_SECONDS
         )
@@ -263,5 +281,5 @@
         self._on_load(fact.vm_id, float(data["load"]))
         events = data.get("events", {})
         if events:
-            self._seen[fact.vm_id] = events["next"]
+            self._next_event[fact.vm_id] = events["next"]
             self._on_cache_events(fact.vm_id, events["stored"], events["evicted"], events["gap"])
--- a/flamingofront/request/claims.py
+++ b/flamingofront/request/claims.py
@@ -188,7 +188,7 @@
             maybe_left = maybe_left or exc.maybe_done
         if now() >= deadline:
             return ClaimOutcome(ClaimDecision.UNAVAILABLE, maybe_left=maybe_left)
-        yield Sleep(backoff.delay(tries, rng))
+        yield Sleep(backoff.compute_delay(tries, rng))
         tries += 1
 
 
@@ -203,7 +203,7 @@
             done = False
         if done:
             return
-        yield Sleep(backoff.delay(tries, rng))
+        yield Sleep(backoff.compute_delay(tries, rng))
         tries += 1
 
 
--- a/flamingofront/request/directory.py
+++ b/flamingofront/request/directory.py
@@ -362,7 +362,7 @@
 
     def mark_address_reused(self, endpoint_id: str) -> None:
         """Mark an endpoint as gone because another endpoint now has its address."""
-        self._facts.mark(endpoint_id, VmState.GONE)
+        self._facts.advance_state(endpoint_id, VmState.GONE)
 
     def record_attempt_start(self, endpoint_id: str) -> None:
         """Count an attempt of this process that starts at an endpoint."""
--- a/flamingofront/request/jobs.py
+++ b/flamingofront/request/jobs.py
@@ -101,7 +101,7 @@
         except PlatformError as exc:
             maybe_done = maybe_done or exc.maybe_done
             detail = str(exc)
-        yield Sleep(_BACKOFF.delay(tries, rng))
+        yield Sleep(_BACKOFF.compute_delay(tries, rng))
     raise PlatformError(detail, maybe_done)
 
 
--- a/flamingofront/request/keyed.py
+++ b/flamingofront/request/keyed.py
@@ -263,7 +263,7 @@
             try:
                 return (yield from mark_running(self._documents, request_id, self._vm_id))
             except PlatformError:
-                yield Sleep(_BACKOFF.delay(tries, self._rng))
+                yield Sleep(_BACKOFF.compute_delay(tries, self._rng))
                 tries += 1
 
     def _marked(self, request: ActiveRequest, ours: bool) -> None:
--- a/flamingofront/version/commit.py
+++ b/flamingofront/version/commit.py
@@ -241,7 +241,7 @@
         if now() >= deadline:
             state = CommitState.UNKNOWN if work.maybe_written else CommitState.UNAVAILABLE
             return CommitOutcome(state, operation, faults=(fault,))
-        yield Sleep(backoff.delay(tries, rng))
+        yield Sleep(backoff.compute_delay(tries, rng))
         tries += 1
 
 
@@ -266,5 +266,5 @@
             yield from documents.transact((Condition(key, 0),), (Write(key, note),))
         except PlatformError as exc:
             fault = str(exc)
-            yield Sleep(DEFAULT_BACKOFF.delay(count, rng))
+            yield Sleep(DEFAULT_BACKOFF.compute_delay(count, rng))
     return CommitOutcome(CommitState.UNKNOWN, operation, faults=(fault,))
