--- a/bench/quarantine_mutations.py
+++ b/bench/quarantine_mutations.py
@@ -94,7 +94,7 @@
     Mutation(
         "Q what is held is refused at once",
         "request/guard.py",
-        "        if self.quarantine_status(fingerprint) is Standing.HELD:\n            raise",
+        "        if self.quarantine_status(fingerprint) is QuarantineStatus.QUARANTINED:\n            raise",
         "        if False:\n            raise",
         WORLD,
     ),
--- a/bench/slopes.py
+++ b/bench/slopes.py
@@ -110,7 +110,7 @@
             admission.set_capacity(0)
             admission.offer(Ticket("x", shares[0], 1.0, 1e9), 0.0)
             admission.set_capacity(1)
-            admission.finished(admission.next_ready(0.0), 0.0)
+            admission.release(admission.start_next(0.0), 0.0)
 
         seconds = _median_seconds(cycle, 2000)
         base = base or seconds
--- a/flamingofront/process/control.py
+++ b/flamingofront/process/control.py
@@ -103,7 +103,7 @@
         respond_json(exchange, {})
 
     def _handle_peer_rows(self, req: InboundRequest, exchange: Exchange) -> None:
-        respond_json(exchange, {"rows": self._rows.of(_parse_object(req)["subject"])})
+        respond_json(exchange, {"rows": self._rows.build_rows(_parse_object(req)["subject"])})
 
     def _handle_handover(self, req: InboundRequest, exchange: Exchange) -> None:
         if not self._accepts_work():
--- a/flamingofront/process/dissemination.py
+++ b/flamingofront/process/dissemination.py
@@ -10,9 +10,12 @@
 from dataclasses import dataclass, replace
 from typing import Any
 
-from flamingofront.decisions.quarantine_facts import QuarantineWord
+from flamingofront.decisions.quarantine_facts import QuarantineUpdate
 from flamingofront.process.membership import Fact, FactTable, Role, VmState
-from flamingofront.process.quarantine_codec import decode_word, encode_word
+from flamingofront.process.quarantine_codec import (
+    decode_quarantine_update,
+    encode_quarantine_update,
+)
 from flamingofront.process.status import StatusRecord, StatusTable
 from flamingofront.version.model import (
     Configuration,
@@ -40,7 +43,7 @@
         Hash of each bucket of the sender's facts.
     records : tuple of StatusRecord
         The sender's own status record and some that it received.
-    quarantine : QuarantineWord or None
+    quarantine : QuarantineUpdate or None
         Quarantine update, None if there is nothing to send.
     """
 
@@ -48,7 +51,7 @@
     revision: int
     hashes: tuple[int, ...]
     records: tuple[StatusRecord, ...]
-    quarantine: QuarantineWord | None = None
+    quarantine: QuarantineUpdate | None = None
 
     def to_json(self) -> dict[str, Any]:
         """Return the digest as JSON values."""
@@ -57,14 +60,14 @@
             "revision": self.revision,
             "hashes": list(self.hashes),
             "records": [each.to_json() for each in self.records],
-            "quarantine": encode_word(self.quarantine),
+            "quarantine": encode_quarantine_update(self.quarantine),
         }
 
     @classmethod
     def from_json(cls, data: dict[str, Any]) -> "Digest":
         """Return the digest encoded by `to_json`."""
         records = tuple(StatusRecord.from_json(each) for each in data["records"])
-        update = decode_word(data.get("quarantine"))
+        update = decode_quarantine_update(data.get("quarantine"))
         return cls(data["sender"], data["revision"], tuple(data["hashes"]), records, update)
 
 
@@ -74,7 +77,7 @@
 
     facts: tuple[Fact, ...] = ()
     configuration: Configuration | None = None
-    quarantine: QuarantineWord | None = None
+    quarantine: QuarantineUpdate | None = None
 
     def to_json(self) -> dict[str, Any]:
         """Return the push as JSON values."""
@@ -82,7 +85,7 @@
         return {
             "facts": [each.to_json() for each in self.facts],
             "configuration": None if cfg is None else configuration_to_json(cfg),
-            "quarantine": encode_word(self.quarantine),
+            "quarantine": encode_quarantine_update(self.quarantine),
         }
 
     @classmethod
@@ -92,7 +95,7 @@
         return cls(
             tuple(Fact.from_json(each) for each in data["facts"]),
             None if cfg is None else configuration_from_json(cfg),
-            decode_word(data.get("quarantine")),
+            decode_quarantine_update(data.get("quarantine")),
         )
 
 
@@ -164,8 +167,8 @@
         self.facts = FactTable()
         self.statuses = StatusTable()
         self.configuration = Configuration()
-        self.build_quarantine_update: Callable[[], QuarantineWord | None] = lambda: None
-        self.on_quarantine_update: Callable[[QuarantineWord | None], None] = lambda update: None
+        self.build_quarantine_update: Callable[[], QuarantineUpdate | None] = lambda: None
+        self.on_quarantine_update: Callable[[QuarantineUpdate | None], None] = lambda update: None
         self._rng = rng
         self._on_configuration = on_configuration
         self._on_facts = on_facts
--- a/flamingofront/process/limits.py
+++ b/flamingofront/process/limits.py
@@ -1,6 +1,6 @@
 """Share of this process in limits common to all entry processes: slots and workspace limits."""
 
-from flamingofront.decisions.admission import WorkspaceShare, shared_limit
+from flamingofront.decisions.admission import WorkspaceShare, compute_limit_share
 from flamingofront.process.dissemination import Dissemination
 from flamingofront.process.membership import Role
 from flamingofront.process.status import StatusRecord
@@ -51,7 +51,7 @@
         members = self._count_members()
         local_demand = float(self._hub.in_flight_by_workspace().get(workspace.name, 0))
         unreachable = max(0, members - 1 - len(peer_demand))
-        return shared_limit(
+        return compute_limit_share(
             workspace.max_in_flight, local_demand, peer_demand, members, unreachable
         )
 
--- a/flamingofront/process/node.py
+++ b/flamingofront/process/node.py
@@ -15,8 +15,8 @@
 from flamingofront.process.documents import DocumentStore
 from flamingofront.process.drain import DrainController, DrainState
 from flamingofront.process.expiry import Sweeper
-from flamingofront.process.former_sends import Sender
-from flamingofront.process.holds import DocumentHolds, HoldKeeper
+from flamingofront.process.former_sends import SenderProcess
+from flamingofront.process.holds import DocumentQuarantine, QuarantineStore
 from flamingofront.process.intent_rows import DocumentIntents
 from flamingofront.process.intents import IntentRecorder
 from flamingofront.process.leases import LeaseKeeper
@@ -98,7 +98,7 @@
         self._exchange_count = 0
         self.documents = documents
         self.tasks = TaskRunner(transport, timers, self._log_unhandled)
-        documents.on_return(lambda: self.tasks.start(self._rewrite_lost_documents()))
+        documents.add_restore_listener(lambda: self.tasks.start(self._rewrite_lost_documents()))
         self._headers = _peer_headers(settings.control_token)
         self._build_membership(incarnation)
         self._build_requests(transport, incarnation)
@@ -213,7 +213,7 @@
         """Rewrite the documents that a restored snapshot of the store lacks; retry until done."""
         while True:
             try:
-                count = yield from self.documents.write_again()
+                count = yield from self.documents.rewrite_recent()
             except PlatformError as exc:
                 self.metrics.count("platform_errors_total", operation="write_again")
                 self.log.info("rewriting lost documents failed", detail=str(exc))
@@ -229,19 +229,19 @@
         self.gossip.on_quarantine_update = guard.merge_update
         guard.on_update = lambda: self.links.push(Push(quarantine=guard.build_update()))
         guard.entry_start_times = self._list_entry_start_times
-        self._quarantine_rows = DocumentHolds(self.documents)
+        self._quarantine_rows = DocumentQuarantine(self.documents)
         services = Services(self.tasks, self.timers, self._rng, self.metrics, self.log)
-        self.quarantine_sync = HoldKeeper(
+        self.quarantine_sync = QuarantineStore(
             guard, self._quarantine_rows, services, QUARANTINE_POLL_SECONDS + SLACK_SECONDS
         )
         self._recorder = IntentRecorder(
             self.hub,
             DocumentIntents(self.documents),
             services,
-            Sender(self.settings.vm_id, incarnation),
+            SenderProcess(self.settings.vm_id, incarnation),
             lambda: self.limits.compute_capacity_share(),
         )
-        self.documents.on_return(self._recorder.write_again)
+        self.documents.add_restore_listener(self._recorder.rewrite_intents)
 
     def _list_entry_start_times(self) -> list[float]:
         """Return the start times of all known entry processes, in seconds since the epoch."""
@@ -256,7 +256,7 @@
                     self.quarantine_sync.take(each)
                 evidence = yield from self._quarantine_rows.read_evidence()
                 for fingerprint, crashes in evidence.items():
-                    self.quarantine_sync.take_evidence(fingerprint, crashes)
+                    self.quarantine_sync.merge_evidence(fingerprint, crashes)
             except PlatformError as exc:
                 self.metrics.count("platform_errors_total", operation="holds")
                 self.log.info("reading the quarantine failed", detail=str(exc))
@@ -305,7 +305,7 @@
             self.timers,
             self.links,
             self._rng,
-            self.rows.of,
+            self.rows.build_rows,
             self.activate_configuration,
         )
         self.control = ControlInterface(
@@ -335,7 +335,7 @@
         self.sweeper = Sweeper(
             self.documents,
             self.timers.wall,
-            lambda: self.lease.current() is not None,
+            lambda: self.lease.valid_lease() is not None,
             self._rng,
         )
 
@@ -439,7 +439,7 @@
         self.metrics.gauge("requests_in_flight", len(self.hub.active))
         self.metrics.gauge("requests_waiting", self.hub.count_queued())
         self.metrics.gauge("requests_suspected", len(self.hub.guard.suspects()))
-        self.metrics.gauge("requests_held", len(self.hub.guard.quarantine.holds()))
+        self.metrics.gauge("requests_held", len(self.hub.guard.quarantine.list_entries()))
         self.metrics.gauge("configuration_revision", self.gossip.configuration.revision)
         self.metrics.gauge("ready", int(self.ready))
         for state in VmState:
--- a/flamingofront/process/orders.py
+++ b/flamingofront/process/orders.py
@@ -39,7 +39,7 @@
 
     def reconcile(self) -> None:
         """Check every engine of the zone, if this process holds the lease."""
-        if self._lease.current() is None:
+        if self._lease.valid_lease() is None:
             return
         zone = self._gossip.facts.get(self._gossip.own_id).zone
         for fact in self._gossip.facts.select(Role.ENDPOINT):
@@ -60,7 +60,7 @@
         if orjson.loads(reply.body)["model"] == model:
             return
         # The lease may have expired during the state request; it must be valid at the load request.
-        lease = self._lease.current()
+        lease = self._lease.valid_lease()
         if lease is None:
             self._metrics.count("orders_total", kind="load", result="lease_lapsed")
             return
--- a/flamingofront/request/claims.py
+++ b/flamingofront/request/claims.py
@@ -15,7 +15,7 @@
 from flamingofront.messages import Sleep
 from flamingofront.process.backoff import Backoff
 from flamingofront.process.documents import Document, DocumentStore
-from flamingofront.process.expiry import expiry_write
+from flamingofront.process.expiry import build_expiry_write
 from flamingofront.process.tasks import Task
 from flamingofront.request.stored_answer import StoredAnswer, answer_from_json, answer_to_json
 
@@ -230,7 +230,7 @@
         state = ClaimState.DONE if answer is not None else ClaimState.UNKNOWN
         stored = answer_to_json(answer) if answer is not None else None
         value = {**row.value, "state": state.value, "answer": stored, "until": until}
-        return (yield from documents.replace(row, value, expiry_write(row.key, until)))
+        return (yield from documents.replace(row, value, build_expiry_write(row.key, until)))
 
     yield from repeat_until_done(step, rng)
 
--- a/flamingofront/tests/test_operating.py
+++ b/flamingofront/tests/test_operating.py
@@ -5,7 +5,7 @@
 import orjson
 import pytest
 
-from flamingofront.decisions.quarantine_facts import EndpointEnd
+from flamingofront.decisions.quarantine_facts import EndpointCrash
 from flamingofront.errors import RequestError
 from flamingofront.logview import select_lines
 from flamingofront.messages import InboundRequest
@@ -31,7 +31,7 @@
         world = ready_world(fronts=2)
         world.ask("front-1", "/read/x")
         guard = world.fronts["front-1"].hub.guard
-        guard.load_evidence((EndpointEnd("engine-1", "zone-a", guard.wall() - 2.0, ("f-1",)),))
+        guard.load_evidence((EndpointCrash("engine-1", "zone-a", guard.wall() - 2.0, ("f-1",)),))
         answer = operate(world, f"show {subject}")
         assert answer["columns"] == list(COLUMNS[subject])
         assert answer["rows"]
--- a/flamingofront/version/commit.py
+++ b/flamingofront/version/commit.py
@@ -15,7 +15,7 @@
 from flamingofront.messages import Sleep
 from flamingofront.process.backoff import Backoff
 from flamingofront.process.documents import Condition, Document, DocumentStore, Write
-from flamingofront.process.expiry import KEPT_SECONDS, expiry_write
+from flamingofront.process.expiry import RETENTION_SECONDS, build_expiry_write
 from flamingofront.process.tasks import Task
 from flamingofront.version.edits import Edit, apply_edits
 from flamingofront.version.model import (
@@ -174,7 +174,7 @@
             Write(HEAD_KEY, {"revision": new.revision}),
             Write(DOCUMENT_KEY, configuration_to_json(new)),
             Write(operation_key, note),
-            expiry_write(operation_key, self._until),
+            build_expiry_write(operation_key, self._until),
         )
         try:
             result = yield from self._documents.transact(conditions, writes)
@@ -198,7 +198,7 @@
     rng: random.Random,
     budget: float = 6.0,
     backoff: Backoff = DEFAULT_BACKOFF,
-    until: float = KEPT_SECONDS,
+    until: float = RETENTION_SECONDS,
 ) -> Task:
     """Bring a change into force in the table service.
 
