--- a/bench/slopes.py
+++ b/bench/slopes.py
@@ -122,7 +122,7 @@
     print("\ndigest exchange, by members (bytes both ways; time of both sides, codec included)")
     for members, endpoints in zip(MEMBERS, (10, 100, 600), strict=True):
         one, other = _member(0, members, endpoints), _member(1, members, endpoints)
-        records = [_member(each, 1, 0)._own_record() for each in range(members)]
+        records = [_member(each, 1, 0)._build_status_record() for each in range(members)]
         for gossip in (one, other):
             gossip.statuses.merge(records, 0.0)
         sizes = []
@@ -265,7 +265,7 @@
 def resident():
     """Resident memory of a process that has loaded an entry node and its state at full size."""
     gossip = _member(0, 410, 600)
-    records = [_member(each, 1, 0)._own_record() for each in range(410)]
+    records = [_member(each, 1, 0)._build_status_record() for each in range(410)]
     gossip.statuses.merge(records, 0.0)
     import flamingofront.daemon  # noqa: F401 - its memory is what is measured
 
