--- a/flamingofront/process/former_sends.py
+++ b/flamingofront/process/former_sends.py
@@ -8,7 +8,7 @@
 from collections.abc import Callable, Iterable
 from dataclasses import dataclass
 
-from flamingofront.connection.interfaces import Reach
+from flamingofront.connection.interfaces import ConnectResult
 from flamingofront.decisions.quarantine_facts import EndpointCrash, IntentSummary
 from flamingofront.decisions.send_intents import IntentRecord, SendIntent
 from flamingofront.errors import PlatformError
@@ -145,11 +145,11 @@
             lambda reach: self._handle_ready_probe(endpoint_id, reach),
         )
 
-    def _handle_ready_probe(self, endpoint_id: str, reach: Reach) -> None:
+    def _handle_ready_probe(self, endpoint_id: str, reach: ConnectResult) -> None:
         """Record that a ready endpoint is alive, or report its closed port as a crash."""
-        if reach is Reach.CONNECTED:
+        if reach is ConnectResult.CONNECTED:
             self.last_alive[endpoint_id] = self._guard.wall()
-        elif reach is Reach.REFUSED:
+        elif reach is ConnectResult.REFUSED:
             self._guard.crash_detector.record_closed_port(endpoint_id)
 
     def _load_unobserved_removals(self) -> Task:
@@ -223,16 +223,16 @@
             lambda reach: self._handle_recorded_probe(endpoint_id, reach),
         )
 
-    def _handle_recorded_probe(self, endpoint_id: str, reach: Reach) -> None:
+    def _handle_recorded_probe(self, endpoint_id: str, reach: ConnectResult) -> None:
         """Record that a recorded endpoint is alive, or report a closed port or missing row."""
-        if reach is not Reach.REFUSED and not self._directory.ready_endpoints():
+        if reach is not ConnectResult.REFUSED and not self._directory.ready_endpoints():
             # The endpoint rows are not loaded yet, so a missing row would prove nothing.
             self._timers.once(
                 BATCH_DELAY_SECONDS, lambda: self._handle_recorded_probe(endpoint_id, reach)
             )
-        elif reach is Reach.REFUSED or not self._directory.zone_of(endpoint_id):
+        elif reach is ConnectResult.REFUSED or not self._directory.zone_of(endpoint_id):
             self._guard.crash_detector.record_closed_port(endpoint_id)
-        elif reach is Reach.CONNECTED:
+        elif reach is ConnectResult.CONNECTED:
             self.last_alive[endpoint_id] = self._guard.wall()
 
     def _reload_intents(self) -> Task:
--- a/flamingofront/process/limits.py
+++ b/flamingofront/process/limits.py
@@ -57,7 +57,7 @@
 
     def get_admission_share(self, name: str) -> WorkspaceShare:
         """Return the admission share of a workspace, the default share for a deleted one."""
-        workspace = self._gossip.configuration.workspace(name)
+        workspace = self._gossip.configuration.find_workspace(name)
         if workspace is None:
             return WorkspaceShare(name)
         limit = self.compute_workspace_limit(workspace)
--- a/flamingofront/version/commit.py
+++ b/flamingofront/version/commit.py
@@ -30,7 +30,7 @@
     "commit",
     "load_configuration",
     "load_revision",
-    "settle",
+    "settle_operation",
 ]
 
 HEAD_KEY = "config/head"
@@ -245,7 +245,7 @@
         tries += 1
 
 
-def settle(
+def settle_operation(
     documents: DocumentStore, operation: str, operator: str, rng: random.Random, tries: int = 4
 ) -> Task:
     """Find out, and make final, what became of an operation.
