--- a/bench/mutations.py
+++ b/bench/mutations.py
@@ -131,8 +131,8 @@
     Mutation(
         "6 operation id read after the configuration",
         "version/commit.py",
-        "read([HEAD_KEY, DOCUMENT_KEY, operation_key])\n        head, document, done = rows",
-        "read([operation_key, HEAD_KEY, DOCUMENT_KEY])\n        done, head, document = rows",
+        "read([HEAD_KEY, DOCUMENT_KEY, operation_key])\n        head, document, outcome_row = rows",
+        "read([operation_key, HEAD_KEY, DOCUMENT_KEY])\n        outcome_row, head, document = rows",
         "version/tests/test_commit.py",
     ),
     Mutation(
--- a/flamingofront/platform/tests/test_adapter.py
+++ b/flamingofront/platform/tests/test_adapter.py
@@ -92,7 +92,7 @@
         assert cfg.version == 3
         assert cfg.routes[0].backends == (Backend("x", 90.0), Backend("y", 10.0))
         assert cfg.routes[1].backends == (Backend("x"),)
-        assert cfg.routes[1].may_repeat and not cfg.routes[0].may_repeat
+        assert cfg.routes[1].can_repeat and not cfg.routes[0].can_repeat
 
     @pytest.mark.parametrize(
         "data", [b"", b"[]", b"null", b'{"version": "x"}', b'{"version": 1, "routes": [{}]}']
@@ -104,7 +104,7 @@
     def test_split_follows_the_weights(self):
         backends = (Backend("x", 90.0), Backend("y", 10.0))
         route = ForwardedRoute("r", "h", "/r/", RequestKind.IDEMPOTENT, backends)
-        share = sum(route.backend_for(f"request-{n}") == "y" for n in range(5000)) / 5000
+        share = sum(route.select_backend(f"request-{n}") == "y" for n in range(5000)) / 5000
         assert 0.08 < share < 0.12
 
 
--- a/flamingofront/process/limits.py
+++ b/flamingofront/process/limits.py
@@ -53,7 +53,7 @@
 
     def share_of(self, name: str) -> WorkspaceShare:
         """Return the admission share of a workspace; a deleted one keeps the defaults."""
-        workspace = self._gossip.configuration.workspace(name)
+        workspace = self._gossip.configuration.find_workspace(name)
         if workspace is None:
             return WorkspaceShare(name)
         limit = self.workspace_limit(workspace)
--- a/flamingofront/process/node.py
+++ b/flamingofront/process/node.py
@@ -501,9 +501,9 @@
         self._follow_drains(cfg)
 
     def _follow_drains(self, cfg: Configuration) -> None:
-        drained = self.settings.vm_id in cfg.drained(
+        drained = self.settings.vm_id in cfg.drained_targets(
             DrainKind.VM
-        ) or self.settings.zone in cfg.drained(DrainKind.ZONE)
+        ) or self.settings.zone in cfg.drained_targets(DrainKind.ZONE)
         if drained and self.drain.is_open:
             self.drain.begin(self.settings.drain_timeout)
         elif not drained and not self._exiting:
--- a/flamingofront/process/operators.py
+++ b/flamingofront/process/operators.py
@@ -18,9 +18,9 @@
 from flamingofront.process.peers import PeerLinks
 from flamingofront.process.tasks import TaskRunner
 from flamingofront.process.timers import TimerService
-from flamingofront.version.commit import CommitOutcome, CommitState, commit, settle
+from flamingofront.version.commit import CommitOutcome, CommitState, commit, settle_operation
 from flamingofront.version.edits import Edit
-from flamingofront.version.language import Change, Query, Settle, parse
+from flamingofront.version.language import EditStatement, Query, Settle, parse
 from flamingofront.version.model import Configuration, ObjectKind
 from flamingofront.version.query import run_query
 
@@ -133,7 +133,7 @@
             raise RequestError(ErrorKind.INVALID_COMMAND, str(exc)) from exc
 
     def _carry_out(self, statements: list, data: dict, exchange: Exchange) -> None:
-        if all(isinstance(each, Change) for each in statements):
+        if all(isinstance(each, EditStatement) for each in statements):
             edits = tuple(edit for each in statements for edit in each.edits)
             self._change(edits, data, exchange)
         elif len(statements) > 1:
@@ -166,7 +166,7 @@
         _respond_outcome(outcome, exchange)
 
     def _settle(self, statement: Settle, operator: str, exchange: Exchange) -> None:
-        task = settle(self._documents, statement.operation, operator, self._rng)
+        task = settle_operation(self._documents, statement.operation, operator, self._rng)
         self._tasks.start(task, lambda outcome: _respond_outcome(outcome, exchange))
 
     def _query(self, query: Query, exchange: Exchange) -> None:
@@ -199,7 +199,7 @@
     def _known_rows(self, subject: str) -> list[dict[str, Any]]:
         kind = _OBJECT_SUBJECTS.get(subject)
         if kind is not None:
-            objects = self._gossip.configuration.of(kind).values()
+            objects = self._gossip.configuration.objects_of(kind).values()
             return [asdict(each) for each in objects]
         return self._local_rows(subject)
 
--- a/flamingofront/process/orders.py
+++ b/flamingofront/process/orders.py
@@ -43,7 +43,7 @@
             return
         zone = self._gossip.facts.get(self._gossip.own_id).zone
         for fact in self._gossip.facts.select(Role.ENDPOINT):
-            service = self._gossip.configuration.service(fact.service)
+            service = self._gossip.configuration.find_service(fact.service)
             is_engine = service is not None and service.kind is ServiceKind.MODEL
             if fact.zone == zone and is_engine and fact.vm_id not in self._busy:
                 self._busy.add(fact.vm_id)
--- a/flamingofront/request/forward_gateway.py
+++ b/flamingofront/request/forward_gateway.py
@@ -174,7 +174,7 @@
         if not cfg.version:
             raise RequestError(ErrorKind.NOT_READY, retry_after=NOT_READY_RETRY_SECONDS)
         caller = self._protocol.decode(req)
-        route = cfg.route_for(caller.host, caller.path)
+        route = cfg.find_route(caller.host, caller.path)
         if route is None:
             raise RequestError(ErrorKind.UNKNOWN_SERVICE, f"no route for {caller.path[:80]!r}")
         workspace = self._workspace(caller, route)
@@ -226,7 +226,7 @@
 
     def _workspace(self, caller: CallerRequest, route: ForwardedRoute) -> ForwardedWorkspace | None:
         cfg = self.configuration
-        workspace = cfg.workspace_of(caller.key) if caller.key else None
+        workspace = cfg.find_workspace_by_key(caller.key) if caller.key else None
         if workspace is None and route.needs_key and cfg.workspaces:
             raise RequestError(ErrorKind.UNKNOWN_WORKSPACE, "the API key is not known")
         return workspace
@@ -270,7 +270,7 @@
             left = min(left, caller.deadline - spent)
         if left <= 0:
             raise RequestError(ErrorKind.DEADLINE_EXCEEDED, "no time is left of the deadline")
-        name = route.backend_for(caller.request_id)
+        name = route.select_backend(caller.request_id)
         slots = self._hub.directory.advertised_slots(name)
         work = ForwardWork(
             method=req.method,
@@ -279,7 +279,7 @@
             fields=caller.fields,
             body=req.body,
             stream=route.kind is RequestKind.STREAM,
-            repeatable=route.may_repeat,
+            repeatable=route.can_repeat,
             resumable=route.resumable,
             max_attempts=route.max_attempts,
             caller_id=caller.request_id,
@@ -292,7 +292,7 @@
             request_id=f"{caller.request_id}#{next(self._numbers)}",
             workspace=work.workspace,
             route=route.name,
-            service=self.configuration.service_for(route, name, slots),
+            service=self.configuration.build_service(route, name, slots),
             work=work,
             deadline_left=left,
         )
--- a/flamingofront/version/__init__.py
+++ b/flamingofront/version/__init__.py
@@ -1,3 +1,3 @@
-"""What lives as long as a configuration version: objects, edits, commits, the command language."""
+"""Versioned configuration: objects, edits, commits, and the operators' command language."""
 
 __all__ = []
--- a/flamingofront/version/commit.py
+++ b/flamingofront/version/commit.py
@@ -1,8 +1,8 @@
-"""Accept a change of the configuration: compare-and-swap with an operation id.
+"""Commit changes of the configuration: compare-and-swap with an operation id.
 
-The head row holds the configuration in force. A change writes the head and a row for its operation
-id in one transaction, so a writer that lost the answer can find out what happened, and sending the
-same change again cannot apply it twice.
+The head row holds the revision of the active configuration. A change writes the head, the
+configuration and a row for its operation id in one transaction. A writer that did not receive the
+response can therefore read the outcome, and a repeated change is not applied twice.
 """
 
 import contextlib
@@ -30,7 +30,7 @@
     "commit",
     "load_configuration",
     "load_revision",
-    "settle",
+    "settle_operation",
 ]
 
 HEAD_KEY = "config/head"
@@ -42,7 +42,7 @@
 
 
 class CommitState(StrEnum):
-    """What an operator is told about a change."""
+    """Outcome of a change as reported to the operator."""
 
     ACCEPTED = "accepted"
     CONFLICT = "conflict"
@@ -59,13 +59,13 @@
     Parameters
     ----------
     revision : int
-        Revision of the change, or of the winner of a conflict.
+        Revision of the change, or of the conflicting change that was committed first.
     operator : str
-        Who made that revision.
+        Operator who made that revision.
     configuration : Configuration, optional
-        The new configuration, if this process made it.
+        The new configuration, if this call committed it.
     faults : tuple of str
-        Why the change was refused.
+        Reasons why the change was not accepted; in a conflict, the key of the object.
     """
 
     state: CommitState
@@ -76,31 +76,31 @@
     faults: tuple[str, ...] = ()
 
 
-def _configuration_in(row: Document) -> Configuration:
+def _parse_configuration(row: Document) -> Configuration:
     return Configuration() if row.value is None else configuration_from_json(row.value)
 
 
 def load_configuration(documents: DocumentStore) -> Task:
-    """Return the configuration in the table service."""
+    """Return the active configuration from the table service."""
     (row,) = yield from documents.read([DOCUMENT_KEY])
-    return _configuration_in(row)
+    return _parse_configuration(row)
 
 
 def load_revision(documents: DocumentStore) -> Task:
-    """Return the revision in force, without reading the whole configuration."""
+    """Return the revision of the active configuration without reading the whole configuration."""
     (row,) = yield from documents.read([HEAD_KEY])
     return 0 if row.value is None else int(row.value["revision"])
 
 
-def _operation_outcome(operation: str, row: Document) -> CommitOutcome:
+def _parse_operation_outcome(operation: str, row: Document) -> CommitOutcome:
     state = CommitState(row.value["state"])
     return CommitOutcome(state, operation, row.value["revision"], row.value["operator"])
 
 
-def _conflict(
+def _find_conflict(
     cfg: Configuration, edits: tuple[Edit, ...], base: int, operation: str
 ) -> CommitOutcome | None:
-    """Return the outcome if an object was changed after the revision that the operator saw."""
+    """Return the outcome if an edited object was changed after revision `base`, otherwise None."""
     for edit in edits:
         change = cfg.changes.get(edit.key)
         if change is not None and change.revision > base:
@@ -114,8 +114,8 @@
     return None
 
 
-class _Commit:
-    """One change on its way into the table service."""
+class _PendingCommit:
+    """A change that is being committed to the table service."""
 
     def __init__(
         self,
@@ -135,35 +135,35 @@
         self.maybe_written = False
 
     def attempt(self) -> Task:
-        """Try once; return the outcome, None if the head moved meanwhile."""
+        """Try to commit once; return the outcome, None if the head changed meanwhile."""
         operation_key = OPERATION_PREFIX + self._operation
-        # The operation's row is read last: a document that shows this change, by a write whose
-        # answer was lost, must not be taken for another operator's.
+        # The operation's row is read last. If an earlier write of this change takes effect between
+        # the reads, the new document must not be mistaken for a change by another operator.
         rows = yield from self._documents.read([HEAD_KEY, DOCUMENT_KEY, operation_key])
-        head, document, done = rows
-        if done.value is not None:
-            return _operation_outcome(self._operation, done)
-        cfg = _configuration_in(document)
-        conflict = _conflict(cfg, self._edits, self._base, self._operation)
+        head, document, outcome_row = rows
+        if outcome_row.value is not None:
+            return _parse_operation_outcome(self._operation, outcome_row)
+        cfg = _parse_configuration(document)
+        conflict = _find_conflict(cfg, self._edits, self._base, self._operation)
         if conflict is not None:
             return conflict
         try:
             new = apply_edits(cfg, self._edits, self._operator, self._operation)
         except ConfigurationError as exc:
             return CommitOutcome(CommitState.REFUSED, self._operation, faults=exc.faults)
-        outcome = yield from self._write(head, operation_key, new)
+        outcome = yield from self._write_change(head, operation_key, new)
         if outcome is not None:
-            yield from self._drop_replaced(document)
+            yield from self._delete_replaced_object(document)
         return outcome
 
-    def _drop_replaced(self, document: Document) -> Task:
-        """Remove the object of the configuration before, if it had one."""
-        # The change stands; an object that is left behind only takes room.
+    def _delete_replaced_object(self, document: Document) -> Task:
+        """Delete the stored object of the replaced configuration, if it had one."""
+        # The change is committed already; an object that is left over only takes up space.
         with contextlib.suppress(PlatformError):
             yield from self._documents.drop_object(document)
 
-    def _write(self, head: Document, operation_key: str, new: Configuration) -> Task:
-        note = {
+    def _write_change(self, head: Document, operation_key: str, new: Configuration) -> Task:
+        outcome_row = {
             "state": _ACCEPTED,
             "revision": new.revision,
             "operator": self._operator,
@@ -173,7 +173,7 @@
         writes = (
             Write(HEAD_KEY, {"revision": new.revision}),
             Write(DOCUMENT_KEY, configuration_to_json(new)),
-            Write(operation_key, note),
+            Write(operation_key, outcome_row),
             expiry_write(operation_key, self._until),
         )
         try:
@@ -200,71 +200,71 @@
     backoff: Backoff = DEFAULT_BACKOFF,
     until: float = KEPT_SECONDS,
 ) -> Task:
-    """Bring a change into force in the table service.
+    """Commit a change to the table service, retrying until the time budget is used up.
 
     Parameters
     ----------
     base : int
-        Revision that the operator's view was based on; a later change of the same object is a
-        conflict.
+        Revision that the operator's view was based on; a later change of the same object is
+        reported as a conflict.
     operation : str
-        Unique id; a repetition with the same id is applied once.
+        Unique id of the change; a repeated change with the same id is applied only once.
     budget : float
-        Seconds after which an outcome that is still open is reported as such.
+        Seconds after which the call stops retrying and reports that the outcome is not known.
     until : float
         Seconds since the epoch at which the operation's row may be removed.
 
     Returns
     -------
     CommitOutcome
-        ``UNKNOWN`` only if a write was sent whose effect could not be read back.
+        The state is ``UNKNOWN`` only if a write was sent and its effect could not be read back.
 
     Notes
     -----
-    Trying again after a lost answer is safe: the lost write and the new one both require the
-    absence of the operation's row. A conflict or refusal found after a lost answer is final: the
-    lost write required a head revision that has passed.
+    A retry after a lost response is safe: the earlier write and the new one both require that the
+    operation's row is absent. A conflict or rejection found after a lost response is final: the
+    earlier write required a head revision that is no longer current.
     """
-    work = _Commit(documents, edits, base, operator, operation, until)
+    pending = _PendingCommit(documents, edits, base, operator, operation, until)
     deadline = now() + budget
-    tries = 0
+    attempts = 0
     while True:
         try:
-            outcome = yield from work.attempt()
+            outcome = yield from pending.attempt()
         except PlatformError as exc:
             outcome = None
-            fault = str(exc)
+            error = str(exc)
         else:
-            fault = "the configuration kept changing"
+            error = "the configuration changed during each attempt"
         if outcome is not None:
             return outcome
         if now() >= deadline:
-            state = CommitState.UNKNOWN if work.maybe_written else CommitState.UNAVAILABLE
-            return CommitOutcome(state, operation, faults=(fault,))
-        yield Sleep(backoff.delay(tries, rng))
-        tries += 1
+            state = CommitState.UNKNOWN if pending.maybe_written else CommitState.UNAVAILABLE
+            return CommitOutcome(state, operation, faults=(error,))
+        yield Sleep(backoff.delay(attempts, rng))
+        attempts += 1
 
 
-def settle(
-    documents: DocumentStore, operation: str, operator: str, rng: random.Random, tries: int = 4
+def settle_operation(
+    documents: DocumentStore, operation: str, operator: str, rng: random.Random, attempts: int = 4
 ) -> Task:
-    """Find out, and make final, what became of an operation.
+    """Read the outcome of an operation; if it has none, abandon it for good.
 
     Notes
     -----
-    An operation without a row may still have a write on its way. Writing an ``abandoned`` row on
-    condition of absence makes that write fail, so the answer cannot become wrong later.
+    A write of an operation without a row may still be in transit. Writing an ``abandoned`` row on
+    the condition that no row exists makes that write fail, so the reported outcome stays correct.
     """
     key = OPERATION_PREFIX + operation
-    note = {"state": _ABANDONED, "revision": 0, "operator": operator}
-    fault = ""
-    for count in range(tries):
+    outcome_row = {"state": _ABANDONED, "revision": 0, "operator": operator}
+    error = ""
+    for count in range(attempts):
         try:
             (row,) = yield from documents.read([key])
             if row.value is not None:
-                return _operation_outcome(operation, row)
-            yield from documents.transact((Condition(key, 0),), (Write(key, note),))
+                return _parse_operation_outcome(operation, row)
+            yield from documents.transact((Condition(key, 0),), (Write(key, outcome_row),))
         except PlatformError as exc:
-            fault = str(exc)
+            error = str(exc)
             yield Sleep(DEFAULT_BACKOFF.delay(count, rng))
-    return CommitOutcome(CommitState.UNKNOWN, operation, faults=(fault,))
+    return CommitOutcome(CommitState.UNKNOWN, operation, faults=(error,))
--- a/flamingofront/version/edits.py
+++ b/flamingofront/version/edits.py
@@ -1,4 +1,4 @@
-"""Edits of a configuration, and the check of the result as a whole."""
+"""Edits of a configuration, and validation of the result as a whole."""
 
 from collections.abc import Iterable, Iterator, Mapping
 from dataclasses import asdict, dataclass, field
@@ -18,7 +18,7 @@
 
 
 class EditAction(StrEnum):
-    """What an edit does to its object."""
+    """Kind of an edit; ``put`` creates the object or replaces it."""
 
     CREATE = "create"
     CHANGE = "change"
@@ -28,7 +28,7 @@
 
 @dataclass(frozen=True)
 class Edit:
-    """One change of one object."""
+    """One change of one configuration object."""
 
     action: EditAction
     kind: ObjectKind
@@ -37,21 +37,21 @@
 
     @property
     def key(self) -> str:
-        """Key of the object in `Configuration.changes`."""
+        """Key of the edited object in `Configuration.changes`."""
         return object_key(self.kind, self.name)
 
 
 def object_key(kind: ObjectKind, name: str) -> str:
-    """Return the key under which changes of an object are noted."""
+    """Return the key of an object in `Configuration.changes`."""
     return f"{kind.value}/{name}"
 
 
-def _edited(edit: Edit, current: Mapping[str, Any]) -> Any:
-    """Return the new object, None for a deletion."""
+def _apply_edit(edit: Edit, current: Mapping[str, Any]) -> Any:
+    """Return the object after an edit, None for a deletion."""
     existing = current.get(edit.name)
     label = f"{edit.kind.value} {edit.name}"
     if edit.action is EditAction.CREATE and existing is not None:
-        raise ConfigurationError((f"{label} exists already",))
+        raise ConfigurationError((f"{label} already exists",))
     if edit.action in (EditAction.CHANGE, EditAction.DELETE) and existing is None:
         raise ConfigurationError((f"{label} does not exist",))
     if edit.action is EditAction.DELETE:
@@ -68,60 +68,60 @@
     Raises
     ------
     ConfigurationError
-        With every fault found; `cfg` is unchanged.
+        With all errors found; `cfg` is unchanged.
     """
     revision = cfg.revision + 1
-    objects = {kind: dict(cfg.of(kind)) for kind in ObjectKind}
+    objects = {kind: dict(cfg.objects_of(kind)) for kind in ObjectKind}
     changes = dict(cfg.changes)
-    faults: list[str] = []
+    errors: list[str] = []
     for edit in edits:
         try:
-            item = _edited(edit, objects[edit.kind])
+            item = _apply_edit(edit, objects[edit.kind])
         except ConfigurationError as exc:
-            faults += exc.faults
+            errors += exc.faults
             continue
         if item is None:
             del objects[edit.kind][edit.name]
         else:
             objects[edit.kind][edit.name] = item
         changes[edit.key] = Change(revision, operator)
-    if faults:
-        raise ConfigurationError(tuple(faults))
+    if errors:
+        raise ConfigurationError(tuple(errors))
     result = Configuration(revision, operator, operation, objects, changes)
     validate(result)
     return result
 
 
 def validate(cfg: Configuration) -> None:
-    """Check what spans several objects.
+    """Check the references and constraints between objects.
 
     Raises
     ------
     ConfigurationError
-        With one sentence for each fault.
+        With one message for each error.
     """
-    faults = [*_route_faults(cfg), *_move_faults(cfg)]
-    if faults:
-        raise ConfigurationError(tuple(faults))
+    errors = [*_find_route_errors(cfg), *_find_move_errors(cfg)]
+    if errors:
+        raise ConfigurationError(tuple(errors))
 
 
-def _route_faults(cfg: Configuration) -> Iterator[str]:
-    for route in cfg.of(ObjectKind.ROUTE).values():
-        if cfg.service(route.service) is None:
+def _find_route_errors(cfg: Configuration) -> Iterator[str]:
+    for route in cfg.objects_of(ObjectKind.ROUTE).values():
+        if cfg.find_service(route.service) is None:
             yield f"route {route.name}: service {route.service!r} does not exist"
         for workspace in route.workspaces:
-            if cfg.workspace(workspace) is None:
+            if cfg.find_workspace(workspace) is None:
                 yield f"route {route.name}: workspace {workspace!r} does not exist"
 
 
-def _move_faults(cfg: Configuration) -> Iterator[str]:
-    seen: dict[str, str] = {}
-    for move in cfg.of(ObjectKind.MOVE).values():
-        service = cfg.service(move.service)
+def _find_move_errors(cfg: Configuration) -> Iterator[str]:
+    move_names: dict[str, str] = {}
+    for move in cfg.objects_of(ObjectKind.MOVE).values():
+        service = cfg.find_service(move.service)
         if service is None:
             yield f"move {move.name}: service {move.service!r} does not exist"
         elif service.kind is ServiceKind.PLAIN and move.key == "request" and service.non_repeatable:
-            yield f"move {move.name}: key=request would send keyed calls to both sides"
-        if move.service in seen:
-            yield f"move {move.name}: {move.service} is moved by {seen[move.service]} already"
-        seen[move.service] = move.name
+            yield f"move {move.name}: key=request would send non_repeatable calls to both sides"
+        if move.service in move_names:
+            yield f"move {move.name}: {move.service} is already moved by {move_names[move.service]}"
+        move_names[move.service] = move.name
--- a/flamingofront/version/files.py
+++ b/flamingofront/version/files.py
@@ -1,4 +1,4 @@
-"""The configuration file: TOML with one table for each object."""
+"""Configuration files: TOML with one table for each object."""
 
 import shlex
 import tomllib
@@ -7,7 +7,7 @@
 from flamingofront.errors import CommandError
 from flamingofront.version.model import ObjectKind
 
-__all__ = ["statements_of"]
+__all__ = ["load_statements"]
 
 _TABLES = {
     "services": ObjectKind.SERVICE,
@@ -17,39 +17,39 @@
 }
 
 
-def _text(value: Any) -> str:
+def _format_value(value: Any) -> str:
     if isinstance(value, list):
-        return ",".join(_text(each) for each in value)
+        return ",".join(_format_value(each) for each in value)
     if isinstance(value, bool):
         return "true" if value else "false"
     return str(value)
 
 
-def statements_of(text: str) -> list[str]:
-    """Return the ``put`` statements that bring a configuration file into force.
+def load_statements(text: str) -> list[str]:
+    """Return the ``put`` statements that apply the text of a configuration file.
 
     Raises
     ------
     CommandError
-        If the file is not TOML or has a table that is not known.
+        If the text is not valid TOML or has unexpected keys or tables.
 
     Examples
     --------
-    >>> statements_of('[routes.demo]\\nservice = "demo"')
+    >>> load_statements('[routes.demo]\\nservice = "demo"')
     ['put route demo service=demo']
     """
     try:
         data = tomllib.loads(text)
     except tomllib.TOMLDecodeError as exc:
-        raise CommandError(f"the file is not valid TOML: {exc}") from exc
+        raise CommandError(f"configuration file is not valid TOML: {exc}") from exc
     statements = []
     for table, objects in data.items():
         if table not in _TABLES or not isinstance(objects, dict):
-            raise CommandError(f"no table {table!r}; tables are {', '.join(_TABLES)}")
+            raise CommandError(f"expected tables {', '.join(_TABLES)}, got {table!r}")
         for name, values in objects.items():
             if not isinstance(values, dict):
                 raise CommandError(f"{table}.{name} must be a table, got {values!r}")
-            words = [f"{field}={_text(value)}" for field, value in values.items()]
-            quoted = " ".join(shlex.quote(word) for word in words)
+            assignments = [f"{field}={_format_value(value)}" for field, value in values.items()]
+            quoted = " ".join(shlex.quote(each) for each in assignments)
             statements.append(f"put {_TABLES[table].value} {shlex.quote(name)} {quoted}".rstrip())
     return statements
--- a/flamingofront/version/forwarding.py
+++ b/flamingofront/version/forwarding.py
@@ -1,7 +1,7 @@
-"""The configuration of forwarded routes: what an outside operator keeps for this system.
+"""Configuration of forwarded routes, maintained outside this system by the platform's operators.
 
-It lies beside the configuration that flamingofront's own operators edit: it is read from the
-platform's store in full, with a version that only grows, and is read-only here.
+It is separate from the configuration that flamingofront's own operators edit. It is read from the
+platform's store as a whole, its version only increases, and it is read-only here.
 """
 
 import zlib
@@ -29,7 +29,7 @@
 
 
 class RequestKind(StrEnum):
-    """What may be repeated."""
+    """Kind of the requests of a route; determines whether a request may be repeated."""
 
     IDEMPOTENT = "idempotent"
     NON_IDEMPOTENT = "non_idempotent"
@@ -38,7 +38,7 @@
 
 @dataclass(frozen=True)
 class Backend:
-    """One service behind a route and its weight in the split."""
+    """One service of a route and its weight in the traffic split."""
 
     service: str
     weight: float = 1.0
@@ -46,28 +46,28 @@
 
 @dataclass(frozen=True)
 class ForwardedRoute:
-    """Requests to a host and path prefix, and how they are to be served.
+    """How requests to a host and path prefix are served.
 
     Parameters
     ----------
     prefix : str
-        Begin of the path; begins and ends with a slash.
+        Path prefix; starts and ends with a slash.
     timeout : float
-        Longest time in seconds that a caller is kept waiting.
+        Maximum time in seconds that a caller waits for a response.
     latency_objective : float
-        Seconds within which an answer has its full value.
+        Response time objective in seconds.
     gap_objective : float
-        Longest pause in seconds between two events of a stream.
+        Objective for the time in seconds between two events of a stream.
     priority : int
         0 is the highest.
     max_attempts : int
-        Endpoints that one request may be sent to.
+        Maximum number of endpoints that one request is sent to.
     needs_key : bool
-        False if callers need no API key.
+        True if callers must send an API key.
     prefix_cached : bool
-        True if requests name the cached parts of their prompt.
+        True if requests identify the prefixes of their prompt that a KV cache may hold.
     resumable : bool
-        True if a stream may go on at another endpoint.
+        True if a stream may be continued on another endpoint.
     """
 
     name: str
@@ -85,12 +85,12 @@
     resumable: bool = False
 
     @property
-    def may_repeat(self) -> bool:
-        """Tell whether a request may run more than once."""
+    def can_repeat(self) -> bool:
+        """True if a request may run more than once."""
         return self.kind is RequestKind.IDEMPOTENT or self.resumable
 
-    def backend_for(self, key: str) -> str:
-        """Return the service that the request with this key goes to, by the weights."""
+    def select_backend(self, key: str) -> str:
+        """Return the service for a request key, chosen by a stable hash and the weights."""
         if len(self.backends) == 1:
             return self.backends[0].service
         total = sum(each.weight for each in self.backends)
@@ -104,16 +104,16 @@
 
 @dataclass(frozen=True)
 class ScalingLimits:
-    """How many endpoints of a service may be ordered in each zone, and what they cost.
+    """Limits for the number of endpoints of a service in each zone, and their prices.
 
     Parameters
     ----------
     start_seconds : float
-        Time from an order until the endpoint serves.
+        Time from a scaling request until the new endpoint is ready.
     reclaimable_price : float
-        Price of a reclaimable endpoint relative to another one.
+        Price of a reclaimable endpoint relative to an on-demand one.
     zone_prices : mapping of str to float
-        Price of an endpoint for a second, by zone.
+        Price of an endpoint per second, by zone.
     """
 
     least: int
@@ -125,16 +125,16 @@
 
 @dataclass(frozen=True)
 class ForwardedService:
-    """A service that routes lead to.
+    """A service that forwarded routes send requests to.
 
     Parameters
     ----------
     max_connections : int
-        Connections that one endpoint accepts from all callers together.
+        Connections that one endpoint accepts in total, over all entry processes.
     slots : int
-        Requests that one endpoint runs at the same time; 0 if only the endpoints tell.
+        Requests that one endpoint can run concurrently; 0 if only the endpoints report it.
     cache_tokens : int
-        Tokens that one model engine can hold; 0 for a plain service.
+        KV cache capacity of one model engine in tokens; 0 for a plain service.
     """
 
     name: str
@@ -145,13 +145,13 @@
 
     @property
     def is_model(self) -> bool:
-        """True if model engines stand behind the service."""
+        """True if the endpoints are model engines."""
         return self.cache_tokens > 0
 
 
 @dataclass(frozen=True)
 class CallerLimits:
-    """What a caller may send and how long it may take; sizes in bytes, times in seconds."""
+    """Limits for requests of callers; sizes in bytes, times in seconds."""
 
     max_head: int = 16384
     max_body: int = 4 * 1024 * 1024
@@ -166,11 +166,11 @@
     Parameters
     ----------
     rate, burst : float
-        Quota: units a second and the most that can be saved up; rate 0 means no limit.
+        Token bucket of the quota: units per second and bucket size; rate 0 means no limit.
     counts_tokens : bool
-        True if the unit is a token, False if it is a request.
+        True if the quota counts LLM tokens, False if it counts requests.
     plain_tokens : float
-        Units of a request that names no tokens.
+        Units charged for a request without a token count.
     """
 
     name: str
@@ -184,12 +184,12 @@
 
 @dataclass(frozen=True)
 class ForwardingConfiguration:
-    """One version of the forwarded routes, complete.
+    """One complete version of the configuration of forwarded routes.
 
     Parameters
     ----------
     version : int
-        Grows with each change; 0 before the first one was read.
+        Increases with each change; 0 before the first version was read.
     """
 
     version: int = 0
@@ -200,27 +200,27 @@
 
     @cached_property
     def _routes_by_host(self) -> dict[str, dict[str, ForwardedRoute]]:
-        found: dict[str, dict[str, ForwardedRoute]] = {}
+        by_host: dict[str, dict[str, ForwardedRoute]] = {}
         for each in self.routes:
-            found.setdefault(each.host.lower(), {})[each.prefix] = each
-        return found
+            by_host.setdefault(each.host.lower(), {})[each.prefix] = each
+        return by_host
 
     @cached_property
     def workspaces_by_name(self) -> Mapping[str, ForwardedWorkspace]:
-        """Workspaces by their names."""
+        """Workspaces by name."""
         return {each.name: each for each in self.workspaces}
 
     @cached_property
     def _workspaces_by_key(self) -> dict[str, ForwardedWorkspace]:
         return {key: each for each in self.workspaces for key in each.keys}
 
-    def route_for(self, host: str, path: str) -> ForwardedRoute | None:
-        """Return the route with the longest prefix that begins the path.
+    def find_route(self, host: str, path: str) -> ForwardedRoute | None:
+        """Return the route with the longest matching path prefix, or None.
 
         Notes
         -----
-        Prefixes end with a slash, so only the path's own prefixes are looked up: the time does not
-        grow with the number of routes.
+        Prefixes end with a slash, so only the prefixes of the path up to a slash are looked up: the
+        time does not grow with the number of routes.
         """
         routes = self._routes_by_host.get(host.lower())
         if routes is None:
@@ -233,25 +233,25 @@
             end = path.rfind("/", 0, end - 1) + 1
         return None
 
-    def workspace_of(self, key: str) -> ForwardedWorkspace | None:
-        """Return the workspace that an API key belongs to."""
+    def find_workspace_by_key(self, key: str) -> ForwardedWorkspace | None:
+        """Return the workspace that an API key belongs to, or None."""
         return self._workspaces_by_key.get(key)
 
-    def workspace(self, name: str) -> ForwardedWorkspace | None:
-        """Return a workspace by its name."""
+    def find_workspace(self, name: str) -> ForwardedWorkspace | None:
+        """Return the workspace with this name, or None."""
         return next((each for each in self.workspaces if each.name == name), None)
 
-    def service_for(self, route: ForwardedRoute, name: str, slots: int) -> Service:
-        """Return a service as admission and choice of the product see it.
+    def build_service(self, route: ForwardedRoute, name: str, slots: int) -> Service:
+        """Return the `Service` that admission control and endpoint selection use for a route.
 
         Parameters
         ----------
         slots : int
-            Requests that an endpoint runs at once, by what the endpoints tell; 0 if not known.
+            Concurrent requests per endpoint as reported by the endpoints; 0 if not reported.
         """
-        known = self.services.get(name)
-        is_model = known is not None and known.is_model
-        configured = known.slots if known is not None else 0
+        forwarded = self.services.get(name)
+        is_model = forwarded is not None and forwarded.is_model
+        configured = forwarded.slots if forwarded is not None else 0
         return Service(
             name=name,
             kind=ServiceKind.MODEL if is_model else ServiceKind.PLAIN,
--- a/flamingofront/version/language.py
+++ b/flamingofront/version/language.py
@@ -1,4 +1,4 @@
-"""The operators' query and command language: from text to typed statements.
+"""Parser of the operators' query and command language.
 
 Grammar::
 
@@ -24,7 +24,7 @@
 
 __all__ = [
     "SUBJECTS",
-    "Change",
+    "EditStatement",
     "Filter",
     "Query",
     "Settle",
@@ -56,7 +56,7 @@
 
 @dataclass(frozen=True)
 class Filter:
-    """One condition on a field."""
+    """Condition on one field."""
 
     field: str
     operator: str
@@ -65,7 +65,7 @@
 
 @dataclass(frozen=True)
 class Query:
-    """A question about the state."""
+    """A ``show`` statement."""
 
     subject: str
     filters: tuple[Filter, ...] = ()
@@ -76,152 +76,152 @@
 
 
 @dataclass(frozen=True)
-class Change:
-    """Edits that take effect together or not at all."""
+class EditStatement:
+    """A statement with edits that are committed atomically."""
 
     edits: tuple[Edit, ...]
 
 
 @dataclass(frozen=True)
 class Settle:
-    """A wish to know what became of an operation."""
+    """A ``settle`` statement: asks for the outcome of an operation."""
 
     operation: str
 
 
-Statement = Query | Change | Settle
+Statement = Query | EditStatement | Settle
 
 
-class _Words:
-    """The words of a statement, taken one by one."""
+class _TokenReader:
+    """Reader of the words of a statement, with one word of lookahead."""
 
     def __init__(self, text: str):
         try:
-            self._words = shlex.split(text)
+            self._tokens = shlex.split(text)
         except ValueError as exc:
             raise CommandError(f"cannot read {text!r}: {exc}") from exc
-        self._next = 0
+        self._position = 0
 
     @property
-    def left(self) -> bool:
-        """True if there are words left."""
-        return self._next < len(self._words)
+    def has_next(self) -> bool:
+        """True if there is another word."""
+        return self._position < len(self._tokens)
 
     def peek(self) -> str:
-        """Return the next word without taking it."""
-        return self._words[self._next] if self.left else ""
+        """Return the next word without consuming it, an empty string at the end."""
+        return self._tokens[self._position] if self.has_next else ""
 
-    def take(self, what: str) -> str:
-        """Take the next word; `what` names it in the error if there is none."""
-        if not self.left:
+    def next_word(self, what: str) -> str:
+        """Consume and return the next word; `what` describes it in the error if it is missing."""
+        if not self.has_next:
             raise CommandError(f"{what} is missing at the end")
-        word = self._words[self._next]
-        self._next += 1
+        word = self._tokens[self._position]
+        self._position += 1
         return word
 
-    def take_if(self, word: str) -> bool:
-        """Take the next word if it is `word`."""
+    def skip_if(self, word: str) -> bool:
+        """Consume the next word if it equals `word`; return True if it did."""
         if self.peek() != word:
             return False
-        self._next += 1
+        self._position += 1
         return True
 
-    def take_one_of(self, what: str, allowed: tuple[str, ...]) -> str:
-        """Take a word that must be one of `allowed`."""
-        word = self.take(what)
+    def next_choice(self, what: str, allowed: tuple[str, ...]) -> str:
+        """Consume and return the next word, which must be one of `allowed`."""
+        word = self.next_word(what)
         if word not in allowed:
             raise CommandError(f"{what} must be one of {', '.join(allowed)}, got {word!r}")
         return word
 
-    def end(self) -> None:
-        """Raise if a word is left over."""
-        if self.left:
+    def expect_end(self) -> None:
+        """Raise a `CommandError` if there is another word."""
+        if self.has_next:
             raise CommandError(f"unexpected word {self.peek()!r}")
 
 
 def parse(text: str) -> Statement:
-    """Return the statement that `text` says.
+    """Parse one statement.
 
     Raises
     ------
     CommandError
-        With the word that is wrong and what would be right.
+        If the statement is malformed; the message says what was expected.
 
     Examples
     --------
     >>> parse("set share shift 25").edits[0].values
     {'share': 25.0}
     """
-    words = _Words(text)
-    verb = words.take_one_of("the command", _VERBS)
-    statement = _PARSERS[verb](verb, words)
-    words.end()
+    tokens = _TokenReader(text)
+    verb = tokens.next_choice("the command", _VERBS)
+    statement = _PARSERS[verb](verb, tokens)
+    tokens.expect_end()
     return statement
 
 
-def _parse_show(verb: str, words: _Words) -> Query:
-    subject = words.take_one_of("what to show", SUBJECTS)
+def _parse_show(verb: str, tokens: _TokenReader) -> Query:
+    subject = tokens.next_choice("what to show", SUBJECTS)
     filters: tuple[Filter, ...] = ()
     fields: tuple[str, ...] = ()
     order, descending, limit = "", False, None
-    while words.left:
-        clause = words.take_one_of("the clause", ("where", "fields", "order", "limit"))
+    while tokens.has_next:
+        clause = tokens.next_choice("the clause", ("where", "fields", "order", "limit"))
         if clause == "where":
-            filters += _parse_filters(words)
+            filters += _parse_filters(tokens)
         elif clause == "fields":
-            fields = tuple(each for each in words.take("the fields").split(",") if each)
+            fields = tuple(each for each in tokens.next_word("the fields").split(",") if each)
         elif clause == "order":
-            order, descending = _parse_order(words)
+            order, descending = _parse_order(tokens)
         else:
-            limit = _parse_limit(words)
+            limit = _parse_limit(tokens)
     return Query(subject, filters, fields, order, descending, limit)
 
 
-def _parse_filters(words: _Words) -> tuple[Filter, ...]:
-    filters = [_parse_filter(words)]
-    while words.take_if("and"):
-        filters.append(_parse_filter(words))
+def _parse_filters(tokens: _TokenReader) -> tuple[Filter, ...]:
+    filters = [_parse_filter(tokens)]
+    while tokens.skip_if("and"):
+        filters.append(_parse_filter(tokens))
     return tuple(filters)
 
 
-def _parse_filter(words: _Words) -> Filter:
-    word = words.take("a condition")
+def _parse_filter(tokens: _TokenReader) -> Filter:
+    word = tokens.next_word("a condition")
     match = _CONDITION.fullmatch(word)
     if match and match[3]:
         return Filter(match[1], match[2], match[3])
     if match:
-        return Filter(match[1], match[2], words.take("the value"))
-    operator = words.take("the operator")
+        return Filter(match[1], match[2], tokens.next_word("the value"))
+    operator = tokens.next_word("the operator")
     match = re.fullmatch(r"(!=|<=|>=|=|<|>|~)(.*)", operator, re.DOTALL)
     if not match:
         raise CommandError(f"operator must be one of {' '.join(OPERATORS)}, got {operator!r}")
-    return Filter(word, match[1], match[2] or words.take("the value"))
+    return Filter(word, match[1], match[2] or tokens.next_word("the value"))
 
 
-def _parse_order(words: _Words) -> tuple[str, bool]:
-    words.take_one_of("the word after order", ("by",))
-    name = words.take("the field to order by")
-    return name, words.take_if("desc")
+def _parse_order(tokens: _TokenReader) -> tuple[str, bool]:
+    tokens.next_choice("the word after order", ("by",))
+    name = tokens.next_word("the field to order by")
+    return name, tokens.skip_if("desc")
 
 
-def _parse_limit(words: _Words) -> int:
-    text = words.take("the limit")
+def _parse_limit(tokens: _TokenReader) -> int:
+    text = tokens.next_word("the limit")
     if not text.isdigit():
         raise CommandError(f"limit must be a whole number, got {text!r}")
     return int(text)
 
 
-def _parse_edit(verb: str, words: _Words) -> Change:
+def _parse_edit(verb: str, tokens: _TokenReader) -> EditStatement:
     names = tuple(each.value for each in ObjectKind if each is not ObjectKind.DRAIN)
-    kind = ObjectKind(words.take_one_of("the kind of object", names))
-    name = words.take(f"the name of the {kind.value}")
+    kind = ObjectKind(tokens.next_choice("the kind of object", names))
+    name = tokens.next_word(f"the name of the {kind.value}")
     values: dict[str, Any] = {}
-    while words.left and verb != "delete":
-        field, value = _parse_assignment(kind, words.take("a field"))
+    while tokens.has_next and verb != "delete":
+        field, value = _parse_assignment(kind, tokens.next_word("a field"))
         if field in values:
             raise CommandError(f"field {field!r} is given twice")
         values[field] = value
-    return Change((Edit(EditAction(verb), kind, name, values),))
+    return EditStatement((Edit(EditAction(verb), kind, name, values),))
 
 
 def _parse_assignment(kind: ObjectKind, word: str) -> tuple[str, Any]:
@@ -230,18 +230,18 @@
         raise CommandError(f"expected FIELD=VALUE, got {word!r}")
     types = {each.name: each.type for each in dataclasses.fields(OBJECT_TYPES[kind])}
     if field not in types or field == "name":
-        known = ", ".join(sorted(set(types) - {"name"}))
-        raise CommandError(f"{kind.value} has no field {field!r}; fields are {known}")
+        expected = ", ".join(sorted(set(types) - {"name"}))
+        raise CommandError(f"{kind.value} has no field {field!r}; fields are {expected}")
     return field, _parse_value(field, types[field], text)
 
 
-def _parse_value(field: str, wanted: Any, text: str) -> Any:
-    if wanted == tuple[str, ...]:
+def _parse_value(field: str, field_type: Any, text: str) -> Any:
+    if field_type == tuple[str, ...]:
         return [each.strip() for each in text.split(",") if each.strip()]
-    if wanted is bool:
+    if field_type is bool:
         return _parse_bool(field, text)
-    if wanted in (int, float):
-        return _parse_number(field, wanted, text)
+    if field_type in (int, float):
+        return _parse_number(field, field_type, text)
     return text
 
 
@@ -253,34 +253,34 @@
     raise CommandError(f"{field} must be true or false, got {text!r}")
 
 
-def _parse_number(field: str, wanted: type, text: str) -> int | float:
+def _parse_number(field: str, number_type: type, text: str) -> int | float:
     try:
-        return wanted(text)
+        return number_type(text)
     except ValueError:
-        what = "a whole number" if wanted is int else "a number"
+        what = "a whole number" if number_type is int else "a number"
         raise CommandError(f"{field} must be {what}, got {text!r}") from None
 
 
-def _parse_set(verb: str, words: _Words) -> Change:
-    words.take_one_of("what to set", ("share",))
-    move = words.take("the move")
-    share = _parse_number("share", float, words.take("the percentage").rstrip("%"))
-    return Change((Edit(EditAction.CHANGE, ObjectKind.MOVE, move, {"share": share}),))
+def _parse_set(verb: str, tokens: _TokenReader) -> EditStatement:
+    tokens.next_choice("what to set", ("share",))
+    move = tokens.next_word("the move")
+    share = _parse_number("share", float, tokens.next_word("the percentage").rstrip("%"))
+    return EditStatement((Edit(EditAction.CHANGE, ObjectKind.MOVE, move, {"share": share}),))
 
 
-def _parse_drain(verb: str, words: _Words) -> Change:
+def _parse_drain(verb: str, tokens: _TokenReader) -> EditStatement:
     kinds = tuple(each.value for each in DrainKind)
-    kind = words.take_one_of("what to drain", kinds)
-    target = words.take(f"the {kind}")
+    kind = tokens.next_choice("what to drain", kinds)
+    target = tokens.next_word(f"the {kind}")
     name = f"{kind}.{target}"
     if verb == "undrain":
-        return Change((Edit(EditAction.DELETE, ObjectKind.DRAIN, name),))
+        return EditStatement((Edit(EditAction.DELETE, ObjectKind.DRAIN, name),))
     values = {"kind": kind, "target": target}
-    return Change((Edit(EditAction.PUT, ObjectKind.DRAIN, name, values),))
+    return EditStatement((Edit(EditAction.PUT, ObjectKind.DRAIN, name, values),))
 
 
-def _parse_settle(verb: str, words: _Words) -> Settle:
-    return Settle(words.take("the operation id"))
+def _parse_settle(verb: str, tokens: _TokenReader) -> Settle:
+    return Settle(tokens.next_word("the operation id"))
 
 
 _PARSERS = {
--- a/flamingofront/version/model.py
+++ b/flamingofront/version/model.py
@@ -1,8 +1,8 @@
-"""The configuration: what operators create and change.
+"""Configuration objects that operators create and change.
 
-A configuration is immutable. Each accepted change makes a new one with the next revision. Single
-fields are checked when an object is made; what spans objects is checked in
-`flamingofront.version.validation`.
+A configuration is immutable; each accepted change creates a new one with the next revision number.
+An object validates its own fields when it is created; references between objects are validated by
+`flamingofront.version.edits.validate`.
 """
 
 import dataclasses
@@ -47,14 +47,14 @@
 
 
 class ServiceKind(StrEnum):
-    """What stands behind a service."""
+    """Kind of the endpoints of a service: model engines or plain endpoints."""
 
     MODEL = "model"
     PLAIN = "plain"
 
 
 class DrainKind(StrEnum):
-    """What a drain can be ordered for."""
+    """Kind of the target of a drain."""
 
     VM = "vm"
     ENDPOINT = "endpoint"
@@ -62,50 +62,50 @@
     ZONE = "zone"
 
 
-def _fault(condition: bool, text: str, faults: list[str]) -> None:
+def _add_error_if(condition: bool, text: str, errors: list[str]) -> None:
     if condition:
-        faults.append(text)
+        errors.append(text)
 
 
-def _number_fault(owner: str, name: str, value: Any, low: float, high: float) -> list[str]:
+def _check_number(owner: str, name: str, value: Any, low: float, high: float) -> list[str]:
     if isinstance(value, bool) or not isinstance(value, int | float) or not low <= value <= high:
         return [f"{owner}: {name} must be from {low:g} to {high:g}, got {value!r}"]
     return []
 
 
-def _name_fault(owner: str, name: str, value: Any) -> list[str]:
+def _check_name(owner: str, name: str, value: Any) -> list[str]:
     if not isinstance(value, str) or not _NAME.fullmatch(value):
         return [f"{owner}: {name} must be lower-case letters, digits, '.', '_', '-', got {value!r}"]
     return []
 
 
-def _raise_if_any(faults: list[str]) -> None:
-    if faults:
-        raise ConfigurationError(tuple(faults))
+def _raise_if_invalid(errors: list[str]) -> None:
+    if errors:
+        raise ConfigurationError(tuple(errors))
 
 
 @dataclass(frozen=True)
 class Service:
-    """A model or plain service.
+    """A model service or a plain service.
 
     Parameters
     ----------
     kind : ServiceKind
-        Model engines or plain endpoints.
+        Kind of the endpoints.
     model : str
-        Name of the model that engines must hold; empty for plain services.
+        Name of the model that the engines must have loaded; empty for plain services.
     non_repeatable : tuple of str
-        Calls that may run at most once, each ``METHOD /path-prefix``.
+        Calls that may run at most once, each as ``METHOD /path-prefix``.
     fencing : bool
-        Whether its endpoints refuse orders with an old fencing number.
+        True if the endpoints reject requests with an outdated fencing token.
     first_token_target, token_target : float
-        Latency targets in seconds: until the first token, between tokens.
+        Latency targets in seconds: time to first token, time between tokens.
     call_timeout : float
-        Seconds of silence after which an attempt counts as lost.
+        Seconds without data after which an attempt is considered lost.
     retry_ratio : float
-        Retries allowed for each accepted request, as a long-run ratio.
+        Long-run ratio of retries to accepted requests that is allowed.
     slots : int
-        Requests that one endpoint runs at the same time within the target.
+        Requests that one endpoint can run concurrently within the latency targets.
     """
 
     name: str
@@ -121,34 +121,38 @@
 
     def __post_init__(self):
         owner = f"service {self.name}"
-        faults = _name_fault(owner, "name", self.name)
+        errors = _check_name(owner, "name", self.name)
         is_model = self.kind is ServiceKind.MODEL
-        _fault(is_model and not self.model, f"{owner}: a model service needs model=NAME", faults)
-        _fault(
+        _add_error_if(
+            is_model and not self.model, f"{owner}: a model service needs model=NAME", errors
+        )
+        _add_error_if(
             is_model and bool(self.non_repeatable),
             f"{owner}: non_repeatable is for kind=plain",
-            faults,
+            errors,
         )
         for call in self.non_repeatable:
             bad = not isinstance(call, str) or not _PLAIN_CALL.fullmatch(call)
-            _fault(bad, f"{owner}: non_repeatable needs 'METHOD /path', got {call!r}", faults)
-        faults += _number_fault(owner, "first_token_target", self.first_token_target, 0.001, 600)
-        faults += _number_fault(owner, "token_target", self.token_target, 0.001, 60)
-        faults += _number_fault(owner, "call_timeout", self.call_timeout, 0.05, 3600)
-        faults += _number_fault(owner, "retry_ratio", self.retry_ratio, 0, 10)
-        faults += _number_fault(owner, "slots", self.slots, 1, 4096)
-        _raise_if_any(faults)
-
-    def may_repeat(self, method: str, path: str) -> bool:
-        """Tell whether a call may be sent a second time."""
+            _add_error_if(
+                bad, f"{owner}: non_repeatable needs 'METHOD /path', got {call!r}", errors
+            )
+        errors += _check_number(owner, "first_token_target", self.first_token_target, 0.001, 600)
+        errors += _check_number(owner, "token_target", self.token_target, 0.001, 60)
+        errors += _check_number(owner, "call_timeout", self.call_timeout, 0.05, 3600)
+        errors += _check_number(owner, "retry_ratio", self.retry_ratio, 0, 10)
+        errors += _check_number(owner, "slots", self.slots, 1, 4096)
+        _raise_if_invalid(errors)
+
+    def can_repeat(self, method: str, path: str) -> bool:
+        """Return True if a call may be sent more than once."""
         if self.kind is ServiceKind.MODEL:
             return True
-        return not any(_matches(call, method, path) for call in self.non_repeatable)
+        return not any(_matches_call(call, method, path) for call in self.non_repeatable)
 
 
-def _matches(call: str, method: str, path: str) -> bool:
-    wanted_method, prefix = call.split(" ", 1)
-    if method != wanted_method:
+def _matches_call(call: str, method: str, path: str) -> bool:
+    call_method, prefix = call.split(" ", 1)
+    if method != call_method:
         return False
     base = prefix.rstrip("/")
     return path == base or path.startswith(base + "/")
@@ -156,7 +160,7 @@
 
 @dataclass(frozen=True)
 class Route:
-    """Name that callers use (model name or path segment), and the service behind it."""
+    """Mapping from the name that callers use (model name or path segment) to a service."""
 
     name: str
     service: str
@@ -164,14 +168,14 @@
 
     def __post_init__(self):
         owner = f"route {self.name}"
-        faults = _name_fault(owner, "name", self.name)
-        faults += _name_fault(owner, "service", self.service)
+        errors = _check_name(owner, "name", self.name)
+        errors += _check_name(owner, "service", self.service)
         for workspace in self.workspaces:
-            faults += _name_fault(owner, "workspaces", workspace)
-        _raise_if_any(faults)
+            errors += _check_name(owner, "workspaces", workspace)
+        _raise_if_invalid(errors)
 
     def allows(self, workspace: str) -> bool:
-        """Tell whether a workspace may use the route; an empty list allows all."""
+        """Return True if a workspace may use the route; an empty list allows all workspaces."""
         return not self.workspaces or workspace in self.workspaces
 
 
@@ -182,9 +186,9 @@
     Parameters
     ----------
     share : float
-        Percentage of the workspaces' traffic that the new side takes.
+        Percentage of the traffic that goes to the new side.
     key : str
-        What is hashed to pick the side: ``workspace`` or ``request``.
+        Hash key that selects the side: ``workspace`` or ``request``.
     """
 
     name: str
@@ -196,34 +200,36 @@
 
     def __post_init__(self):
         owner = f"move {self.name}"
-        faults = _name_fault(owner, "name", self.name)
-        faults += _name_fault(owner, "service", self.service)
-        faults += _name_fault(owner, "old_side", self.old_side)
-        faults += _name_fault(owner, "new_side", self.new_side)
-        _fault(self.old_side == self.new_side, f"{owner}: both sides are {self.old_side!r}", faults)
-        _fault(
+        errors = _check_name(owner, "name", self.name)
+        errors += _check_name(owner, "service", self.service)
+        errors += _check_name(owner, "old_side", self.old_side)
+        errors += _check_name(owner, "new_side", self.new_side)
+        _add_error_if(
+            self.old_side == self.new_side, f"{owner}: both sides are {self.old_side!r}", errors
+        )
+        _add_error_if(
             self.key not in ("workspace", "request"),
             f"{owner}: key must be workspace or request, got {self.key!r}",
-            faults,
+            errors,
         )
-        faults += _number_fault(owner, "share", self.share, 0, 100)
-        _raise_if_any(faults)
+        errors += _check_number(owner, "share", self.share, 0, 100)
+        _raise_if_invalid(errors)
 
 
 @dataclass(frozen=True)
 class Workspace:
-    """A caller's workspace and its limits.
+    """A workspace of callers and its limits.
 
     Parameters
     ----------
     credential : str
         SHA-256 hex digest of the bearer token; empty if the header ``X-Workspace`` is enough.
     max_in_flight : int
-        Requests at the same time over all entry VMs.
+        Maximum number of concurrent requests over all entry VMs.
     weight : float
-        Share of the capacity under overload, relative to the other workspaces.
+        Weight of this workspace's share of the capacity under overload.
     priority : int
-        0 is served first, 9 last.
+        From 0 (served first) to 9 (served last).
     """
 
     name: str
@@ -234,26 +240,26 @@
 
     def __post_init__(self):
         owner = f"workspace {self.name}"
-        faults = _name_fault(owner, "name", self.name)
+        errors = _check_name(owner, "name", self.name)
         digest_ok = not self.credential or re.fullmatch(r"[0-9a-f]{64}", str(self.credential))
-        _fault(not digest_ok, f"{owner}: credential must be a SHA-256 hex digest", faults)
-        faults += _number_fault(owner, "max_in_flight", self.max_in_flight, 1, 1_000_000)
-        faults += _number_fault(owner, "weight", self.weight, 0.01, 1000)
-        faults += _number_fault(owner, "priority", self.priority, 0, MAX_PRIORITY)
-        _raise_if_any(faults)
+        _add_error_if(not digest_ok, f"{owner}: credential must be a SHA-256 hex digest", errors)
+        errors += _check_number(owner, "max_in_flight", self.max_in_flight, 1, 1_000_000)
+        errors += _check_number(owner, "weight", self.weight, 0.01, 1000)
+        errors += _check_number(owner, "priority", self.priority, 0, MAX_PRIORITY)
+        _raise_if_invalid(errors)
 
 
 @dataclass(frozen=True)
 class Drain:
-    """An order that something gets no new work."""
+    """A drain: the target receives no new requests."""
 
     name: str
     kind: DrainKind
     target: str
 
     def __post_init__(self):
-        _fault_if_empty = [] if self.target else [f"drain {self.name}: target is empty"]
-        _raise_if_any(_fault_if_empty)
+        errors = [] if self.target else [f"drain {self.name}: target is empty"]
+        _raise_if_invalid(errors)
 
 
 OBJECT_TYPES: dict[ObjectKind, type] = {
@@ -268,7 +274,7 @@
 
 @dataclass(frozen=True)
 class Change:
-    """Who changed an object last, and in which revision."""
+    """Last change of an object: its revision and the operator who made it."""
 
     revision: int
     operator: str
@@ -276,14 +282,14 @@
 
 @dataclass(frozen=True)
 class Configuration:
-    """All objects in force at one revision.
+    """All configuration objects of one revision.
 
     Parameters
     ----------
     objects : mapping of ObjectKind to mapping of str to object
         The objects by kind and name.
     changes : mapping of str to Change
-        Last change for each ``kind/name``, kept for deleted objects too.
+        Last change by ``kind/name``; entries of deleted objects are kept.
     """
 
     revision: int = 0
@@ -292,46 +298,46 @@
     objects: Mapping[ObjectKind, Mapping[str, ConfigurationObject]] = field(default_factory=dict)
     changes: Mapping[str, Change] = field(default_factory=dict)
 
-    def of(self, kind: ObjectKind) -> Mapping[str, ConfigurationObject]:
+    def objects_of(self, kind: ObjectKind) -> Mapping[str, ConfigurationObject]:
         """Return the objects of one kind by name."""
         return self.objects.get(kind, {})
 
-    def service(self, name: str) -> Service | None:
-        """Return a service by name."""
-        return self.of(ObjectKind.SERVICE).get(name)
+    def find_service(self, name: str) -> Service | None:
+        """Return the service with this name, or None."""
+        return self.objects_of(ObjectKind.SERVICE).get(name)
 
-    def route(self, name: str) -> Route | None:
-        """Return a route by name."""
-        return self.of(ObjectKind.ROUTE).get(name)
+    def find_route(self, name: str) -> Route | None:
+        """Return the route with this name, or None."""
+        return self.objects_of(ObjectKind.ROUTE).get(name)
 
-    def workspace(self, name: str) -> Workspace | None:
-        """Return a workspace by name."""
-        return self.of(ObjectKind.WORKSPACE).get(name)
+    def find_workspace(self, name: str) -> Workspace | None:
+        """Return the workspace with this name, or None."""
+        return self.objects_of(ObjectKind.WORKSPACE).get(name)
 
-    def move_of(self, service: str) -> Move | None:
-        """Return the move of a service, if one is under way."""
-        moves = self.of(ObjectKind.MOVE).values()
+    def find_move(self, service: str) -> Move | None:
+        """Return the move of a service, or None if it is not being moved."""
+        moves = self.objects_of(ObjectKind.MOVE).values()
         return next((move for move in moves if move.service == service), None)
 
-    def drained(self, kind: DrainKind) -> frozenset[str]:
-        """Return the targets of one kind that are being drained."""
-        return self._drained_targets[kind]
+    def drained_targets(self, kind: DrainKind) -> frozenset[str]:
+        """Return the targets of one kind that have a drain."""
+        return self._targets_by_drain_kind[kind]
 
     @cached_property
-    def _drained_targets(self) -> dict[DrainKind, frozenset[str]]:
-        drains = self.of(ObjectKind.DRAIN).values()
+    def _targets_by_drain_kind(self) -> dict[DrainKind, frozenset[str]]:
+        drains = self.objects_of(ObjectKind.DRAIN).values()
         return {
             kind: frozenset(drain.target for drain in drains if drain.kind is kind)
             for kind in DrainKind
         }
 
 
-def _field_names(cls: type) -> dict[str, dataclasses.Field]:
+def _fields_by_name(cls: type) -> dict[str, dataclasses.Field]:
     return {each.name: each for each in dataclasses.fields(cls)}
 
 
-def _coerce(owner: str, each: dataclasses.Field, value: Any) -> Any:
-    """Turn a JSON value into the field's type."""
+def _convert_value(owner: str, each: dataclasses.Field, value: Any) -> Any:
+    """Return a JSON value converted to the type of the field."""
     if isinstance(each.type, type) and issubclass(each.type, Enum):
         try:
             return each.type(value)
@@ -353,14 +359,14 @@
 
 
 def make_object(kind: ObjectKind, values: Mapping[str, Any]) -> ConfigurationObject:
-    """Make and check one object.
+    """Create and validate one configuration object.
 
     Parameters
     ----------
     kind : ObjectKind
-        What to make.
+        Kind of the object.
     values : mapping
-        Field values as they come from JSON or the command language.
+        Field values as read from JSON or parsed from the command language.
 
     Raises
     ------
@@ -368,7 +374,7 @@
         If a field is unknown, missing or out of range.
     """
     cls = OBJECT_TYPES[kind]
-    fields = _field_names(cls)
+    fields = _fields_by_name(cls)
     owner = f"{kind.value} {values.get('name', '?')}"
     unknown = sorted(set(values) - set(fields))
     if unknown:
@@ -381,7 +387,9 @@
     ]
     if missing:
         raise ConfigurationError((f"{owner}: {missing[0]} is missing",))
-    return cls(**{name: _coerce(owner, fields[name], value) for name, value in values.items()})
+    return cls(
+        **{name: _convert_value(owner, fields[name], value) for name, value in values.items()}
+    )
 
 
 def _object_to_json(item: ConfigurationObject) -> dict[str, Any]:
@@ -389,13 +397,13 @@
 
 
 def configuration_to_json(cfg: Configuration) -> dict[str, Any]:
-    """Return a configuration as JSON values."""
+    """Return a configuration as JSON-serializable values."""
     return {
         "revision": cfg.revision,
         "operator": cfg.operator,
         "operation": cfg.operation,
         "objects": {
-            kind.value: [_object_to_json(item) for item in cfg.of(kind).values()]
+            kind.value: [_object_to_json(item) for item in cfg.objects_of(kind).values()]
             for kind in ObjectKind
         },
         "changes": {key: [item.revision, item.operator] for key, item in cfg.changes.items()},
@@ -403,7 +411,7 @@
 
 
 def configuration_from_json(data: Mapping[str, Any]) -> Configuration:
-    """Return the configuration that `configuration_to_json` was given."""
+    """Return the configuration from the output of `configuration_to_json`."""
     objects = {
         kind: {
             values["name"]: make_object(kind, values)
--- a/flamingofront/version/query.py
+++ b/flamingofront/version/query.py
@@ -1,4 +1,4 @@
-"""Answer queries: a pipeline of generators over rows."""
+"""Evaluation of queries as a pipeline of generators over rows."""
 
 import operator
 from collections.abc import Callable, Iterable, Iterator, Mapping
@@ -10,7 +10,7 @@
 __all__ = ["run_query"]
 
 TableRow = Mapping[str, Any]
-UNKNOWN_TEXT = "-"
+MISSING_TEXT = "-"
 _COMPARE: dict[str, Callable[[Any, Any], bool]] = {
     "=": operator.eq,
     "!=": operator.ne,
@@ -22,54 +22,56 @@
 
 
 def run_query(query: Query, rows: Iterable[TableRow], columns: tuple[str, ...]) -> list[TableRow]:
-    """Return the rows that a query asks for.
+    """Return the rows that match a query, ordered, limited and reduced to its fields.
 
     Parameters
     ----------
     columns : tuple of str
-        Fields that the rows of this subject have.
+        Names of all fields of the query's subject.
 
     Raises
     ------
     CommandError
-        If the query names a field that the subject lacks.
+        If the query uses a field that the subject does not have.
     """
-    used = [each.field for each in query.filters] + list(query.fields)
-    used += [query.order] if query.order else []
-    for name in used:
+    used_fields = [each.field for each in query.filters] + list(query.fields)
+    used_fields += [query.order] if query.order else []
+    for name in used_fields:
         if name not in columns:
             raise CommandError(
                 f"{query.subject} has no field {name!r}; fields are {', '.join(columns)}"
             )
-    selected = _where(rows, query.filters)
-    ordered = _order(selected, query.order, query.descending)
-    limited = _limit(ordered, query.limit)
-    return list(_project(limited, query.fields or columns))
+    selected = _filter_rows(rows, query.filters)
+    ordered = _sort_rows(selected, query.order, query.descending)
+    limited = _limit_rows(ordered, query.limit)
+    return list(_select_fields(limited, query.fields or columns))
 
 
-def _where(rows: Iterable[TableRow], filters: tuple[Filter, ...]) -> Iterator[TableRow]:
-    return (row for row in rows if all(_holds(row.get(each.field), each) for each in filters))
+def _filter_rows(rows: Iterable[TableRow], filters: tuple[Filter, ...]) -> Iterator[TableRow]:
+    return (
+        row for row in rows if all(_matches_filter(row.get(each.field), each) for each in filters)
+    )
 
 
-def _holds(value: Any, condition: Filter) -> bool:
+def _matches_filter(value: Any, condition: Filter) -> bool:
     if value is None:
-        return _holds_unknown(condition)
+        return _matches_missing(condition)
     if condition.operator == "~":
         return condition.value in str(value)
-    left, right = _comparable(value, condition.value)
+    left, right = _convert_operands(value, condition.value)
     return _COMPARE[condition.operator](left, right)
 
 
-def _holds_unknown(condition: Filter) -> bool:
-    """Judge a value that is not known: it equals only ``-`` and has no place in an order."""
-    is_unknown = condition.value == UNKNOWN_TEXT
+def _matches_missing(condition: Filter) -> bool:
+    """Return True if a missing value matches: it equals only ``-`` and no ordering applies."""
+    compares_missing = condition.value == MISSING_TEXT
     if condition.operator == "=":
-        return is_unknown
-    return condition.operator == "!=" and not is_unknown
+        return compares_missing
+    return condition.operator == "!=" and not compares_missing
 
 
-def _comparable(value: Any, text: str) -> tuple[Any, Any]:
-    """Compare as numbers where both sides are numbers, as texts elsewhere."""
+def _convert_operands(value: Any, text: str) -> tuple[Any, Any]:
+    """Return both operands as numbers if both are numeric, as strings otherwise."""
     if isinstance(value, bool):
         return str(value).lower(), text.lower()
     if isinstance(value, int | float):
@@ -86,23 +88,23 @@
     return 1, 0.0, str(value)
 
 
-def _order(rows: Iterable[TableRow], name: str, descending: bool) -> Iterable[TableRow]:
+def _sort_rows(rows: Iterable[TableRow], name: str, descending: bool) -> Iterable[TableRow]:
     if not name:
         return rows
-    known, unknown = [], []
+    present, missing = [], []
     for row in rows:
-        (unknown if row.get(name) is None else known).append(row)
-    known.sort(key=lambda row: _sort_key(row[name]), reverse=descending)
-    return known + unknown
+        (missing if row.get(name) is None else present).append(row)
+    present.sort(key=lambda row: _sort_key(row[name]), reverse=descending)
+    return present + missing
 
 
-def _limit(rows: Iterable[TableRow], limit: int | None) -> Iterator[TableRow]:
+def _limit_rows(rows: Iterable[TableRow], limit: int | None) -> Iterator[TableRow]:
     for count, row in enumerate(rows):
         if limit is not None and count >= limit:
             return
         yield row
 
 
-def _project(rows: Iterable[TableRow], names: tuple[str, ...]) -> Iterator[TableRow]:
+def _select_fields(rows: Iterable[TableRow], names: tuple[str, ...]) -> Iterator[TableRow]:
     for row in rows:
         yield {name: row.get(name) for name in names}
--- a/flamingofront/version/tests/test_commit.py
+++ b/flamingofront/version/tests/test_commit.py
@@ -1,4 +1,4 @@
-"""Acceptance of changes: races, lost answers and late writes against a simple oracle."""
+"""Tests of commits: races, lost responses and delayed writes, checked against a simple oracle."""
 
 import random
 from dataclasses import dataclass, field
@@ -15,43 +15,43 @@
 from flamingofront.process.logs import Log
 from flamingofront.process.timers import ManualClock, TimerService
 from flamingofront.standins.platform import TRANSACTION_PATH, PlatformStandIn
-from flamingofront.version.commit import CommitState, commit, settle
+from flamingofront.version.commit import CommitState, commit, settle_operation
 from flamingofront.version.language import parse
 from flamingofront.version.model import Configuration, configuration_from_json
 
 
-def documents():
+def make_document_store():
     return documents_at("127.0.0.1:1", 1.0, lambda: 0.0, Log("test"))
 
 
-class Answer(Exchange):
-    """Keeps the answer to one call."""
+class RecordingExchange(Exchange):
+    """Records the response to one call."""
 
     def respond(self, status, headers, body):
         self.response = WholeResponse(status, {}, body)
 
     def begin(self, status, headers):
-        raise AssertionError("the store does not stream")
+        raise AssertionError("the store does not stream responses")
 
     send = finish = abort = begin
 
 
 class Table:
-    """The table service, called directly."""
+    """Table service stand-in that is called without a network."""
 
     def __init__(self):
         self.clock = ManualClock()
         self.standin = PlatformStandIn(TimerService(self.clock))
 
     def serve(self, call: OutboundCall) -> WholeResponse:
-        self.clock.time += 1.0  # keeps the rate limit out of these tests
+        self.clock.time += 1.0  # refills the rate limit, so that it does not affect these tests
         path, _, query = call.path.partition("?")
-        answer = Answer()
+        exchange = RecordingExchange()
         req = InboundRequest(call.method, path, dict(parse_qsl(query)), {}, call.body)
-        self.standin.handle(req, answer)
-        return answer.response
+        self.standin.handle(req, exchange)
+        return exchange.response
 
-    def operation(self, operation):
+    def operation_row(self, operation):
         row = self.standin.rows.get(f"config/operation/{operation}")
         return None if row is None else row[0]
 
@@ -60,11 +60,11 @@
         return Configuration() if row is None else configuration_from_json(row[0])
 
 
-def task_of(text, operation, base, operator="ops", budget=3.0, clock=None):
+def commit_task(text, operation, base, operator="ops", budget=3.0, clock=None):
     edits = parse(text).edits
     now = clock or (lambda: 0.0)
     return commit(
-        documents(),
+        make_document_store(),
         edits,
         base,
         operator,
@@ -75,77 +75,77 @@
     )
 
 
-def run_task(table, task, lose=()):
-    """Run a task to its end; `lose` holds numbers of writes whose answer is lost."""
+def run_task(table, task, lost_writes=()):
+    """Run a task to its end; the responses of `lost_writes` (numbers from 1) are lost."""
     reply, writes = None, 0
     try:
         while True:
-            wanted = task.send(reply)
-            if isinstance(wanted, Sleep):
+            call = task.send(reply)
+            if isinstance(call, Sleep):
                 reply = None
                 continue
-            reply = table.serve(wanted)
-            if wanted.path == TRANSACTION_PATH:
+            reply = table.serve(call)
+            if call.path == TRANSACTION_PATH:
                 writes += 1
-                if writes in lose:
+                if writes in lost_writes:
                     reply = CallFailed("reset", True)
     except StopIteration as exc:
         return exc.value
 
 
 class TestCommit:
-    def test_revisions_follow_one_another(self):
+    def test_revisions_are_consecutive(self):
         table = Table()
         for number in range(1, 4):
             text = f"create workspace w{number}"
-            outcome = run_task(table, task_of(text, f"op{number}", number - 1))
+            outcome = run_task(table, commit_task(text, f"op{number}", number - 1))
             assert (outcome.state, outcome.revision) == (CommitState.ACCEPTED, number)
 
-    def test_lost_answer_is_settled_by_the_operation_id(self):
+    def test_outcome_is_read_by_operation_id_after_a_lost_response(self):
         table = Table()
-        outcome = run_task(table, task_of("create workspace w", "op", 0), lose={1})
+        outcome = run_task(table, commit_task("create workspace w", "op", 0), lost_writes={1})
         assert (outcome.state, outcome.revision) == (CommitState.ACCEPTED, 1)
         assert table.configuration().revision == 1
 
     @pytest.mark.parametrize("reads", range(4))
-    def test_own_late_write_is_not_taken_for_another_operators(self, reads):
-        """The write takes effect between two reads of the next try."""
+    def test_own_delayed_write_is_not_reported_as_a_conflict(self, reads):
+        """A delayed write takes effect between two reads of the next attempt."""
         table = Table()
-        run_task(table, task_of("create workspace w", "op0", 0))
-        task = task_of("change workspace w weight=2", "op1", 1)
-        late = task.send(None)
-        while late.path != TRANSACTION_PATH:
-            late = task.send(table.serve(late))
-        wanted = task.send(CallFailed("timeout", True))
-        assert isinstance(wanted, Sleep)
-        wanted = task.send(None)
+        run_task(table, commit_task("create workspace w", "op0", 0))
+        task = commit_task("change workspace w weight=2", "op1", 1)
+        delayed = task.send(None)
+        while delayed.path != TRANSACTION_PATH:
+            delayed = task.send(table.serve(delayed))
+        call = task.send(CallFailed("timeout", True))
+        assert isinstance(call, Sleep)
+        call = task.send(None)
         for _ in range(reads):
-            wanted = task.send(table.serve(wanted))
-        assert table.serve(late).status == 200
+            call = task.send(table.serve(call))
+        assert table.serve(delayed).status == 200
         with pytest.raises(StopIteration) as ended:
             while True:
-                reply = None if isinstance(wanted, Sleep) else table.serve(wanted)
-                wanted = task.send(reply)
+                reply = None if isinstance(call, Sleep) else table.serve(call)
+                call = task.send(reply)
         outcome = ended.value.value
         assert (outcome.state, outcome.revision) == (CommitState.ACCEPTED, 2)
 
-    def test_loser_of_a_race_is_told_the_winner(self):
+    def test_conflict_reports_the_committed_change(self):
         table = Table()
-        run_task(table, task_of("create workspace w", "op0", 0))
-        run_task(table, task_of("change workspace w weight=2", "op1", 1, operator="anna"))
-        outcome = run_task(table, task_of("change workspace w weight=3", "op2", 1))
+        run_task(table, commit_task("create workspace w", "op0", 0))
+        run_task(table, commit_task("change workspace w weight=2", "op1", 1, operator="anna"))
+        outcome = run_task(table, commit_task("change workspace w weight=3", "op2", 1))
         assert outcome.state is CommitState.CONFLICT
         assert (outcome.revision, outcome.operator) == (2, "anna")
 
     def test_changes_of_different_objects_do_not_conflict(self):
         table = Table()
         for name in ("v", "w"):
-            run_task(table, task_of(f"create workspace {name}", f"op{name}", 1))
+            run_task(table, commit_task(f"create workspace {name}", f"op{name}", 1))
         assert table.configuration().revision == 2
 
-    def test_refused_change_names_each_fault_and_changes_nothing(self):
+    def test_rejected_change_lists_errors_and_changes_nothing(self):
         table = Table()
-        outcome = run_task(table, task_of("create route r service=missing", "op", 0))
+        outcome = run_task(table, commit_task("create route r service=missing", "op", 0))
         assert outcome.state is CommitState.REFUSED
         assert outcome.faults == ("route r: service 'missing' does not exist",)
         assert table.configuration().revision == 0
@@ -153,60 +153,62 @@
     def test_repeated_operation_is_applied_once(self):
         table = Table()
         for _ in range(2):
-            outcome = run_task(table, task_of("create workspace w", "op", 0))
+            outcome = run_task(table, commit_task("create workspace w", "op", 0))
             assert (outcome.state, outcome.revision) == (CommitState.ACCEPTED, 1)
 
-    def test_settled_as_abandoned_never_takes_effect(self):
+    def test_abandoned_operation_never_takes_effect(self):
         table = Table()
-        task = task_of("create workspace w", "op", 0)
-        late = task.send(None)
-        while late.path != TRANSACTION_PATH:
-            late = task.send(table.serve(late))
-        outcome = run_task(table, settle(documents(), "op", "ops", random.Random(1)))
+        task = commit_task("create workspace w", "op", 0)
+        delayed = task.send(None)
+        while delayed.path != TRANSACTION_PATH:
+            delayed = task.send(table.serve(delayed))
+        outcome = run_task(
+            table, settle_operation(make_document_store(), "op", "ops", random.Random(1))
+        )
         assert outcome.state is CommitState.ABANDONED
-        assert table.serve(late).status == 412
+        assert table.serve(delayed).status == 412
         assert table.configuration().revision == 0
 
 
 @dataclass
-class Running:
+class CommitRun:
     task: object
     operation: str
     object_name: str
     base: int
-    wanted: object = None
+    call: object = None
     outcome: object = None
     late: list = field(default_factory=list)
 
 
 class CommitFuzz(RuleBasedStateMachine):
-    """Several operators at once; any answer may be lost, any write may arrive late.
+    """Concurrent operators; any response may be lost and any write may be delayed.
 
-    The oracle is the table's own list of operations that took effect.
+    The oracle is the list of committed operations in the table.
     """
 
     @initialize()
-    def begin(self):
+    def create_table(self):
         self.table = Table()
         self.now = 0.0
-        self.running: list[Running] = []
-        self.late = []
+        self.running: list[CommitRun] = []
+        self.delayed_writes = []
         self.count = 0
 
     @rule(name=st.sampled_from(["v", "w"]), stale=st.integers(0, 2))
-    def operator_gives_a_command(self, name, stale):
+    def start_commit(self, name, stale):
         self.count += 1
         operation = f"op{self.count}"
         base = max(0, self.table.configuration().revision - stale)
         text = f"put workspace {name} max_in_flight={self.count}"
-        task = task_of(text, operation, base, operation, 3.0, lambda: self.now)
-        run = Running(task, operation, name, base)
+        task = commit_task(text, operation, base, operation, 3.0, lambda: self.now)
+        run = CommitRun(task, operation, name, base)
         self.running.append(run)
-        self.advance(run, None)
+        self.send_reply(run, None)
 
-    def advance(self, run, reply):
+    def send_reply(self, run, reply):
         try:
-            run.wanted = run.task.send(reply)
+            run.call = run.task.send(reply)
         except StopIteration as exc:
             run.outcome = exc.value
 
@@ -214,34 +216,34 @@
         index=st.integers(0, 5),
         fate=st.sampled_from(["served", "served", "served", "lost", "answer lost", "late"]),
     )
-    def step(self, index, fate):
+    def process_next_call(self, index, fate):
         open_runs = [each for each in self.running if each.outcome is None]
         if not open_runs:
             return
         run = open_runs[index % len(open_runs)]
-        if isinstance(run.wanted, Sleep):
-            self.now += run.wanted.seconds
-            self.advance(run, None)
+        if isinstance(run.call, Sleep):
+            self.now += run.call.seconds
+            self.send_reply(run, None)
         elif fate == "served":
-            self.advance(run, self.table.serve(run.wanted))
+            self.send_reply(run, self.table.serve(run.call))
         else:
             if fate == "answer lost":
-                self.table.serve(run.wanted)
-            elif fate == "late" and run.wanted.path == TRANSACTION_PATH:
-                self.late.append(run.wanted)
-            self.advance(run, CallFailed("timeout", True))
+                self.table.serve(run.call)
+            elif fate == "late" and run.call.path == TRANSACTION_PATH:
+                self.delayed_writes.append(run.call)
+            self.send_reply(run, CallFailed("timeout", True))
 
     @rule()
-    def late_write_arrives(self):
-        if self.late:
-            self.table.serve(self.late.pop(0))
+    def deliver_delayed_write(self):
+        if self.delayed_writes:
+            self.table.serve(self.delayed_writes.pop(0))
 
     @rule(seconds=st.floats(0.1, 4.0))
-    def time_passes(self, seconds):
+    def advance_time(self, seconds):
         self.now += seconds
 
     @rule(index=st.integers(0, 5))
-    def operator_settles(self, index):
+    def settle_unknown_outcome(self, index):
         unknown = [
             each
             for each in self.running
@@ -249,40 +251,40 @@
         ]
         if unknown:
             run = unknown[index % len(unknown)]
-            task = settle(documents(), run.operation, "ops", random.Random(1))
+            task = settle_operation(make_document_store(), run.operation, "ops", random.Random(1))
             run.outcome = run_task(self.table, task)
 
-    def took_effect(self, run):
-        note = self.table.operation(run.operation)
-        return note is not None and note["state"] == "accepted"
+    def is_committed(self, run):
+        row = self.table.operation_row(run.operation)
+        return row is not None and row["state"] == "accepted"
 
     @invariant()
-    def operators_are_told_the_truth(self):
+    def reported_outcomes_are_correct(self):
         for run in getattr(self, "running", ()):
             if run.outcome is None or run.outcome.state is CommitState.UNKNOWN:
                 continue
             accepted = run.outcome.state is CommitState.ACCEPTED
-            assert accepted == self.took_effect(run), (run.operation, run.outcome)
+            assert accepted == self.is_committed(run), (run.operation, run.outcome)
             if accepted:
-                assert run.outcome.revision == self.table.operation(run.operation)["revision"]
+                assert run.outcome.revision == self.table.operation_row(run.operation)["revision"]
 
     @invariant()
     def each_revision_has_one_operation(self):
-        notes = [
+        revisions = [
             value["revision"]
             for key, (value, _) in getattr(self, "table", Table()).standin.rows.items()
             if key.startswith("config/operation/") and value["state"] == "accepted"
         ]
         revision = getattr(self, "table", Table()).configuration().revision
-        assert sorted(notes) == list(range(1, revision + 1))
+        assert sorted(revisions) == list(range(1, revision + 1))
 
     @invariant()
-    def one_of_two_with_the_same_view_of_an_object_wins(self):
-        wins = {}
+    def at_most_one_commit_per_base_revision_of_an_object(self):
+        accepted = {}
         for run in getattr(self, "running", ()):
             if run.outcome is not None and run.outcome.state is CommitState.ACCEPTED:
-                wins.setdefault(run.object_name, []).append((run.base, run.outcome.revision))
-        for pairs in wins.values():
+                accepted.setdefault(run.object_name, []).append((run.base, run.outcome.revision))
+        for pairs in accepted.values():
             pairs.sort(key=lambda pair: pair[1])
             for (_, earlier), (base, _) in zip(pairs, pairs[1:], strict=False):
                 assert base >= earlier
@@ -291,8 +293,8 @@
 TestCommitFuzz = CommitFuzz.TestCase
 
 
-class TestStoredForm:
-    def test_configuration_survives_its_json_form(self):
+class TestStoredFormat:
+    def test_configuration_is_unchanged_by_a_json_round_trip(self):
         table = Table()
         texts = (
             "create service s kind=plain 'non_repeatable=POST /c,PUT /d' slots=3",
@@ -302,7 +304,7 @@
             "drain zone z",
         )
         for number, text in enumerate(texts):
-            outcome = run_task(table, task_of(text, f"op{number}", number))
+            outcome = run_task(table, commit_task(text, f"op{number}", number))
             assert outcome.state is CommitState.ACCEPTED, outcome.faults
         assert table.configuration() == outcome.configuration
         orjson.dumps(table.standin.rows["config/document"][0])
--- a/flamingofront/version/tests/test_language.py
+++ b/flamingofront/version/tests/test_language.py
@@ -1,10 +1,10 @@
-"""The query and command language, and the configuration file."""
+"""Tests of the query and command language and of configuration files."""
 
 import pytest
 
 from flamingofront.errors import CommandError, ConfigurationError
 from flamingofront.version.edits import Edit, EditAction, apply_edits
-from flamingofront.version.files import statements_of
+from flamingofront.version.files import load_statements
 from flamingofront.version.language import Filter, Query, Settle, parse
 from flamingofront.version.model import Configuration, ObjectKind
 from flamingofront.version.query import run_query
@@ -17,12 +17,12 @@
 COLUMNS = ("name", "age", "zone")
 
 
-def names(text):
+def query_names(text):
     return [row["name"] for row in run_query(parse(text), ROWS, COLUMNS)]
 
 
 class TestQueries:
-    def test_all_clauses(self):
+    def test_parses_all_clauses(self):
         query = parse("show requests where age > 2 and zone=north fields name order by age desc")
         assert query == Query(
             "requests",
@@ -46,16 +46,16 @@
             ("show vms order by age limit 2", ["a", "b"]),
         ],
     )
-    def test_selection(self, text, expected):
-        assert names(text) == expected
+    def test_query_selects_rows(self, text, expected):
+        assert query_names(text) == expected
 
-    def test_unknown_field_is_named(self):
+    def test_unknown_field_is_rejected_with_its_name(self):
         with pytest.raises(CommandError, match="no field 'size'; fields are name, age, zone"):
-            names("show vms where size = 1")
+            query_names("show vms where size = 1")
 
 
 class TestCommands:
-    def test_values_get_the_type_of_their_field(self):
+    def test_values_are_converted_to_field_types(self):
         (edit,) = parse(
             "create service s kind=plain fencing=yes slots=4 non_repeatable='A /b'"
         ).edits
@@ -66,7 +66,7 @@
             {"kind": "plain", "fencing": True, "slots": 4, "non_repeatable": ["A /b"]},
         )
 
-    def test_settle(self):
+    def test_parses_settle(self):
         assert parse("settle op-1") == Settle("op-1")
 
     @pytest.mark.parametrize(
@@ -86,14 +86,14 @@
             ("change workspace w weight=1 weight=2", "given twice"),
         ],
     )
-    def test_error_names_what_is_wrong(self, text, message):
+    def test_malformed_statement_is_rejected_with_reason(self, text, message):
         with pytest.raises(CommandError, match=message):
             parse(text)
 
 
 class TestValidation:
     @pytest.mark.parametrize(
-        ("text", "fault"),
+        ("text", "message"),
         [
             ("create service S kind=plain", "name must be lower-case"),
             ("create service s kind=fish", "kind must be one of model, plain, got 'fish'"),
@@ -107,26 +107,26 @@
             ("change route r service=s", "route r does not exist"),
         ],
     )
-    def test_fault_names_the_field_and_the_value(self, text, fault):
-        with pytest.raises(ConfigurationError, match=fault):
+    def test_error_contains_field_and_value(self, text, message):
+        with pytest.raises(ConfigurationError, match=message):
             apply_edits(Configuration(), parse(text).edits, "ops", "op")
 
-    def test_all_faults_are_named_at_once(self):
+    def test_all_errors_are_reported_at_once(self):
         text = "create service s model=m slots=0 retry_ratio=-1"
         with pytest.raises(ConfigurationError) as caught:
             apply_edits(Configuration(), parse(text).edits, "ops", "op")
         assert len(caught.value.faults) == 2
 
 
-class TestFile:
-    def test_statements_parse_back(self):
+class TestConfigurationFile:
+    def test_statements_can_be_parsed(self):
         text = '[services.s]\nkind = "plain"\nnon_repeatable = ["POST /a b"]\nfencing = true\n'
-        (statement,) = statements_of(text)
+        (statement,) = load_statements(text)
         (edit,) = parse(statement).edits
         assert edit.values["non_repeatable"] == ["POST /a b"]
         assert edit.values["fencing"] is True
 
     @pytest.mark.parametrize("text", ["[cats.a]\nb = 1", "services = 1", "[services]\na = 1", "["])
-    def test_bad_file_is_an_error(self, text):
+    def test_malformed_file_is_rejected(self, text):
         with pytest.raises(CommandError):
-            statements_of(text)
+            load_statements(text)
