--- a/bench/platform_mutations.py
+++ b/bench/platform_mutations.py
@@ -203,7 +203,7 @@
     Mutation(
         "P an idle connection is closed behind what has arrived",
         "connection/server.py",
-        "        self._sockets.read_now(sock)\n",
+        "        self._sockets.read_available(sock)\n",
         "",
         SERVER,
     ),
@@ -217,7 +217,7 @@
     Mutation(
         "P bytes behind an answer end the connection",
         "connection/client.py",
-        "reusable = self._head.keep_alive and not self._unsent and not beyond",
+        "reusable = self._head.keep_alive and not self._unsent and not trailing",
         "reusable = self._head.keep_alive and not self._unsent",
         CLIENT,
     ),
--- a/bench/quarantine_mutations.py
+++ b/bench/quarantine_mutations.py
@@ -150,7 +150,7 @@
     Mutation(
         "Q an endpoint that still listens has not ended",
         "request/endpoint_ends.py",
-        "if reach is Reach.CONNECTED and not self._directory.is_replaced(endpoint_id):",
+        "if reach is ConnectResult.CONNECTED and not self._directory.is_replaced(endpoint_id):",
         "if False:",
         RECORDER,
     ),
--- a/flamingofront/connection/client.py
+++ b/flamingofront/connection/client.py
@@ -1,8 +1,8 @@
-"""HTTP client over circuits sockets: many calls at once, streamed or whole.
+"""Non-blocking HTTP client with concurrent calls and reuse of connections.
 
-The stock client of circuits.net spins while a connection is being made and owns one socket for each
-component; this one component owns all outgoing sockets, never blocks, and keeps idle connections
-for reuse (docs/DESIGN.md, "Outgoing calls").
+The client of circuits.net busy-waits while it connects and needs one component per socket. This
+component owns all outgoing sockets and keeps idle connections for reuse (docs/DESIGN.md,
+"Outgoing calls").
 """
 
 import errno
@@ -15,8 +15,8 @@
 from circuits import BaseComponent
 from circuits.core.utils import findcmp
 
-from flamingofront.connection.framing import BodyDecoder, Head, HeadBuffer, response_decoder
-from flamingofront.connection.interfaces import CallEvent, CallHandle, Reach, Transport
+from flamingofront.connection.framing import BodyDecoder, Head, HeadBuffer, create_response_decoder
+from flamingofront.connection.interfaces import CallEvent, CallHandle, ConnectResult, Transport
 from flamingofront.connection.poller import READ, WRITE, DirectPoller, SocketOwner
 from flamingofront.errors import RequestError
 from flamingofront.messages import (
@@ -32,29 +32,29 @@
 
 READ_BYTES = 64 * 1024
 MAX_RESPONSE_HEAD_BYTES = 64 * 1024
-MAX_IDLE_PER_ADDRESS = 16
-IDLE_SECONDS = 20.0
-# A kept connection is given up this long before the time that the target announced, so that a call
-# does not cross the target's close: about twice the slowest round trip plus the coarseness of the
-# announcement, which is in whole seconds.
-IDLE_MARGIN_SECONDS = 1.0
-# A silent target (no power, partition) is noticed after about two seconds instead of never; callers
-# of streams leave after two seconds of silence.
+MAX_IDLE_CONNECTIONS_PER_ADDRESS = 16
+IDLE_TIMEOUT_SECONDS = 20.0
+# An idle connection is closed this long before the keep-alive timeout of the target, so that no
+# call is sent while the target closes: about twice the slowest round trip plus the resolution of
+# the announced timeout, which is in whole seconds.
+KEEPALIVE_MARGIN_SECONDS = 1.0
+# An unresponsive target (VM down, partition) is detected after about two seconds instead of never;
+# callers of streams disconnect after two seconds without data.
 USER_TIMEOUT_MS = 2000
-KEEP_ALIVE_SECONDS = 1
-KEEP_ALIVE_PROBES = 2
+KEEPALIVE_INTERVAL_SECONDS = 1
+KEEPALIVE_PROBE_COUNT = 2
 _RESET_ON_CLOSE = struct.pack("ii", 1, 0)
 _KEEP_ALIVE_TIMEOUT = re.compile(r"timeout=(\d{1,6})")
 BODILESS_METHODS = ("GET", "HEAD")
 _IN_PROGRESS = (errno.EINPROGRESS, errno.EWOULDBLOCK, errno.EALREADY)
 
 
-def _connect_reason(code: int) -> str:
-    """Return why a connection does not stand, by the error of its socket."""
+def _get_connect_failure(code: int) -> str:
+    """Return the `CallFailed` reason for a socket error while connecting."""
     return "refused" if code == errno.ECONNREFUSED else "connect"
 
 
-def _request_bytes(call: OutboundCall) -> bytes:
+def _encode_request(call: OutboundCall) -> bytes:
     lines = [f"{call.method} {call.path} HTTP/1.1", f"Host: {call.host or call.address}"]
     lines += [f"{name}: {value}" for name, value in call.headers]
     if call.body or call.method not in BODILESS_METHODS:
@@ -62,66 +62,66 @@
     return ("\r\n".join(lines) + "\r\n\r\n").encode("latin-1", "replace") + call.body
 
 
-def _notice_silence(sock: socket.socket) -> None:
-    """Let the kernel reset the connection when its peer has fallen silent."""
+def _enable_keepalive(sock: socket.socket) -> None:
+    """Enable TCP keep-alive, so that the kernel resets a connection to an unresponsive peer."""
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
-    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, KEEP_ALIVE_SECONDS)
-    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, KEEP_ALIVE_SECONDS)
-    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPCNT, KEEP_ALIVE_PROBES)
+    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, KEEPALIVE_INTERVAL_SECONDS)
+    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, KEEPALIVE_INTERVAL_SECONDS)
+    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPCNT, KEEPALIVE_PROBE_COUNT)
 
 
-def _idle_seconds(head: Head) -> float:
-    """Return how long a connection may be kept, by what the target announced."""
+def _get_idle_timeout(head: Head) -> float:
+    """Return the seconds to keep an idle connection, given the target's Keep-Alive header."""
     match = _KEEP_ALIVE_TIMEOUT.search(head.headers.get("keep-alive", ""))
     if match is None:
-        return IDLE_SECONDS
-    return min(IDLE_SECONDS, float(match.group(1)) - IDLE_MARGIN_SECONDS)
+        return IDLE_TIMEOUT_SECONDS
+    return min(IDLE_TIMEOUT_SECONDS, float(match.group(1)) - KEEPALIVE_MARGIN_SECONDS)
 
 
-def _longest_silence(call: OutboundCall) -> float:
-    """Return the seconds after which a response that has begun is given up, 0 for none."""
+def _get_stall_timeout(call: OutboundCall) -> float:
+    """Return the seconds without data after which a started response fails, 0 for no limit."""
     if call.stall_timeout is not None:
         return call.stall_timeout
     return call.timeout if call.stream else 0.0
 
 
 class _Call(CallHandle):
-    """One call: its listener, its timer and the response read so far."""
+    """One call with its listener, its timeout and its connection."""
 
     def __init__(self, call: OutboundCall, listener: Callable[[CallEvent], None]):
         self.call = call
         self.listener: Callable[[CallEvent], None] | None = listener
         self.conn: _ClientConnection | None = None
         self.timer: Timer | None = None
-        # When data of the response came last.
-        self.heard_at: float | None = None
+        # Time of the last data of the response body.
+        self.last_data_at: float | None = None
         self.reused = False
         self._wrote = False
 
     @property
     def wrote(self) -> bool:
-        """False only while no byte has been given to the network."""
+        """True if bytes of the request may have been sent; if False, none was sent."""
         return self._wrote
 
     def mark_written(self) -> None:
-        """Note that a byte may have reached the target."""
+        """Record that bytes of the request may have been sent."""
         self._wrote = True
 
     def cancel(self) -> None:
-        """Give the call up without a further event."""
+        """Cancel the call without a further event."""
         self.listener = None
         if self.timer is not None:
             self.timer.cancel()
         if self.conn is not None:
             self.conn.close()
 
-    def tell(self, event: CallEvent) -> None:
-        """Pass an event on, unless the call was given up."""
+    def deliver(self, event: CallEvent) -> None:
+        """Pass an event to the listener, unless the call was cancelled."""
         if self.listener is not None:
             self.listener(event)
 
-    def end(self, event: CallEvent) -> None:
-        """Pass the last event on; the connection may carry another call from now on."""
+    def finish(self, event: CallEvent) -> None:
+        """Pass the last event to the listener and detach the call from its connection."""
         self.conn = None
         if self.timer is not None:
             self.timer.cancel()
@@ -131,7 +131,7 @@
 
 
 class _ClientConnection:
-    """One outgoing socket; carries one call at a time."""
+    """Outgoing connection that carries one call at a time."""
 
     def __init__(self, client: "HTTPClient", address: str):
         self._client = client
@@ -139,7 +139,7 @@
         self.sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
         self.sock.setblocking(False)
         self.sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        _notice_silence(self.sock)
+        _enable_keepalive(self.sock)
         self.connected = False
         self.closed = False
         self.idle_timer: Timer | None = None
@@ -148,40 +148,40 @@
         self._unsent = b""
 
     def connect(self) -> None:
-        """Begin to connect; the socket becomes writable when that is done."""
+        """Start to connect; the socket becomes writable when the connection is established."""
         host, _, port = self.address.rpartition(":")
         code = self.sock.connect_ex((host, int(port)))
         if code and code not in _IN_PROGRESS:
-            self._client.timers.once(0.0, lambda: self.fail(_connect_reason(code)))
+            self._client.timers.once(0.0, lambda: self.fail(_get_connect_failure(code)))
             return
         self._client.watch(self, WRITE)
         if self._call is not None and self._call.call.connect_timeout is not None:
             seconds = self._call.call.connect_timeout
-            self._connect_timer = self._client.timers.once(seconds, self._connect_late)
+            self._connect_timer = self._client.timers.once(seconds, self._on_connect_timeout)
 
-    def _connect_late(self) -> None:
+    def _on_connect_timeout(self) -> None:
         if not self.connected:
             self.fail("connect")
 
-    def carry(self, call: _Call) -> None:
-        """Take a call over and send it as soon as the connection stands."""
+    def start_call(self, call: _Call) -> None:
+        """Assign a call and send its request once the connection is established."""
         self._call = call
         call.conn = self
-        self._limit_silence(call.call.silence_timeout)
+        self._set_user_timeout(call.call.silence_timeout)
         self._heads = HeadBuffer(is_request=False, max_bytes=MAX_RESPONSE_HEAD_BYTES)
         self._head: Head | None = None
         self._decoder: BodyDecoder | None = None
-        self._unsent = _request_bytes(call.call)
+        self._unsent = _encode_request(call.call)
         if self.connected:
-            self.writable()
+            self.on_writable()
 
-    def _limit_silence(self, seconds: float | None) -> None:
-        """Set after how long the system gives up what the target does not acknowledge."""
+    def _set_user_timeout(self, seconds: float | None) -> None:
+        """Set the time until the kernel resets the connection if sent bytes are unacknowledged."""
         limit = USER_TIMEOUT_MS if seconds is None else int(seconds * 1000)
         self.sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, limit)
 
-    def writable(self) -> None:
-        """Send what is unsent."""
+    def on_writable(self) -> None:
+        """Send the remaining bytes of the request."""
         if not self.connected and not self._finish_connect():
             return
         if not self._unsent:
@@ -201,22 +201,22 @@
     def _finish_connect(self) -> bool:
         code = self.sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)
         if code:
-            self.fail(_connect_reason(code))
+            self.fail(_get_connect_failure(code))
             return False
         self.connected = True
         if self._connect_timer is not None:
             self._connect_timer.cancel()
         return True
 
-    def broken(self) -> None:
-        """Take note that the socket failed."""
+    def on_socket_error(self) -> None:
+        """Handle an error of the socket."""
         if self.connected:
-            self.readable()
+            self.on_readable()
         else:
             self._finish_connect()
 
-    def readable(self) -> None:
-        """Read and pass on what has arrived."""
+    def on_readable(self) -> None:
+        """Read received bytes and pass them to the call."""
         try:
             data = self.sock.recv(READ_BYTES)
         except BlockingIOError:
@@ -225,41 +225,43 @@
             self.fail("reset")
             return
         if not data:
-            self._ended_by_peer()
+            self._on_peer_close()
         elif self._call is None:
             self.close()
         else:
-            self._parse(data)
+            self._parse_response(data)
 
-    def _ended_by_peer(self) -> None:
-        if self._decoder_allows_end():
+    def _on_peer_close(self) -> None:
+        if self._is_complete_at_close():
             call, self._call = self._call, None
             self.close()
-            call.end(ResponseEnd())
+            call.finish(ResponseEnd())
         else:
             self.fail("reset")
 
-    def _decoder_allows_end(self) -> bool:
-        return self._call is not None and self._head is not None and self._decoder.end_of_stream()
+    def _is_complete_at_close(self) -> bool:
+        return (
+            self._call is not None and self._head is not None and self._decoder.can_end_at_close()
+        )
 
-    def _parse(self, data: bytes) -> None:
+    def _parse_response(self, data: bytes) -> None:
         call = self._call
         try:
             if self._head is None and not self._parse_head(data):
                 return
-            data = self._rest if self._rest is not None else data
-            self._rest = None
-            body, beyond = self._decoder.feed(data)
+            data = self._after_head if self._after_head is not None else data
+            self._after_head = None
+            body, trailing = self._decoder.feed(data)
         except RequestError:
             self.fail("framing")
             return
         if body:
             self._client.renew_timeout(call)
-            call.tell(ResponseData(body))
+            call.deliver(ResponseData(body))
         if self._decoder.complete and self._call is call:
-            self._finish_call(beyond)
+            self._finish_call(trailing)
 
-    _rest: bytes | None = None
+    _after_head: bytes | None = None
 
     def _parse_head(self, data: bytes) -> bool:
         while True:
@@ -270,49 +272,51 @@
             if not 100 <= head.status < 200:
                 break
         self._head = head
-        self._rest = data
-        self._decoder = response_decoder(head, self._call.call.method)
-        self._call.tell(ResponseHead(head.status, head.headers, head.fields))
+        self._after_head = data
+        self._decoder = create_response_decoder(head, self._call.call.method)
+        self._call.deliver(ResponseHead(head.status, head.headers, head.fields))
         return self._call is not None
 
-    def _finish_call(self, beyond: bytes) -> None:
-        """End the call; keep the connection if nothing is left unsent or was sent beyond."""
+    def _finish_call(self, trailing: bytes) -> None:
+        """End the call; keep the connection unless bytes are unsent or follow the response."""
         call, self._call = self._call, None
-        idle_seconds = _idle_seconds(self._head)
-        reusable = self._head.keep_alive and not self._unsent and not beyond
-        if reusable and idle_seconds > 0:
-            self._client.keep(self, idle_seconds)
+        idle_timeout = _get_idle_timeout(self._head)
+        reusable = self._head.keep_alive and not self._unsent and not trailing
+        if reusable and idle_timeout > 0:
+            self._client.keep_idle(self, idle_timeout)
         else:
             self.close()
-        call.end(ResponseEnd())
+        call.finish(ResponseEnd())
 
     def fail(self, reason: str) -> None:
-        """Close and tell the call that it failed."""
+        """Close the connection and report the failure to its call."""
         call = self._call
         self.close()
         if call is not None:
-            call.end(CallFailed(reason, call.wrote, call.reused))
+            call.finish(CallFailed(reason, call.wrote, call.reused))
 
     def close(self) -> None:
-        """Close the socket; a second call has no effect."""
+        """Close the connection; further calls have no effect."""
         if self.closed:
             return
         self.closed = True
         if self._call is not None:
-            # Nothing that is still unsent may arrive after the call was given up.
+            # A reset discards unsent bytes, so that none arrives after the call was cancelled.
             self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, _RESET_ON_CLOSE)
         self._call = None
         for timer in (self.idle_timer, self._connect_timer):
             if timer is not None:
                 timer.cancel()
-        self._client.forget(self)
+        self._client.remove_connection(self)
         self.sock.close()
 
 
 class _Probe:
-    """One connection that is opened only to learn whether a process listens there."""
+    """Connection that is opened only to check if a process listens at an address."""
 
-    def __init__(self, client: "HTTPClient", address: str, listener: Callable[[Reach], None]):
+    def __init__(
+        self, client: "HTTPClient", address: str, listener: Callable[[ConnectResult], None]
+    ):
         self._client = client
         self.address = address
         self._listener = listener
@@ -320,50 +324,52 @@
         self.sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
         self.sock.setblocking(False)
 
-    def begin(self, timeout: float) -> None:
-        """Begin to connect."""
+    def start(self, timeout: float) -> None:
+        """Start to connect."""
         host, _, port = self.address.rpartition(":")
         code = self.sock.connect_ex((host, int(port)))
         if code and code not in _IN_PROGRESS:
-            self._client.timers.once(0.0, lambda: self._end(_reach(code)))
+            self._client.timers.once(0.0, lambda: self._finish(_get_connect_result(code)))
             return
         self._client.watch(self, WRITE)
-        self._timer = self._client.timers.once(timeout, lambda: self._end(Reach.UNANSWERED))
+        self._timer = self._client.timers.once(
+            timeout, lambda: self._finish(ConnectResult.UNANSWERED)
+        )
 
-    def readable(self) -> None:
-        """Take note that the connection stands, or failed."""
-        self._end(_reach(self.sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)))
+    def on_readable(self) -> None:
+        """Report the result once the connection is established or has failed."""
+        self._finish(_get_connect_result(self.sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)))
 
-    writable = broken = readable
+    on_writable = on_socket_error = on_readable
 
-    def _end(self, reach: Reach) -> None:
+    def _finish(self, result: ConnectResult) -> None:
         if self._timer is not None:
             self._timer.cancel()
-        self._client.forget(self)
+        self._client.remove_connection(self)
         self.sock.close()
-        self._listener(reach)
+        self._listener(result)
 
 
-def _reach(code: int) -> Reach:
-    """Return what the error of a socket says of its target."""
+def _get_connect_result(code: int) -> ConnectResult:
+    """Return the probe result for a socket error code, 0 for none."""
     if code == errno.ECONNREFUSED:
-        return Reach.REFUSED
-    return Reach.UNANSWERED if code else Reach.CONNECTED
+        return ConnectResult.REFUSED
+    return ConnectResult.UNANSWERED if code else ConnectResult.CONNECTED
 
 
 class HTTPClient(BaseComponent, Transport, SocketOwner):
-    """Owner of all outgoing connections of a process.
+    """HTTP client that owns all outgoing connections of a process.
 
     Parameters
     ----------
     timers : TimerService
-        Source of the time-outs.
+        Timer service for timeouts.
 
     Attributes
     ----------
     max_idle : callable
-        Returns how many idle connections to an address are kept: targets limit their connections
-        over all callers, so a process's part shrinks as the processes grow in number.
+        Returns the maximum number of idle connections to an address. Targets limit the connections
+        of all callers together, so the share of one process shrinks as processes are added.
     """
 
     channel = "http-client"
@@ -371,39 +377,41 @@
     def __init__(self, timers: TimerService):
         super().__init__(channel="http-client")
         self.timers = timers
-        self.max_idle: Callable[[str], int] = lambda address: MAX_IDLE_PER_ADDRESS
+        self.max_idle: Callable[[str], int] = lambda address: MAX_IDLE_CONNECTIONS_PER_ADDRESS
         self._poller: DirectPoller | None = None
         self._connections: dict[socket.socket, _ClientConnection | _Probe] = {}
         self._idle: dict[str, deque[_ClientConnection]] = {}
 
     def start(self, call: OutboundCall, listener: Callable[[CallEvent], None]) -> CallHandle:
-        """Begin a call on an idle or a new connection.
+        """Start a call on an idle or a new connection.
 
         Notes
         -----
-        The target may be closing an idle connection at the very moment it is used again; the reset
-        then says nothing about execution. A call with `fresh` set avoids that doubt.
+        The target may close an idle connection while a request is being sent on it. The reset then
+        does not tell if the request was executed. A call with `fresh` set avoids this ambiguity.
         """
         handle = _Call(call, listener)
-        handle.timer = self.timers.once(call.timeout, lambda: self._timed_out(handle))
-        conn = None if call.fresh else self._take_idle(call.address)
+        handle.timer = self.timers.once(call.timeout, lambda: self._on_timeout(handle))
+        conn = None if call.fresh else self._pop_idle(call.address)
         if conn is None:
             conn = _ClientConnection(self, call.address)
             self._connections[conn.sock] = conn
-            conn.carry(handle)
+            conn.start_call(handle)
             conn.connect()
         else:
             handle.reused = True
-            conn.carry(handle)
+            conn.start_call(handle)
         return handle
 
-    def probe(self, address: str, timeout: float, listener: Callable[[Reach], None]) -> None:
-        """Open a connection, close it again, and tell what became of it."""
+    def probe(
+        self, address: str, timeout: float, listener: Callable[[ConnectResult], None]
+    ) -> None:
+        """Open a connection, close it, and pass the result to `listener`."""
         probe = _Probe(self, address, listener)
         self._connections[probe.sock] = probe
-        probe.begin(timeout)
+        probe.start(timeout)
 
-    def _take_idle(self, address: str) -> _ClientConnection | None:
+    def _pop_idle(self, address: str) -> _ClientConnection | None:
         idle = self._idle.get(address)
         while idle:
             conn = idle.pop()
@@ -412,8 +420,8 @@
                 return conn
         return None
 
-    def keep(self, conn: _ClientConnection, seconds: float) -> None:
-        """Keep a connection for the next call to its address, for some seconds."""
+    def keep_idle(self, conn: _ClientConnection, seconds: float) -> None:
+        """Keep an idle connection for reuse, at most for the given seconds."""
         idle = self._idle.setdefault(conn.address, deque())
         if len(idle) >= self.max_idle(conn.address):
             conn.close()
@@ -422,52 +430,56 @@
         conn.idle_timer = self.timers.once(seconds, conn.close, relaxed=True)
 
     def drop_idle(self, address: str) -> None:
-        """Close the idle connections to an address: whoever had it has gone.
+        """Close the idle connections to an address whose process has ended.
 
         Notes
         -----
-        A call on one of them would be reset, which leaves open whether it has run, or reach another
-        service that was given the address.
+        A call on one of them would be reset without showing if it was executed, or it would reach
+        another service that now uses the address.
         """
         for conn in tuple(self._idle.get(address, ())):
             conn.close()
 
-    def forget(self, conn: _ClientConnection | _Probe) -> None:
-        """Drop a connection that was closed."""
+    def remove_connection(self, conn: _ClientConnection | _Probe) -> None:
+        """Remove a connection that is being closed."""
         self._connections.pop(conn.sock, None)
         idle = self._idle.get(conn.address)
         if idle is not None and conn in idle:
             idle.remove(conn)
             if not idle:
                 del self._idle[conn.address]
-        self._find_poller().forget(conn.sock)
+        self._find_poller().unwatch(conn.sock)
 
     def renew_timeout(self, handle: _Call) -> None:
-        """Start the time-out anew where it bounds silence, not length.
+        """Restart the timeout of a call that limits the time without data.
 
         Notes
         -----
-        The timer itself is set anew only when it runs: one for each event would stay in the heap
-        of timers for the whole time-out, some hundreds at once.
+        The timer is rescheduled only when it fires. A new timer for each event would leave hundreds
+        of cancelled timers in the timer heap, each for the whole timeout.
         """
         stall_timeout = handle.call.stall_timeout
-        if stall_timeout is not None and handle.heard_at is None:
+        if stall_timeout is not None and handle.last_data_at is None:
             handle.timer.cancel()
-            handle.timer = self.timers.once(stall_timeout, lambda: self._timed_out(handle))
-        handle.heard_at = self.timers.now()
+            handle.timer = self.timers.once(stall_timeout, lambda: self._on_timeout(handle))
+        handle.last_data_at = self.timers.now()
 
-    def _timed_out(self, handle: _Call) -> None:
+    def _on_timeout(self, handle: _Call) -> None:
         if handle.conn is None or handle.conn.closed:
             return
-        silence = _longest_silence(handle.call)
-        left = 0.0 if handle.heard_at is None else handle.heard_at + silence - self.timers.now()
+        stall_timeout = _get_stall_timeout(handle.call)
+        left = (
+            0.0
+            if handle.last_data_at is None
+            else handle.last_data_at + stall_timeout - self.timers.now()
+        )
         if left > 0:
-            handle.timer = self.timers.once(left, lambda: self._timed_out(handle))
+            handle.timer = self.timers.once(left, lambda: self._on_timeout(handle))
         else:
             handle.conn.fail("timeout")
 
     def watch(self, conn: _ClientConnection | _Probe, mask: int) -> None:
-        """Watch a connection for data, for room to write, or both."""
+        """Watch a connection for the events in `mask`: `READ`, `WRITE` or both."""
         self._find_poller().watch(conn.sock, self, mask)
 
     def _find_poller(self) -> DirectPoller:
@@ -475,14 +487,14 @@
             self._poller = findcmp(self.root, DirectPoller)
         return self._poller
 
-    def readable(self, sock: socket.socket) -> None:
-        """Let a connection read what has arrived."""
-        self._connections[sock].readable()
+    def on_readable(self, sock: socket.socket) -> None:
+        """Let the connection of a socket read."""
+        self._connections[sock].on_readable()
 
-    def writable(self, sock: socket.socket) -> None:
-        """Let a connection send, or note that it stands."""
-        self._connections[sock].writable()
+    def on_writable(self, sock: socket.socket) -> None:
+        """Let the connection of a socket send, or finish connecting."""
+        self._connections[sock].on_writable()
 
-    def broken(self, sock: socket.socket) -> None:
-        """End a connection that failed."""
-        self._connections[sock].broken()
+    def on_socket_error(self, sock: socket.socket) -> None:
+        """Let the connection of a socket handle an error."""
+        self._connections[sock].on_socket_error()
--- a/flamingofront/connection/datagrams.py
+++ b/flamingofront/connection/datagrams.py
@@ -1,4 +1,4 @@
-"""One UDP socket over the circuits poller."""
+"""UDP socket that is served by the poller."""
 
 import socket
 from collections.abc import Callable
@@ -11,21 +11,21 @@
 __all__ = ["DatagramSocket"]
 
 MAX_DATAGRAM_BYTES = 60 * 1024
-# Datagrams read at one turn of the event loop, so that a flood cannot hold up requests.
+# Limits the datagrams read per turn of the event loop, so that a flood does not delay requests.
 MAX_READS_PER_TURN = 64
 
 
 class DatagramSocket(BaseComponent, SocketOwner):
-    """Sends and receives datagrams; what does not fit into the kernel's buffer is lost.
+    """Sends and receives datagrams; those that do not fit into the kernel's buffer are lost.
 
     Parameters
     ----------
     bind : tuple of (str, int)
-        Address and port.
+        Address and port to bind to.
     on_datagram : callable
-        Gets the bytes of each datagram and the IP number of its sender.
+        Called with the bytes of each datagram and the IP address of its sender.
     on_fault : callable
-        Gets each error of the socket.
+        Called with each error of the socket.
     """
 
     channel = "datagrams"
@@ -44,11 +44,11 @@
         self._sock.bind(bind)
 
     def send(self, data: bytes, address: tuple[str, int]) -> None:
-        """Send one datagram now, or lose it."""
+        """Send one datagram, or drop it if the send buffer is full."""
         try:
             self._sock.sendto(data, address)
         except BlockingIOError:
-            return  # a lost report is made good by the next one
+            return  # the next report replaces a lost one
         except OSError as exc:
             self._on_fault(exc)
 
@@ -57,8 +57,8 @@
         if component is self:
             findcmp(self.root, DirectPoller).watch(self._sock, self, READ)
 
-    def readable(self, sock: socket.socket) -> None:
-        """Read the datagrams that have arrived."""
+    def on_readable(self, sock: socket.socket) -> None:
+        """Pass the received datagrams to `on_datagram`."""
         for _ in range(MAX_READS_PER_TURN):
             try:
                 data, address = sock.recvfrom(MAX_DATAGRAM_BYTES)
@@ -69,9 +69,9 @@
                 return
             self._on_datagram(data, address[0])
 
-    def writable(self, sock: socket.socket) -> None:
-        """Do nothing: what the kernel does not take at once is lost."""
+    def on_writable(self, sock: socket.socket) -> None:
+        """Do nothing: no datagrams are queued for sending."""
 
-    def broken(self, sock: socket.socket) -> None:
-        """Read the error of the socket, which clears it."""
-        self.readable(sock)
+    def on_socket_error(self, sock: socket.socket) -> None:
+        """Read from the socket, which reports and clears its error."""
+        self.on_readable(sock)
--- a/flamingofront/connection/events.py
+++ b/flamingofront/connection/events.py
@@ -1,4 +1,4 @@
-"""Server-sent events of completions, and the ids by which a stream is continued."""
+"""Server-sent events of completions, and the event ids used to resume a stream."""
 
 from dataclasses import dataclass
 from typing import Any
@@ -10,11 +10,11 @@
 __all__ = [
     "DONE_EVENT",
     "EventId",
-    "chunk_event",
-    "error_event",
+    "encode_chunk_event",
+    "encode_completion",
+    "encode_error_event",
+    "encode_reattach_event",
     "parse_event_id",
-    "reattach_event",
-    "whole_answer",
 ]
 
 DONE_EVENT = b"data: [DONE]\n\n"
@@ -22,7 +22,7 @@
 
 @dataclass(frozen=True)
 class EventId:
-    """Position in the text of a request."""
+    """Position in the output of a request, counted in tokens."""
 
     request_id: str
     offset: int
@@ -32,7 +32,7 @@
 
 
 def parse_event_id(text: str) -> EventId:
-    """Return the position that a caller names.
+    """Parse the value of a ``Last-Event-ID`` header.
 
     Raises
     ------
@@ -47,32 +47,32 @@
     return EventId(request_id, int(offset))
 
 
-def _choice(chat: bool, text: str, finish: str | None) -> dict[str, Any]:
+def _build_choice(chat: bool, text: str, finish: str | None) -> dict[str, Any]:
     if chat:
         return {"index": 0, "delta": {"content": text} if text else {}, "finish_reason": finish}
     return {"index": 0, "text": text, "finish_reason": finish}
 
 
-def chunk_event(
+def encode_chunk_event(
     request_id: str, model: str, chat: bool, end_offset: int, text: str, finish: str | None = None
 ) -> bytes:
-    """Return the event for a part of the text that ends at `end_offset`."""
+    """Return the event for a piece of the output that ends at token `end_offset`."""
     data = {
         "id": request_id,
         "object": "chat.completion.chunk" if chat else "text_completion",
         "model": model,
-        "choices": [_choice(chat, text, finish)],
+        "choices": [_build_choice(chat, text, finish)],
     }
     return b"id: %s:%d\ndata: %s\n\n" % (request_id.encode(), end_offset, orjson.dumps(data))
 
 
-def error_event(body: bytes) -> bytes:
-    """Return the event that ends a stream with an error."""
+def encode_error_event(body: bytes) -> bytes:
+    """Return the event that ends a stream with an error body."""
     return b"event: error\ndata: " + body + b"\n\n"
 
 
-def reattach_event(request_id: str, offset: int) -> bytes:
-    """Return the event that asks the caller to come back for the rest of the text."""
+def encode_reattach_event(request_id: str, offset: int) -> bytes:
+    """Return the event that asks the caller to reattach for the rest of the text."""
     data = {"request_id": request_id, "offset": offset, "path": f"/v1/requests/{request_id}"}
     return b"event: reattach\nid: %s:%d\nretry: 200\ndata: %s\n\n" % (
         request_id.encode(),
@@ -81,10 +81,10 @@
     )
 
 
-def whole_answer(
+def encode_completion(
     request_id: str, model: str, chat: bool, text: str, prompt_tokens: int, output_tokens: int
 ) -> bytes:
-    """Return the JSON body of a whole completion."""
+    """Return the JSON body of a complete response without streaming."""
     choice: dict[str, Any] = {"index": 0, "finish_reason": "stop"}
     if chat:
         choice["message"] = {"role": "assistant", "content": text}
--- a/flamingofront/connection/framing.py
+++ b/flamingofront/connection/framing.py
@@ -1,7 +1,7 @@
-"""Strict framing of HTTP/1.1 messages.
+"""Strict parsing of the framing of HTTP/1.1 messages.
 
-Heads are parsed by the parser of circuits.web. What that parser lets through (see docs/DESIGN.md)
-is checked here first: the framing headers, the sizes, and the bytes a head may hold.
+Message heads are parsed by circuits.web, which accepts input that is ambiguous (see
+docs/DESIGN.md). This module first checks the framing headers, the sizes and the bytes of a head.
 """
 
 import re
@@ -22,8 +22,8 @@
     "HeadBuffer",
     "LengthDecoder",
     "UntilCloseDecoder",
-    "request_decoder",
-    "response_decoder",
+    "create_request_decoder",
+    "create_response_decoder",
 ]
 
 MAX_HEAD_BYTES = 16 * 1024
@@ -41,16 +41,16 @@
 
 @dataclass(frozen=True)
 class Head:
-    """First line and headers of a message.
+    """Parsed start line and headers of an HTTP message.
 
     Parameters
     ----------
     headers : mapping of str to str
         Values by lower-case name.
     target : str
-        Path and query of a request as they were sent, for forwarding without a change.
+        Path and query of a request as received, for forwarding unchanged.
     fields : tuple of (str, str)
-        Names and values of all headers as they were sent, in their order.
+        Names and values of all headers as received, in order.
     """
 
     method: str
@@ -64,12 +64,14 @@
 
 
 class HeadBuffer:
-    """Collect bytes until a whole head is there, then parse it.
+    """Buffer that collects bytes until a message head is complete, then parses it.
 
     Parameters
     ----------
     is_request : bool
-        True on the server's side, False on the client's.
+        True to parse request heads, False to parse response heads.
+    max_bytes : int
+        Maximum size of a head.
     """
 
     def __init__(self, is_request: bool, max_bytes: int = MAX_HEAD_BYTES):
@@ -78,12 +80,12 @@
         self._data = bytearray()
 
     @property
-    def empty(self) -> bool:
-        """True if no byte of a head has arrived."""
+    def is_empty(self) -> bool:
+        """True if no byte of a head has been received."""
         return not self._data
 
     def feed(self, data: bytes) -> tuple[Head, bytes] | None:
-        """Take bytes; return the head and the bytes behind it once it is complete.
+        """Add received bytes; return the head and the remaining bytes once the head is complete.
 
         Raises
         ------
@@ -99,7 +101,7 @@
             return None
         if end < 0 or end > self._max_bytes:
             raise RequestError(
-                ErrorKind.HEADERS_TOO_LARGE, f"the head is over {self._max_bytes} bytes"
+                ErrorKind.HEADERS_TOO_LARGE, f"message head is larger than {self._max_bytes} bytes"
             )
         raw = bytes(self._data[: end + len(_HEAD_END)])
         rest = bytes(self._data[end + len(_HEAD_END) :])
@@ -111,43 +113,43 @@
             del self._data[:2]
 
 
-def _malformed(detail: str) -> RequestError:
+def _malformed_error(detail: str) -> RequestError:
     return RequestError(ErrorKind.MALFORMED_REQUEST, detail)
 
 
 def _check_head_bytes(raw: bytes) -> None:
-    """Refuse what circuits' parser would accept or misread."""
+    """Raise an error for a head that the parser of circuits would accept or misread."""
     if _FORBIDDEN.search(raw):
-        raise _malformed("the head holds a control character or a bare line end")
-    seen = set()
+        raise _malformed_error("message head contains a control character or a bare CR or LF")
+    seen_names = set()
     for line in raw[:-4].split(b"\r\n")[1:]:
         name, colon, _ = line.partition(b":")
         if not colon or not _FIELD_NAME.fullmatch(name):
-            raise _malformed(f"bad header line {line[:60]!r}")
+            raise _malformed_error(f"malformed header line {line[:60]!r}")
         lower = name.lower()
-        if lower in _SINGLE_FIELDS and lower in seen:
-            raise _malformed(f"header {lower.decode()} is given twice")
-        seen.add(lower)
+        if lower in _SINGLE_FIELDS and lower in seen_names:
+            raise _malformed_error(f"header {lower.decode()} must not be repeated")
+        seen_names.add(lower)
 
 
 def _parse_head(raw: bytes, is_request: bool) -> Head:
     _check_head_bytes(raw)
     parser = HttpParser(kind=_REQUEST_KIND if is_request else _RESPONSE_KIND)
-    # The parser undoes backslash escapes; doubling them keeps the header as it was sent.
+    # The parser decodes backslash escapes; doubling each backslash keeps the headers unchanged.
     escaped = raw.replace(b"\\", b"\\\\")
     try:
         parser.execute(escaped, len(escaped))
     except ValueError as exc:
-        raise _malformed(f"bad first line: {exc}") from exc
+        raise _malformed_error(f"malformed start line: {exc}") from exc
     if parser.errno is not None or not parser.is_headers_complete():
-        raise _malformed(f"bad first line or header: {parser.errstr[:80]}")
+        raise _malformed_error(f"malformed start line or header: {parser.errstr[:80]}")
     if parser.get_version() not in ((1, 0), (1, 1)):
-        raise _malformed(f"unsupported HTTP version {parser.get_version()}")
+        raise _malformed_error(f"unsupported HTTP version {parser.get_version()}")
     headers = {name.lower(): value for name, value in parser.get_headers().items()}
     if is_request and not _METHOD.fullmatch(parser.get_method()):
-        raise _malformed(f"bad method {parser.get_method()[:20]!r}")
+        raise _malformed_error(f"malformed method {parser.get_method()[:20]!r}")
     if is_request and not parser.get_url().startswith("/"):
-        raise _malformed(f"bad request target {parser.get_url()[:60]!r}")
+        raise _malformed_error(f"request target must start with '/', got {parser.get_url()[:60]!r}")
     return Head(
         method=parser.get_method() or "",
         path=unquote(parser.get_path() or ""),
@@ -155,55 +157,61 @@
         status=parser.get_status_code() or 0,
         headers=headers,
         keep_alive=parser.should_keep_alive(),
-        target=_target(raw) if is_request else "",
-        fields=_fields(raw),
+        target=_parse_target(raw) if is_request else "",
+        fields=_parse_fields(raw),
     )
 
 
-def _target(raw: bytes) -> str:
-    """Return the request target as it was sent."""
+def _parse_target(raw: bytes) -> str:
+    """Return the request target as received, without decoding."""
     return raw.split(b" ", 2)[1].decode("latin-1")
 
 
-def _fields(raw: bytes) -> tuple[tuple[str, str], ...]:
-    """Return names and values of the headers as they were sent."""
+def _parse_fields(raw: bytes) -> tuple[tuple[str, str], ...]:
+    """Return the names and values of the headers as received, in order."""
     pairs = (line.partition(b":") for line in raw[:-4].split(b"\r\n")[1:])
     return tuple((name.decode(), value.strip().decode("latin-1")) for name, _, value in pairs)
 
 
 class BodyDecoder(ABC):
-    """Takes the bytes behind a head and returns those of the body."""
+    """Incremental decoder of a message body.
+
+    Attributes
+    ----------
+    complete : bool
+        True once the end of the body has been received.
+    """
 
     complete = False
 
     @abstractmethod
     def feed(self, data: bytes) -> tuple[bytes, bytes]:
-        """Return the body bytes in `data` and the bytes behind the body."""
+        """Return the decoded body bytes in `data` and the bytes after the end of the body."""
 
-    def end_of_stream(self) -> bool:
-        """Tell whether the body may end where the connection closed."""
+    def can_end_at_close(self) -> bool:
+        """Return True if the body is complete when the connection is closed now."""
         return self.complete
 
 
 class EmptyDecoder(BodyDecoder):
-    """A message without a body."""
+    """Decoder for a message without a body."""
 
     complete = True
 
     def feed(self, data: bytes) -> tuple[bytes, bytes]:
-        """Return all of `data` as bytes behind the body."""
+        """Return no body bytes; all of `data` belongs to the next message."""
         return b"", data
 
 
 class LengthDecoder(BodyDecoder):
-    """A body whose length is given."""
+    """Decoder for a body with a Content-Length."""
 
     def __init__(self, length: int):
         self._left = length
         self.complete = length == 0
 
     def feed(self, data: bytes) -> tuple[bytes, bytes]:
-        """Return the body bytes in `data` and the rest."""
+        """Return the body bytes in `data` and the bytes after the end of the body."""
         body = data[: self._left]
         self._left -= len(body)
         self.complete = self._left == 0
@@ -211,34 +219,34 @@
 
 
 class UntilCloseDecoder(BodyDecoder):
-    """A response body that ends with the connection."""
+    """Decoder for a response body that ends when the connection is closed."""
 
     def feed(self, data: bytes) -> tuple[bytes, bytes]:
-        """Return all of `data` as body."""
+        """Return all of `data` as body bytes."""
         return data, b""
 
-    def end_of_stream(self) -> bool:
-        """Accept the close as the end."""
+    def can_end_at_close(self) -> bool:
+        """Return True: the close of the connection ends the body."""
         return True
 
 
 class ChunkedDecoder(BodyDecoder):
-    """A body in chunked coding, without trailers.
+    """Decoder for a body in chunked transfer coding without trailers.
 
     Notes
     -----
-    Trailers are refused: nothing here uses them, and they are a way to smuggle fields.
+    Trailers are rejected: nothing in this system uses them, and they can smuggle header fields.
     """
 
     def __init__(self):
         self._buffer = bytearray()
-        self._left = -1  # bytes of the current chunk and its line end, -1 between chunks
+        self._chunk_left = -1  # bytes of the current chunk and its CRLF, -1 between chunks
 
     def feed(self, data: bytes) -> tuple[bytes, bytes]:
-        """Return the body bytes in `data` and the rest behind the last chunk."""
+        """Return the decoded body bytes in `data` and the bytes after the last chunk."""
         self._buffer += data
         body = bytearray()
-        while not self.complete and self._step(body):
+        while not self.complete and self._parse_next(body):
             pass
         if not self.complete:
             return bytes(body), b""
@@ -246,57 +254,57 @@
         self._buffer.clear()
         return bytes(body), rest
 
-    def _step(self, body: bytearray) -> bool:
-        if self._left >= 0:
-            return self._take_data(body)
-        return self._take_size()
+    def _parse_next(self, body: bytearray) -> bool:
+        if self._chunk_left >= 0:
+            return self._parse_chunk_data(body)
+        return self._parse_chunk_size()
 
-    def _take_data(self, body: bytearray) -> bool:
-        wanted = self._left - 2
-        if wanted > 0:
-            part = self._buffer[:wanted]
+    def _parse_chunk_data(self, body: bytearray) -> bool:
+        data_left = self._chunk_left - 2
+        if data_left > 0:
+            part = self._buffer[:data_left]
             body += part
             del self._buffer[: len(part)]
-            self._left -= len(part)
-        if self._left > 2 or len(self._buffer) < 2:
+            self._chunk_left -= len(part)
+        if self._chunk_left > 2 or len(self._buffer) < 2:
             return False
         if self._buffer[:2] != b"\r\n":
-            raise _malformed("a chunk does not end where its size says")
+            raise _malformed_error("chunk data is not followed by CRLF")
         del self._buffer[:2]
-        self._left = -1
+        self._chunk_left = -1
         return True
 
-    def _take_size(self) -> bool:
+    def _parse_chunk_size(self) -> bool:
         end = self._buffer.find(b"\r\n")
         if end < 0 and len(self._buffer) <= MAX_CHUNK_LINE_BYTES:
             return False
         line = bytes(self._buffer[: max(0, end)])
         if end < 0 or not _CHUNK_SIZE.fullmatch(line):
-            raise _malformed(f"bad chunk size {line[:20]!r}")
+            raise _malformed_error(f"malformed chunk size {line[:20]!r}")
         size = int(line, 16)
         if size:
             del self._buffer[: end + 2]
-            self._left = size + 2
+            self._chunk_left = size + 2
             return True
-        return self._take_end(end)
+        return self._parse_last_chunk(end)
 
-    def _take_end(self, end: int) -> bool:
-        tail = self._buffer[end + 2 : end + 4]
-        if len(tail) < 2:
+    def _parse_last_chunk(self, end: int) -> bool:
+        line_end = self._buffer[end + 2 : end + 4]
+        if len(line_end) < 2:
             return False
-        if tail != b"\r\n":
-            raise _malformed("trailers are not accepted")
+        if line_end != b"\r\n":
+            raise _malformed_error("trailers are not supported")
         del self._buffer[: end + 4]
         self.complete = True
         return False
 
 
-def _content_length(head: Head) -> int | None:
+def _parse_content_length(head: Head) -> int | None:
     value = head.headers.get("content-length")
     if value is None:
         return None
     if not _LENGTH.fullmatch(value):
-        raise _malformed(f"bad Content-Length {value[:30]!r}")
+        raise _malformed_error(f"malformed Content-Length {value[:30]!r}")
     return int(value)
 
 
@@ -305,35 +313,36 @@
     if coding is None:
         return False
     if coding.lower() != "chunked":
-        raise _malformed(f"unsupported Transfer-Encoding {coding[:30]!r}")
+        raise _malformed_error(f"unsupported Transfer-Encoding {coding[:30]!r}")
     if "content-length" in head.headers:
-        raise _malformed("Content-Length and Transfer-Encoding are both given")
+        raise _malformed_error("Content-Length and Transfer-Encoding must not both be given")
     return True
 
 
-def request_decoder(head: Head, max_body: int) -> BodyDecoder:
-    """Return the decoder for the body of a request.
+def create_request_decoder(head: Head, max_body: int) -> BodyDecoder:
+    """Create the decoder for the body of a request.
 
     Raises
     ------
     RequestError
-        If the framing is ambiguous, malformed or announces more than `max_body` bytes.
+        If the framing is ambiguous or malformed, or the Content-Length exceeds `max_body` bytes.
     """
     if _is_chunked(head):
         return ChunkedDecoder()
-    length = _content_length(head) or 0
+    length = _parse_content_length(head) or 0
     if length > max_body:
         raise RequestError(
-            ErrorKind.BODY_TOO_LARGE, f"the body of {length} bytes is over {max_body}"
+            ErrorKind.BODY_TOO_LARGE,
+            f"body of {length} bytes is larger than the limit of {max_body}",
         )
     return LengthDecoder(length)
 
 
-def response_decoder(head: Head, method: str) -> BodyDecoder:
-    """Return the decoder for the body of a response to a `method` request."""
+def create_response_decoder(head: Head, method: str) -> BodyDecoder:
+    """Create the decoder for the body of a response to a request with this method."""
     if method == "HEAD" or head.status in (204, 304):
         return EmptyDecoder()
     if _is_chunked(head):
         return ChunkedDecoder()
-    length = _content_length(head)
+    length = _parse_content_length(head)
     return UntilCloseDecoder() if length is None else LengthDecoder(length)
--- a/flamingofront/connection/interfaces.py
+++ b/flamingofront/connection/interfaces.py
@@ -1,6 +1,6 @@
-"""Abstract interfaces between the decisions and the sockets.
+"""Abstract interfaces between request handling and the network.
 
-The daemon implements them over circuits; tests implement them in memory.
+The daemon implements them with circuits sockets; tests implement them in memory.
 """
 
 from abc import ABC, abstractmethod
@@ -15,78 +15,86 @@
     ResponseHead,
 )
 
-__all__ = ["CallEvent", "CallHandle", "Exchange", "Reach", "Transport"]
+__all__ = ["CallEvent", "CallHandle", "ConnectResult", "Exchange", "Transport"]
 
 CallEvent = ResponseHead | ResponseData | ResponseEnd | CallFailed
 
 
-class Reach(StrEnum):
-    """What became of an attempt to connect."""
+class ConnectResult(StrEnum):
+    """Result of a connection probe."""
 
     CONNECTED = "connected"
-    """A process listens there."""
+    """A process listens at the address."""
     REFUSED = "refused"
-    """The VM answers, and no process listens there."""
+    """The VM refuses the connection: no process listens at the address."""
     UNANSWERED = "unanswered"
-    """Nothing came back: no power, or a partition."""
+    """No response in time: the VM is down or partitioned."""
 
 
 class CallHandle(ABC):
-    """A call in flight."""
+    """Handle of an outgoing call in flight."""
 
     @abstractmethod
     def cancel(self) -> None:
-        """Give the call up; no event is delivered afterwards."""
+        """Cancel the call; no event is delivered afterwards."""
 
     @property
     @abstractmethod
     def wrote(self) -> bool:
-        """False only while it is certain that no byte has reached the network."""
+        """True if bytes of the request may have been sent; if False, none was sent."""
 
 
 class Transport(ABC):
-    """Sends calls to peers, endpoints and the platform."""
+    """Client for calls to peers, endpoints and the platform."""
 
     @abstractmethod
     def start(self, call: OutboundCall, listener: Callable[[CallEvent], None]) -> CallHandle:
-        """Begin a call; `listener` gets its events, the last one `ResponseEnd` or `CallFailed`."""
+        """Start a call; the last event that `listener` gets is `ResponseEnd` or `CallFailed`."""
 
     @abstractmethod
-    def probe(self, address: str, timeout: float, listener: Callable[[Reach], None]) -> None:
-        """Open a connection, close it again, and tell what became of it.
+    def probe(
+        self, address: str, timeout: float, listener: Callable[[ConnectResult], None]
+    ) -> None:
+        """Open a connection, close it, and pass the result to `listener`.
 
         Parameters
         ----------
         timeout : float
-            Seconds after which the address counts as unanswered.
+            Seconds without a response after which the result is ``UNANSWERED``.
         """
 
     @abstractmethod
     def drop_idle(self, address: str) -> None:
-        """Close the idle connections to an address: whoever had it has gone."""
+        """Close the idle connections to an address whose process has ended."""
 
 
 class Exchange(ABC):
-    """The caller's side of one request: where its answer goes."""
+    """Response channel of one request.
 
-    on_gone: Callable[[], None] | None = None
+    Attributes
+    ----------
+    on_disconnect : callable, optional
+        Called when the caller disconnects before the response is complete.
+    """
+
+    on_disconnect: Callable[[], None] | None = None
 
     @abstractmethod
     def respond(self, status: int, headers: tuple[tuple[str, str], ...], body: bytes) -> None:
-        """Send a whole answer."""
+        """Send a complete response."""
 
     @abstractmethod
     def begin(self, status: int, headers: tuple[tuple[str, str], ...]) -> None:
-        """Send the head of a streamed answer."""
+        """Start a streamed response by sending its head."""
 
     @abstractmethod
     def send(self, data: bytes) -> bool:
-        """Send a part of a streamed answer; False if the caller reads too slowly or is gone."""
+        """Send a part of a streamed response; False if the caller is too slow or disconnected."""
 
     @abstractmethod
     def finish(self) -> None:
-        """End a streamed answer."""
+        """End a streamed response."""
 
     @abstractmethod
     def abort(self) -> None:
-        """Break the connection, so that a cut answer cannot look like a whole one."""
+        """Close the connection, which shows the caller that the response is incomplete."""
--- a/flamingofront/connection/poller.py
+++ b/flamingofront/connection/poller.py
@@ -1,8 +1,8 @@
 """Poller that calls the owner of a socket directly.
 
-The pollers of circuits fire an event for each socket that is ready, and each poll is a turn of its
-loop. Here one turn of that loop goes on until something needs the event queue: sockets and timers
-are served by calls.
+The pollers of circuits fire an event for each ready socket and poll once per turn of the event
+loop. This poller stays in one turn and serves sockets and timers by direct calls until an event is
+queued.
 """
 
 import os
@@ -19,30 +19,30 @@
 
 READ = select.EPOLLIN
 WRITE = select.EPOLLOUT
-_BROKEN = select.EPOLLHUP | select.EPOLLERR
-# Longest poll, in seconds: the bound of what a wake-up that was missed can cost.
-LONGEST_WAIT_SECONDS = 1.0
-_WAKE_BYTES = 64
+_SOCKET_ERROR = select.EPOLLHUP | select.EPOLLERR
+# Bounds the delay that a missed wake-up can cause.
+MAX_POLL_SECONDS = 1.0
+_MAX_WAKE_UP_BYTES = 64
 
 
 class SocketOwner(ABC):
-    """Gets what the poller sees at a socket."""
+    """Receiver of the poller's notifications for its sockets."""
 
     @abstractmethod
-    def readable(self, sock: socket.socket) -> None:
-        """Take note that a socket has data, a new connection, or its end to be read."""
+    def on_readable(self, sock: socket.socket) -> None:
+        """Handle a socket with data, a new connection or an end of stream to read."""
 
     @abstractmethod
-    def writable(self, sock: socket.socket) -> None:
-        """Take note that a socket has room to write, or is connected."""
+    def on_writable(self, sock: socket.socket) -> None:
+        """Handle a socket that can be written to or has finished connecting."""
 
     @abstractmethod
-    def broken(self, sock: socket.socket) -> None:
-        """Take note that a socket failed, without anything left to be read."""
+    def on_socket_error(self, sock: socket.socket) -> None:
+        """Handle a socket that failed and has nothing left to read."""
 
 
 class _Watch:
-    """What is watched at one socket."""
+    """Registration of one socket with the poller."""
 
     __slots__ = ("active", "mask", "owner", "sock")
 
@@ -59,14 +59,14 @@
     Parameters
     ----------
     timers : TimerService
-        Its callbacks run here.
+        Its due callbacks are run by the poller.
     on_fault : callable
-        Gets each exception that a callback or an owner did not catch.
+        Called with each unhandled exception of a callback or a socket owner.
 
     Notes
     -----
-    Of 5,000 datagrams that arrive one by one each takes 27 us of the loop's thread, and took 57 us
-    with the poller of circuits (``python -m bench.loop``, one run of each on a shared machine).
+    A datagram costs 27 us of the event loop's thread, instead of 57 us with the poller of circuits
+    (5,000 datagrams that arrive one by one, ``python -m bench.loop``).
     """
 
     channel = "poller"
@@ -83,29 +83,29 @@
         self._epoll.register(self._wake_read, READ)
 
     def watch(self, sock: socket.socket, owner: SocketOwner, mask: int) -> None:
-        """Watch a socket for the events of a mask of `READ` and `WRITE`, and no others."""
+        """Watch a socket for exactly the events in `mask`, a combination of `READ` and `WRITE`."""
         fileno = sock.fileno()
-        known = self._watches.get(fileno)
-        if known is None:
+        registered = self._watches.get(fileno)
+        if registered is None:
             self._watches[fileno] = _Watch(sock, owner, mask)
             self._epoll.register(fileno, mask)
-        elif known.mask != mask:
-            known.mask = mask
+        elif registered.mask != mask:
+            registered.mask = mask
             self._epoll.modify(fileno, mask)
 
-    def forget(self, sock: socket.socket) -> None:
-        """Watch a socket no longer; call it before the socket is closed."""
+    def unwatch(self, sock: socket.socket) -> None:
+        """Stop watching a socket; must be called before the socket is closed."""
         watch = self._watches.pop(sock.fileno(), None)
         if watch is not None:
             watch.active = False
             self._epoll.unregister(sock.fileno())
 
     def resume(self) -> None:
-        """End the poll in progress; may be called by a signal handler or another thread."""
+        """End the current poll; may be called by a signal handler or another thread."""
         try:
             os.write(self._wake_write, b"\0")
         except BlockingIOError:
-            return  # the pipe is full of wake-ups already
+            return  # the pipe is full, so a wake-up is pending already
 
     @handler("generate_events", channel="*", priority=1)
     def _on_generate_events(self, event) -> None:
@@ -114,48 +114,48 @@
             self._run_timers()
             if len(self.root) or not self.root.running:
                 return
-            self._serve_ready(self._wait())
+            self._serve_ready(self._get_poll_timeout())
 
     def _run_timers(self) -> None:
         try:
             self._timers.run_due()
-        except Exception as exc:  # one callback must not end the loop
+        except Exception as exc:  # an exception in a callback must not end the event loop
             self._on_fault(exc)
 
-    def _wait(self) -> float:
+    def _get_poll_timeout(self) -> float:
         due = self._timers.next_due()
         if due is None:
-            return LONGEST_WAIT_SECONDS
-        return max(0.0, min(LONGEST_WAIT_SECONDS, due - self._timers.now()))
+            return MAX_POLL_SECONDS
+        return max(0.0, min(MAX_POLL_SECONDS, due - self._timers.now()))
 
-    def _serve_ready(self, wait: float) -> None:
-        """Poll once and call the owners of the sockets that are ready.
+    def _serve_ready(self, poll_timeout: float) -> None:
+        """Poll once and notify the owners of the ready sockets.
 
         Notes
         -----
-        The watches are looked up before the first call: a socket that is opened by one of the calls
-        may have the number of one that was closed by another.
+        All registrations are looked up before the first notification, because a socket opened in
+        one notification may reuse the file descriptor of a socket closed in another.
         """
-        found = self._epoll.poll(wait)
-        for watch, mask in [(self._watches.get(fileno), mask) for fileno, mask in found]:
+        ready = self._epoll.poll(poll_timeout)
+        for watch, mask in [(self._watches.get(fileno), mask) for fileno, mask in ready]:
             if watch is None:
                 self._drain_wake_ups()
             elif watch.active:
-                self._serve(watch, mask)
+                self._notify_owner(watch, mask)
 
     def _drain_wake_ups(self) -> None:
         try:
-            os.read(self._wake_read, _WAKE_BYTES)
+            os.read(self._wake_read, _MAX_WAKE_UP_BYTES)
         except BlockingIOError:
-            return  # another wake-up was read with an earlier one
+            return  # this wake-up was already read together with an earlier one
 
-    def _serve(self, watch: _Watch, mask: int) -> None:
+    def _notify_owner(self, watch: _Watch, mask: int) -> None:
         try:
             if mask & READ:
-                watch.owner.readable(watch.sock)
+                watch.owner.on_readable(watch.sock)
             if mask & WRITE and watch.active:
-                watch.owner.writable(watch.sock)
-            if mask & _BROKEN and not mask & READ and watch.active:
-                watch.owner.broken(watch.sock)
-        except Exception as exc:  # a fault at one socket must not end the others' service
+                watch.owner.on_writable(watch.sock)
+            if mask & _SOCKET_ERROR and not mask & READ and watch.active:
+                watch.owner.on_socket_error(watch.sock)
+        except Exception as exc:  # an exception for one socket must not affect the others
             self._on_fault(exc)
--- a/flamingofront/connection/runtime.py
+++ b/flamingofront/connection/runtime.py
@@ -1,4 +1,4 @@
-"""The circuits side of a process: event loop, timer service, fault handling."""
+"""Root component of a process: event loop, timer service, handling of unhandled exceptions."""
 
 from collections.abc import Callable
 
@@ -11,16 +11,16 @@
 
 
 class Runtime(BaseComponent):
-    """Root of the components of a process.
+    """Root of the circuits components of a process.
 
     Parameters
     ----------
     on_fault : callable
-        Gets an exception that a handler did not catch.
+        Called with each unhandled exception.
     on_stop_signal : callable, optional
-        Called on SIGTERM and SIGINT instead of stopping at once.
+        Called on SIGTERM and SIGINT; without it the process stops at once.
     clock : Clock, optional
-        Source of time; `BootClock` if not given.
+        Clock of the timer service; `BootClock` by default.
     """
 
     channel = "runtime"
@@ -38,7 +38,7 @@
         self.poller = DirectPoller(self.timers, on_fault).register(self)
 
     def _signal_handler(self, signo, stack) -> None:
-        """Begin to stop from within the event loop; a signal alone does not end its poll."""
+        """Schedule the stop in the event loop and wake it, since a signal does not end its poll."""
         self.timers.once(0.0, self._on_stop_signal or self.stop)
         self.poller.resume()
 
--- a/flamingofront/connection/server.py
+++ b/flamingofront/connection/server.py
@@ -1,8 +1,8 @@
-"""Guarded HTTP server over circuits sockets.
+"""HTTP server that passes only complete and well-formed requests to its handler.
 
-One request at a time on a connection: bytes that arrive while an answer is outstanding wait, and
-are read as the next request after the answer. Every limit (head, body, time, unread answer) is
-kept here, so that no handler sees a request that is not complete and well framed.
+A connection serves one request at a time: bytes that arrive before the response is complete are
+buffered and parsed as the next request afterwards. All limits (head, body, time, unsent response
+bytes) are enforced here.
 """
 
 import math
@@ -18,7 +18,7 @@
     BodyDecoder,
     Head,
     HeadBuffer,
-    request_decoder,
+    create_request_decoder,
 )
 from flamingofront.connection.interfaces import Exchange
 from flamingofront.connection.sockets import ConnectionListener, ServerSockets
@@ -30,13 +30,13 @@
     "HTTPServer",
     "RenderedError",
     "ServerLimits",
-    "default_error",
-    "error_body",
-    "error_headers",
+    "build_error_headers",
+    "encode_error",
+    "render_default_error",
 ]
 
 READ_BYTES = 64 * 1024
-MAX_WAITING_BYTES = 64 * 1024
+MAX_PIPELINED_BYTES = 64 * 1024
 STATUS_NOT_MODIFIED = 304
 REASONS = {
     200: "OK",
@@ -67,26 +67,26 @@
     Parameters
     ----------
     max_body : int
-        Bytes of a request body.
+        Maximum size of a request body in bytes.
     request_timeout : float
-        Seconds from the first byte of a request head to its last, and then for the body.
+        Seconds to receive a request head, and again to receive the body.
     idle_timeout : float
-        Seconds that a connection may be open without a request.
-    max_unread : int
-        Bytes of an answer that may wait for a slow reader.
+        Seconds after which a connection without a request is closed.
+    max_unsent_bytes : int
+        Maximum number of response bytes that are queued for a slow caller.
     max_head : int
-        Bytes of a request head.
+        Maximum size of a request head in bytes.
     """
 
     max_body: int = 8 * 1024 * 1024
     request_timeout: float = 10.0
     idle_timeout: float = 75.0
-    max_unread: int = 1024 * 1024
+    max_unsent_bytes: int = 1024 * 1024
     max_head: int = MAX_HEAD_BYTES
 
 
-def error_body(exc: RequestError, request_id: str = "") -> bytes:
-    """Return the JSON body that tells `exc`."""
+def encode_error(exc: RequestError, request_id: str = "") -> bytes:
+    """Return the JSON body of the error response for `exc`."""
     return orjson.dumps(
         {
             "error": {
@@ -100,8 +100,8 @@
     )
 
 
-def error_headers(exc: RequestError) -> tuple[tuple[str, str], ...]:
-    """Return the headers that go with `error_body`."""
+def build_error_headers(exc: RequestError) -> tuple[tuple[str, str], ...]:
+    """Return the headers of the error response for `exc`, with Retry-After if it has one."""
     if exc.retry_after is None:
         return JSON_HEADERS
     seconds = max(1, math.ceil(exc.retry_after))
@@ -111,49 +111,51 @@
 RenderedError = tuple[int, tuple[tuple[str, str], ...], bytes]
 
 
-def default_error(exc: RequestError) -> RenderedError:
-    """Return status, headers and body of the answer that tells `exc`."""
-    return ANSWERS[exc.kind].status, error_headers(exc), error_body(exc)
+def render_default_error(exc: RequestError) -> RenderedError:
+    """Return status, headers and body of the error response for `exc`."""
+    return ANSWERS[exc.kind].status, build_error_headers(exc), encode_error(exc)
 
 
 class _Connection(Exchange):
-    """State of one caller connection; also the exchange of its current request.
+    """State of one caller connection, and the `Exchange` of its current request.
 
     Attributes
     ----------
-    requests : int
-        Requests that have come whole on this connection.
+    request_count : int
+        Number of complete requests received on this connection.
     """
 
     def __init__(self, server: "HTTPServer", sock):
         self._server = server
         self._sock = sock
-        self._waiting = bytearray()
+        self._pipelined = bytearray()
         self._timer: Timer | None = None
         self._closed = False
-        self.requests = 0
+        self.request_count = 0
         self._keep_alive = True
         self._method = ""
-        self.on_gone = None
-        self._reset()
+        self.on_disconnect = None
+        self._start_request()
 
-    def _reset(self) -> None:
+    def _start_request(self) -> None:
         self._heads = HeadBuffer(is_request=True, max_bytes=self._server.limits.max_head)
         self._head: Head | None = None
         self._decoder: BodyDecoder | None = None
         self._body = bytearray()
-        self._answering = False
-        self._head_at = 0.0
-        self.on_gone = None
+        self._responding = False
+        self._head_received_at = 0.0
+        self.on_disconnect = None
 
     @property
-    def idle(self) -> bool:
-        """True if no byte of a request has arrived that is still to be answered."""
-        return not self._answering and self._head is None and self._heads.empty
-
-    def watch_idle(self) -> None:
-        """Close the connection if no request begins in time."""
-        self._set_timer(self._server.limits.idle_timeout, lambda: self._server.retire(self._sock))
+    def is_idle(self) -> bool:
+        """True if no request is being received or answered."""
+        return not self._responding and self._head is None and self._heads.is_empty
+
+    def start_idle_timer(self) -> None:
+        """Close the connection if no request starts within the idle timeout."""
+        self._set_timer(
+            self._server.limits.idle_timeout, lambda: self._server.close_if_idle(self._sock)
+        )
 
     def _set_timer(self, delay: float, callback: Callable[[], None]) -> None:
         if self._timer is not None:
@@ -161,47 +163,48 @@
         self._timer = self._server.timers.once(delay, callback)
 
     def receive(self, data: bytes) -> None:
-        """Take bytes from the socket."""
-        if self._answering:
-            self._hold(data)
+        """Handle bytes received from the socket."""
+        if self._responding:
+            self._buffer_data(data)
             return
-        if self._head is None and self._heads.empty:
-            self._set_timer(self._server.limits.request_timeout, self._request_late)
+        if self._head is None and self._heads.is_empty:
+            self._set_timer(self._server.limits.request_timeout, self._on_request_timeout)
         try:
-            self._parse(data)
+            self._parse_request(data)
         except RequestError as exc:
-            self._refuse(exc)
+            self._reject(exc)
 
-    def _hold(self, data: bytes) -> None:
-        self._waiting += data
-        if len(self._waiting) > MAX_WAITING_BYTES:
+    def _buffer_data(self, data: bytes) -> None:
+        self._pipelined += data
+        if len(self._pipelined) > MAX_PIPELINED_BYTES:
             self.abort()
 
-    def _parse(self, data: bytes) -> None:
+    def _parse_request(self, data: bytes) -> None:
         if self._head is None:
             result = self._heads.feed(data)
             if result is None:
                 return
             self._head, data = result
-            self._head_at = self._server.timers.now()
-            self._set_timer(self._server.limits.request_timeout, self._request_late)
-            self._decoder = request_decoder(self._head, self._server.limits.max_body)
+            self._head_received_at = self._server.timers.now()
+            self._set_timer(self._server.limits.request_timeout, self._on_request_timeout)
+            self._decoder = create_request_decoder(self._head, self._server.limits.max_body)
             if self._head.headers.get("expect", "").lower() == "100-continue":
                 self._write(b"HTTP/1.1 100 Continue\r\n\r\n")
         body, rest = self._decoder.feed(data)
         self._body += body
         if len(self._body) > self._server.limits.max_body:
             raise RequestError(
-                ErrorKind.BODY_TOO_LARGE, f"the body is over {self._server.limits.max_body} bytes"
+                ErrorKind.BODY_TOO_LARGE,
+                f"body is larger than {self._server.limits.max_body} bytes",
             )
         if self._decoder.complete:
             self._dispatch(rest)
 
     def _dispatch(self, rest: bytes) -> None:
         self._timer.cancel()
-        self._answering = True
-        self.requests += 1
-        self._waiting += rest
+        self._responding = True
+        self.request_count += 1
+        self._pipelined += rest
         head = self._head
         self._keep_alive = head.keep_alive
         self._method = head.method
@@ -213,66 +216,66 @@
             bytes(self._body),
             head.target,
             head.fields,
-            self._head_at,
+            self._head_received_at,
         )
         self._server.dispatch(req, self)
 
-    def _request_late(self) -> None:
-        self._refuse(RequestError(ErrorKind.REQUEST_TIMEOUT, retry_after=1.0))
+    def _on_request_timeout(self) -> None:
+        self._reject(RequestError(ErrorKind.REQUEST_TIMEOUT, retry_after=1.0))
 
-    def refuse_unread(self, exc: RequestError) -> bool:
-        """Refuse a request that has not come whole; False if there is none."""
-        is_unread = not self.idle and not self._answering and not self._closed
-        if is_unread:
-            self._refuse(exc)
-        return is_unread
+    def reject_incomplete(self, exc: RequestError) -> bool:
+        """Reject a partially received request; return False if there is none."""
+        is_incomplete = not self.is_idle and not self._responding and not self._closed
+        if is_incomplete:
+            self._reject(exc)
+        return is_incomplete
 
-    def _refuse(self, exc: RequestError) -> None:
-        """Answer a request that could not be read, and close: its end is not known."""
-        self._server.count_refusal(exc.kind)
-        self._answering = True
+    def _reject(self, exc: RequestError) -> None:
+        """Send an error response and close, since the end of the request is unknown."""
+        self._server.count_rejection(exc.kind)
+        self._responding = True
         self._keep_alive = False
         self.respond(*self._server.render_error(exc))
 
     def respond(self, status: int, headers: tuple[tuple[str, str], ...], body: bytes) -> None:
-        """Send a whole answer."""
+        """Send a complete response."""
         extra = (("Content-Length", str(len(body))),) if status != STATUS_NOT_MODIFIED else ()
         payload = b"" if self._method == "HEAD" else body
-        self._write(self._head_bytes(status, headers + extra) + payload)
-        self._answered()
+        self._write(self._encode_head(status, headers + extra) + payload)
+        self._finish_response()
 
     def begin(self, status: int, headers: tuple[tuple[str, str], ...]) -> None:
-        """Send the head of a streamed answer."""
-        self._write(self._head_bytes(status, (*headers, ("Transfer-Encoding", "chunked"))))
+        """Start a streamed response by sending its head."""
+        self._write(self._encode_head(status, (*headers, ("Transfer-Encoding", "chunked"))))
 
     def send(self, data: bytes) -> bool:
-        """Send one chunk; False if the caller is gone or too far behind."""
+        """Send one chunk; return False if the caller disconnected or reads too slowly."""
         if self._closed:
             return False
         if not data:
             return True
         self._write(b"%x\r\n%b\r\n" % (len(data), data))
-        return self._server.unread(self._sock) <= self._server.limits.max_unread
+        return self._server.count_unsent(self._sock) <= self._server.limits.max_unsent_bytes
 
     def finish(self) -> None:
-        """End a streamed answer."""
+        """End a streamed response."""
         self._write(b"0\r\n\r\n")
-        self._answered()
+        self._finish_response()
 
     def abort(self) -> None:
-        """Break the connection at once."""
+        """Close the connection at once, without sending queued bytes."""
         self._server.drop(self._sock)
 
-    def gone(self) -> None:
-        """Note that the socket is closed and tell who was answering."""
+    def mark_closed(self) -> None:
+        """Record that the socket is closed and notify the handler of a pending response."""
         self._closed = True
         if self._timer is not None:
             self._timer.cancel()
-        if self._answering and self.on_gone is not None:
-            listener, self.on_gone = self.on_gone, None
+        if self._responding and self.on_disconnect is not None:
+            listener, self.on_disconnect = self.on_disconnect, None
             listener()
 
-    def _head_bytes(self, status: int, headers: tuple[tuple[str, str], ...]) -> bytes:
+    def _encode_head(self, status: int, headers: tuple[tuple[str, str], ...]) -> bytes:
         lines = [f"HTTP/1.1 {status} {REASONS.get(status, 'Status')}"]
         lines += [f"{name}: {value}" for name, value in headers]
         if self._server.closing:
@@ -285,18 +288,18 @@
         if not self._closed:
             self._server.send(self._sock, data)
 
-    def _answered(self) -> None:
+    def _finish_response(self) -> None:
         if self._closed:
             return
         if not self._keep_alive:
             self._close()
             return
-        waiting = bytes(self._waiting)
-        self._waiting.clear()
-        self._reset()
-        self.watch_idle()
-        if waiting:
-            self.receive(waiting)
+        pipelined = bytes(self._pipelined)
+        self._pipelined.clear()
+        self._start_request()
+        self.start_idle_timer()
+        if pipelined:
+            self.receive(pipelined)
 
     def _close(self) -> None:
         if not self._closed:
@@ -304,25 +307,27 @@
 
 
 class HTTPServer(BaseComponent, ConnectionListener):
-    """Accept connections on one address and hand each complete request to `on_request`.
+    """HTTP server on one address that passes each complete request to `on_request`.
 
     Parameters
     ----------
     bind : tuple of (str, int)
-        Address and port; port 0 lets the kernel pick.
+        Address and port; with port 0 the kernel chooses a free one.
     on_request : callable
-        Gets the `InboundRequest` and its `Exchange`.
-    count_refusal : callable, optional
-        Gets the `ErrorKind` of each request that could not be read.
+        Called with the `InboundRequest` and its `Exchange`.
+    count_rejection : callable, optional
+        Called with the `ErrorKind` of each request that is rejected before it is complete.
+    on_fault : callable, optional
+        Called with each unhandled exception of `on_request` and each error of accepting.
     render_error : callable, optional
-        Returns status, headers and body of the answer for a `RequestError`.
+        Returns status, headers and body of the response for a `RequestError`.
 
     Attributes
     ----------
     limits : ServerLimits
-        May be replaced at any time; a connection takes the new ones with its next request.
+        May be replaced at any time; the new limits apply from the next request of a connection.
     closing : bool
-        True once each answer is to be the last one of its connection.
+        If True, each connection is closed after its current response.
     """
 
     def __init__(
@@ -331,17 +336,17 @@
         on_request: Callable[[InboundRequest, Exchange], None],
         timers: TimerService,
         limits: ServerLimits | None = None,
-        count_refusal: Callable[[ErrorKind], None] = lambda kind: None,
+        count_rejection: Callable[[ErrorKind], None] = lambda kind: None,
         on_fault: Callable[[Exception], None] = lambda exc: None,
         channel: str = "http-server",
-        render_error: Callable[[RequestError], RenderedError] = default_error,
+        render_error: Callable[[RequestError], RenderedError] = render_default_error,
     ):
         super().__init__(channel=channel)
         self.timers = timers
         self.limits = limits or ServerLimits()
         self.closing = False
         self.render_error = render_error
-        self.count_refusal = count_refusal
+        self.count_rejection = count_rejection
         self._on_request = on_request
         self._on_fault = on_fault
         self._connections: dict = {}
@@ -360,73 +365,73 @@
         return len(self._connections)
 
     def dispatch(self, req: InboundRequest, exchange: Exchange) -> None:
-        """Hand a request over; a fault in the handler ends that request only."""
+        """Pass a request to the handler; an exception is answered with an error response."""
         try:
             self._on_request(req, exchange)
         except RequestError as exc:
             exchange.respond(*self.render_error(exc))
-        except Exception as exc:  # a fault must not leave the caller without an answer
+        except Exception as exc:  # the caller must get a response in any case
             self._on_fault(exc)
             exchange.respond(*self.render_error(RequestError(ErrorKind.INTERNAL)))
 
-    def unread(self, sock) -> int:
-        """Return the number of bytes that wait for the reader of `sock`."""
-        return self._sockets.waiting.get(sock, 0)
+    def count_unsent(self, sock) -> int:
+        """Return the number of response bytes queued on `sock`."""
+        return self._sockets.unsent_bytes.get(sock, 0)
 
     def send(self, sock: socket.socket, data: bytes) -> None:
         """Queue bytes for `sock`.
 
         Notes
         -----
-        Called directly, not as an event: what waits must be counted before the next chunk is made.
+        A direct call instead of an event: the bytes are counted before the next chunk is produced.
         """
-        self._sockets.queue(sock, data)
+        self._sockets.write(sock, data)
 
     def close_after_sending(self, sock: socket.socket) -> None:
-        """Close `sock` once what waits for it has been sent."""
+        """Close `sock` after its queued bytes have been sent."""
         self._sockets.close(sock)
 
     def close_idle(self) -> int:
-        """Close the connections on which no request has begun and return their number."""
-        idle = [sock for sock, conn in self._connections.items() if conn.idle]
+        """Close the connections without a request and return the number of those found idle."""
+        idle = [sock for sock, conn in self._connections.items() if conn.is_idle]
         for sock in idle:
-            self.retire(sock)
+            self.close_if_idle(sock)
         return len(idle)
 
-    def refuse_unread(self, exc: RequestError) -> int:
-        """Refuse the requests that have not come whole and return their number."""
-        return sum(conn.refuse_unread(exc) for conn in list(self._connections.values()))
+    def reject_incomplete(self, exc: RequestError) -> int:
+        """Reject all partially received requests and return their number."""
+        return sum(conn.reject_incomplete(exc) for conn in list(self._connections.values()))
 
-    def retire(self, sock: socket.socket) -> None:
+    def close_if_idle(self, sock: socket.socket) -> None:
         """Close an idle connection, unless a request has arrived on it.
 
         Notes
         -----
-        What the kernel holds is read first. Closed at once, a connection would lose a request that
-        came before its close; a caller who had sent it would see a reset.
+        Bytes in the kernel's receive buffer are read first. Otherwise a request that arrived before
+        the close would be lost and its caller would see a reset.
         """
         conn = self._connections.get(sock)
         if conn is None:
             return
-        requests = conn.requests
-        self._sockets.read_now(sock)
-        if conn.idle and conn.requests == requests:
+        request_count = conn.request_count
+        self._sockets.read_available(sock)
+        if conn.is_idle and conn.request_count == request_count:
             self.close_after_sending(sock)
 
     def drop(self, sock: socket.socket) -> None:
-        """Close `sock` without sending what waits for it."""
+        """Close `sock` without sending its queued bytes."""
         self._sockets.drop(sock)
 
     def accepted(self, sock: socket.socket) -> None:
-        """Begin to read requests from a new connection."""
+        """Start to read requests from a new connection."""
         conn = _Connection(self, sock)
         self._connections[sock] = conn
-        conn.watch_idle()
+        conn.start_idle_timer()
 
     def received(self, sock: socket.socket, data: bytes) -> None:
-        """Hand bytes to their connection."""
+        """Pass received bytes to their connection."""
         self._connections[sock].receive(data)
 
     def closed(self, sock: socket.socket) -> None:
-        """Forget a connection."""
-        self._connections.pop(sock).gone()
+        """Remove a closed connection."""
+        self._connections.pop(sock).mark_closed()
--- a/flamingofront/connection/sockets.py
+++ b/flamingofront/connection/sockets.py
@@ -1,4 +1,4 @@
-"""A listening socket and its connections, with a count of what waits for each reader."""
+"""Listening socket and its connections, with the number of unsent bytes per connection."""
 
 import contextlib
 import errno
@@ -16,46 +16,46 @@
 __all__ = ["ConnectionListener", "ServerSockets"]
 
 MAX_SEND_BYTES = 256 * 1024
-# Connections that the kernel holds until they are accepted: all callers of a VM at once.
-BACKLOG = 4096
-# The caller gave a connection up before it was accepted, or the poll was for one already taken.
-_NOTHING_TO_ACCEPT = (errno.EAGAIN, errno.ECONNABORTED)
+# Large enough that all callers of a VM can connect at once.
+LISTEN_BACKLOG = 4096
+# No connection is pending, or the caller closed it before it was accepted.
+_NO_CONNECTION_ERRORS = (errno.EAGAIN, errno.ECONNABORTED)
 
 
 class ConnectionListener(ABC):
-    """Gets what happens at the connections of a `ServerSockets`."""
+    """Receiver of the events of the connections of a `ServerSockets`."""
 
     @abstractmethod
     def accepted(self, sock: socket.socket) -> None:
-        """Take a new connection."""
+        """Handle a new connection."""
 
     @abstractmethod
     def received(self, sock: socket.socket, data: bytes) -> None:
-        """Take bytes that came on a connection."""
+        """Handle bytes that were received on a connection."""
 
     @abstractmethod
     def closed(self, sock: socket.socket) -> None:
-        """Take note that a connection was closed, by either side."""
+        """Handle the close of a connection by either side."""
 
 
 class ServerSockets(BaseComponent, SocketOwner):
-    """Accepts connections on one address, reads and writes them.
+    """Accepts connections on one address, reads from them and writes to them.
 
     Parameters
     ----------
     bind : tuple of (str, int)
-        Address and port; port 0 lets the kernel pick.
+        Address and port; with port 0 the kernel chooses a free one.
     listener : ConnectionListener
-        `closed` is called from the timer service, not from within the call that closes.
+        Its `closed` method is called by the timer service, not within the call that closes.
     read_bytes : int
-        Most bytes of one read.
+        Maximum number of bytes of one read.
     on_fault : callable
-        Gets an error of accepting, for example that no descriptor is left.
+        Called with an error of accepting a connection, for example "too many open files".
 
     Attributes
     ----------
-    waiting : dict of socket to int
-        Bytes that wait for the reader of each connection; those without any are left out.
+    unsent_bytes : dict of socket to int
+        Bytes queued on each connection; a connection without queued bytes has no entry.
     """
 
     def __init__(
@@ -68,7 +68,7 @@
         channel: str,
     ):
         super().__init__(channel=channel)
-        self.waiting: dict[socket.socket, int] = {}
+        self.unsent_bytes: dict[socket.socket, int] = {}
         self._listener = listener
         self._timers = timers
         self._read_bytes = read_bytes
@@ -76,43 +76,43 @@
         self._buffers: dict[socket.socket, deque[bytes]] = {}
         self._closing: set[socket.socket] = set()
         self._poller: DirectPoller | None = None
-        self._bound = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
-        self._bound.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-        self._bound.setblocking(False)
-        self._bound.bind(bind)
-        self._bound.listen(BACKLOG)
-        self._port = self._bound.getsockname()[1]
+        self._listen_socket = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
+        self._listen_socket.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
+        self._listen_socket.setblocking(False)
+        self._listen_socket.bind(bind)
+        self._listen_socket.listen(LISTEN_BACKLOG)
+        self._port = self._listen_socket.getsockname()[1]
 
     @property
     def port(self) -> int:
-        """Port that is listened on."""
+        """Port of the listening socket."""
         return self._port
 
     @handler("registered", channel="*")
     def _on_registered(self, component, manager) -> None:
         if self._poller is None:
             self._poller = findcmp(self.root, DirectPoller)
-            self._poller.watch(self._bound, self, READ)
+            self._poller.watch(self._listen_socket, self, READ)
 
     @handler("stopped", channel="*")
     def _on_stopped(self, component) -> None:
-        """Listen no more: a process that has stopped takes no new connections."""
-        if self._bound.fileno() >= 0:
-            self._poller.forget(self._bound)
-            self._bound.close()
-
-    def readable(self, sock: socket.socket) -> None:
-        """Accept a connection, or read from one."""
-        if sock is self._bound:
+        """Close the listening socket, so that a stopped process gets no new connections."""
+        if self._listen_socket.fileno() >= 0:
+            self._poller.unwatch(self._listen_socket)
+            self._listen_socket.close()
+
+    def on_readable(self, sock: socket.socket) -> None:
+        """Accept a connection, or read from an accepted one."""
+        if sock is self._listen_socket:
             self._accept()
         else:
-            self.read_now(sock)
+            self.read_available(sock)
 
     def _accept(self) -> None:
         try:
-            sock, _ = self._bound.accept()
+            sock, _ = self._listen_socket.accept()
         except OSError as exc:
-            if exc.errno not in _NOTHING_TO_ACCEPT:
+            if exc.errno not in _NO_CONNECTION_ERRORS:
                 self._on_fault(exc)
             return
         sock.setblocking(False)
@@ -121,8 +121,8 @@
         self._poller.watch(sock, self, READ)
         self._listener.accepted(sock)
 
-    def read_now(self, sock: socket.socket) -> None:
-        """Pass on what has arrived on a connection; close it if the caller has."""
+    def read_available(self, sock: socket.socket) -> None:
+        """Read once and pass the bytes to the listener; close the connection if the caller did."""
         if sock not in self._buffers:
             return
         try:
@@ -137,37 +137,37 @@
         else:
             self.close(sock)
 
-    def broken(self, sock: socket.socket) -> None:
-        """Close a connection that its caller has reset."""
+    def on_socket_error(self, sock: socket.socket) -> None:
+        """Close a connection that the caller reset."""
         self.drop(sock)
 
-    def queue(self, sock: socket.socket, data: bytes) -> None:
-        """Send bytes, and keep what the socket does not take at once.
+    def write(self, sock: socket.socket, data: bytes) -> None:
+        """Send bytes and queue those that the kernel does not accept at once.
 
         Notes
         -----
-        The listener learns late that a connection was closed; what is sent until then is dropped.
+        The listener is notified of a close with a delay; bytes sent until then are discarded.
         """
         buffer = self._buffers.get(sock)
         if buffer is None:
             return
         if not buffer:
-            data = data[self._send_now(sock, data) :]
+            data = data[self._try_send(sock, data) :]
         if data:
             buffer.append(data)
-            self.waiting[sock] = self.waiting.get(sock, 0) + len(data)
+            self.unsent_bytes[sock] = self.unsent_bytes.get(sock, 0) + len(data)
             self._poller.watch(sock, self, READ | WRITE)
 
     @staticmethod
-    def _send_now(sock: socket.socket, data: bytes) -> int:
-        """Return how many bytes the socket took; a broken one shows at the next poll."""
+    def _try_send(sock: socket.socket, data: bytes) -> int:
+        """Send without queueing; return the number of bytes sent, 0 after an error."""
         try:
             return sock.send(data)
         except OSError:
-            return 0
+            return 0  # the next poll reports the error
 
-    def writable(self, sock: socket.socket) -> None:
-        """Send what waits for a reader."""
+    def on_writable(self, sock: socket.socket) -> None:
+        """Send queued bytes of a connection."""
         buffer = self._buffers[sock]
         parts, size = [], 0
         while buffer and size < MAX_SEND_BYTES:
@@ -183,35 +183,35 @@
             return
         if sent < len(joined):
             buffer.appendleft(joined[sent:])
-        self.waiting[sock] -= sent
+        self.unsent_bytes[sock] -= sent
         if not buffer:
-            self._written(sock)
+            self._on_all_sent(sock)
 
-    def _written(self, sock: socket.socket) -> None:
-        """Go on after all that waited for a reader was sent."""
-        del self.waiting[sock]
+    def _on_all_sent(self, sock: socket.socket) -> None:
+        """Close the connection if that was requested, otherwise resume reading."""
+        del self.unsent_bytes[sock]
         if sock in self._closing:
             self.drop(sock)
         else:
             self._poller.watch(sock, self, READ)
 
     def close(self, sock: socket.socket) -> None:
-        """Close a connection once what waits for it has been sent."""
-        if self.waiting.get(sock):
+        """Close a connection after its queued bytes have been sent."""
+        if self.unsent_bytes.get(sock):
             self._closing.add(sock)
-            # What the caller sends is read no more; its end would be told at each poll.
+            # Reading stops: otherwise each poll would report the end of the caller's stream.
             self._poller.watch(sock, self, WRITE)
         else:
             self.drop(sock)
 
     def drop(self, sock: socket.socket) -> None:
-        """Close a connection without sending what waits for it."""
+        """Close a connection without sending its queued bytes."""
         if self._buffers.pop(sock, None) is None:
             return
-        self.waiting.pop(sock, None)
+        self.unsent_bytes.pop(sock, None)
         self._closing.discard(sock)
-        self._poller.forget(sock)
-        with contextlib.suppress(OSError):  # its caller has closed it already
+        self._poller.unwatch(sock)
+        with contextlib.suppress(OSError):  # the caller has closed it already
             sock.shutdown(socket.SHUT_RDWR)
         sock.close()
         self._timers.once(0.0, lambda: self._listener.closed(sock))
--- a/flamingofront/connection/tests/test_client.py
+++ b/flamingofront/connection/tests/test_client.py
@@ -1,4 +1,4 @@
-"""The HTTP client against endpoints that misbehave, on real sockets and a manual clock."""
+"""Tests of the HTTP client against misbehaving endpoints, with real sockets and a manual clock."""
 
 import queue
 import socket
@@ -7,7 +7,7 @@
 import pytest
 
 from flamingofront.connection.client import USER_TIMEOUT_MS, HTTPClient
-from flamingofront.connection.interfaces import Reach
+from flamingofront.connection.interfaces import ConnectResult
 from flamingofront.connection.runtime import Runtime
 from flamingofront.messages import (
     CallFailed,
@@ -22,11 +22,11 @@
 
 
 class Endpoint:
-    """Answers each request on a connection with the next of some canned bytes."""
+    """Endpoint that sends the next of its prepared responses for each received request."""
 
-    def __init__(self, *answers, then_close=False):
-        self.answers = list(answers)
-        self.then_close = then_close
+    def __init__(self, *responses, close_after=False):
+        self.responses = list(responses)
+        self.close_after = close_after
         self.connections = 0
         self.requests = []
         self.listener = socket.create_server(("127.0.0.1", 0))
@@ -51,14 +51,14 @@
             if not data:
                 return
             self.requests.append(data)
-            conn.sendall(self.answers.pop(0))
-            if self.then_close:
+            conn.sendall(self.responses.pop(0))
+            if self.close_after:
                 conn.close()
                 return
 
 
 class Client:
-    """A client in a thread of its own."""
+    """HTTP client in its own thread."""
 
     def __init__(self):
         self.clock = ManualClock()
@@ -68,12 +68,12 @@
         self.thread = threading.Thread(target=self.runtime.run, daemon=True)
         self.thread.start()
 
-    def act(self, callback):
+    def run_in_loop(self, callback):
         self.runtime.timers.once(0.0, callback)
         self.runtime.poller.resume()
 
     def call(self, address, **options):
-        """Make a call and return its events."""
+        """Make a call and return all of its events."""
         events, done = [], threading.Event()
 
         def listen(event):
@@ -82,18 +82,18 @@
                 done.set()
 
         call = OutboundCall(address, "GET", "/x?y=%20", timeout=60.0, **options)
-        self.act(lambda: self.client.start(call, listen))
+        self.run_in_loop(lambda: self.client.start(call, listen))
         assert done.wait(WAIT_SECONDS)
         return events
 
-    def pass_time(self, seconds):
+    def advance_time(self, seconds):
         self.clock.time += seconds
         done = threading.Event()
-        self.act(done.set)
+        self.run_in_loop(done.set)
         assert done.wait(WAIT_SECONDS)
 
     def stop(self):
-        self.act(self.runtime.stop)
+        self.run_in_loop(self.runtime.stop)
         self.thread.join(WAIT_SECONDS)
 
 
@@ -104,14 +104,14 @@
     started.stop()
 
 
-def answer(body=b"ok", more="", extra=b""):
+def encode_response(body=b"ok", more="", extra=b""):
     head = f"HTTP/1.1 200 OK\r\nContent-Length: {len(body)}\r\n{more}\r\n".encode()
     return head + body + extra
 
 
 class TestReuse:
-    def test_connection_carries_a_second_call(self, client):
-        endpoint = Endpoint(answer(), answer(b"two"))
+    def test_connection_is_reused(self, client):
+        endpoint = Endpoint(encode_response(), encode_response(b"two"))
         client.call(endpoint.address)
         events = client.call(endpoint.address)
         assert [each.data for each in events if isinstance(each, ResponseData)] == [b"two"]
@@ -120,59 +120,59 @@
     @pytest.mark.parametrize(
         "first",
         [
-            answer(extra=b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nstray"),
-            answer(more="Connection: close\r\n"),
-            answer(more="Keep-Alive: timeout=1\r\n"),
+            encode_response(extra=b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nstray"),
+            encode_response(more="Connection: close\r\n"),
+            encode_response(more="Keep-Alive: timeout=1\r\n"),
         ],
-        ids=["bytes behind the answer", "close announced", "kept too short"],
+        ids=["bytes after the response", "close announced", "keep-alive too short"],
     )
-    def test_connection_is_not_used_again(self, client, first):
-        endpoint = Endpoint(first, answer(b"own"))
+    def test_connection_is_not_reused(self, client, first):
+        endpoint = Endpoint(first, encode_response(b"own"))
         client.call(endpoint.address)
         events = client.call(endpoint.address)
         assert [each.data for each in events if isinstance(each, ResponseData)] == [b"own"]
         assert endpoint.connections == 2
 
-    def test_kept_connection_is_given_up_before_the_announced_time(self, client):
-        endpoint = Endpoint(answer(more="Keep-Alive: timeout=5\r\n"), answer())
+    def test_idle_connection_is_closed_before_the_announced_timeout(self, client):
+        endpoint = Endpoint(encode_response(more="Keep-Alive: timeout=5\r\n"), encode_response())
         client.call(endpoint.address)
-        client.pass_time(4.1)
+        client.advance_time(4.1)
         client.call(endpoint.address)
         assert endpoint.connections == 2
 
-    def test_call_may_ask_for_a_fresh_connection(self, client):
-        endpoint = Endpoint(answer(), answer())
+    def test_fresh_call_opens_a_new_connection(self, client):
+        endpoint = Endpoint(encode_response(), encode_response())
         client.call(endpoint.address)
         client.call(endpoint.address, fresh=True)
         assert endpoint.connections == 2
 
 
 class TestFraming:
-    def test_target_and_host_go_out_as_given_and_a_get_has_no_length(self, client):
-        endpoint = Endpoint(answer())
+    def test_target_and_host_are_sent_unchanged_without_content_length(self, client):
+        endpoint = Endpoint(encode_response())
         client.call(endpoint.address, host="desk.example")
         (sent,) = endpoint.requests
         assert sent.startswith(b"GET /x?y=%20 HTTP/1.1\r\nHost: desk.example\r\n")
         assert b"Content-Length" not in sent
 
-    def test_headers_come_back_as_sent(self, client):
-        endpoint = Endpoint(answer(more="X-Seal: A.b\r\nX-Seal: c\r\n"))
+    def test_response_headers_are_unchanged(self, client):
+        endpoint = Endpoint(encode_response(more="X-Seal: A.b\r\nX-Seal: c\r\n"))
         head = client.call(endpoint.address)[0]
         assert isinstance(head, ResponseHead)
         assert [value for name, value in head.fields if name == "X-Seal"] == ["A.b", "c"]
 
-    def test_body_without_length_is_whole_at_an_orderly_close(self, client):
-        endpoint = Endpoint(b"HTTP/1.1 200 OK\r\n\r\nuntil the end", then_close=True)
+    def test_body_without_length_is_complete_at_close(self, client):
+        endpoint = Endpoint(b"HTTP/1.1 200 OK\r\n\r\nuntil the end", close_after=True)
         assert isinstance(client.call(endpoint.address)[-1], ResponseEnd)
 
-    def test_body_cut_short_is_a_failure(self, client):
-        endpoint = Endpoint(b"HTTP/1.1 200 OK\r\nContent-Length: 50\r\n\r\nhalf", then_close=True)
+    def test_truncated_body_is_a_failure(self, client):
+        endpoint = Endpoint(b"HTTP/1.1 200 OK\r\nContent-Length: 50\r\n\r\nhalf", close_after=True)
         *_, last = client.call(endpoint.address)
         assert last == CallFailed("reset", True)
 
 
-class TestSilence:
-    def test_connection_that_does_not_come_about_is_given_up(self, client):
+class TestUnresponsiveTarget:
+    def test_connect_timeout(self, client):
         listener = socket.socket()
         listener.bind(("127.0.0.1", 0))
         listener.listen(0)
@@ -188,15 +188,15 @@
             done.set()
 
         call = OutboundCall(address, "GET", "/", timeout=60.0, connect_timeout=0.25)
-        client.act(lambda: client.client.start(call, listen))
-        client.pass_time(0.3)
+        client.run_in_loop(lambda: client.client.start(call, listen))
+        client.advance_time(0.3)
         assert done.wait(WAIT_SECONDS)
         assert events == [CallFailed("connect", False)]
         for each in (*fillers, listener):
             each.close()
 
-    def test_call_sets_how_long_the_system_keeps_unacknowledged_bytes(self, client):
-        endpoint = Endpoint(answer(), answer())
+    def test_silence_timeout_sets_tcp_user_timeout(self, client):
+        endpoint = Endpoint(encode_response(), encode_response())
         client.call(endpoint.address, silence_timeout=0.8)
         (conn,) = client.client._connections.values()
         option = (socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT)
@@ -206,7 +206,7 @@
 
 
 class SlowEndpoint:
-    """Sends the parts of one answer when it is told to."""
+    """Endpoint whose response is sent piece by piece by the test."""
 
     def __init__(self):
         self._listener = socket.create_server(("127.0.0.1", 0))
@@ -214,7 +214,7 @@
         self._conn = None
 
     def send(self, data):
-        """Send a part of the answer, the first one to whoever has connected."""
+        """Send a part of the response; the first call accepts the connection."""
         if self._conn is None:
             self._conn, _ = self._listener.accept()
         self._conn.sendall(data)
@@ -225,9 +225,9 @@
 
 
 class TestLargeResponses:
-    """A response that took its link longer than the time-out was given up and asked for again."""
+    """Guard against aborting and retrying a response that takes long on a slow link."""
 
-    SECONDS = 1.0
+    TIMEOUT_SECONDS = 1.0
 
     @pytest.fixture
     def endpoint(self):
@@ -235,39 +235,39 @@
         yield started
         started.stop()
 
-    def begin(self, client, endpoint, **options):
-        """Begin a call; return the queue of its events."""
+    def start_response(self, client, endpoint, **options):
+        """Start a call and its response; return the queue of its further events."""
         events = queue.Queue()
-        call = OutboundCall(endpoint.address, "GET", "/", timeout=self.SECONDS, **options)
-        client.act(lambda: client.client.start(call, events.put))
+        call = OutboundCall(endpoint.address, "GET", "/", timeout=self.TIMEOUT_SECONDS, **options)
+        client.run_in_loop(lambda: client.client.start(call, events.put))
         endpoint.send(b"HTTP/1.1 200 OK\r\nContent-Length: 8\r\n\r\nab")
         assert isinstance(events.get(timeout=WAIT_SECONDS), ResponseHead)
         assert events.get(timeout=WAIT_SECONDS) == ResponseData(b"ab")
         return events
 
-    def test_response_that_goes_on_is_read_to_its_end(self, client, endpoint):
-        events = self.begin(client, endpoint, stall_timeout=self.SECONDS)
+    def test_response_that_makes_progress_is_read_completely(self, client, endpoint):
+        events = self.start_response(client, endpoint, stall_timeout=self.TIMEOUT_SECONDS)
         for part in (b"cd", b"ef", b"gh"):
-            client.pass_time(0.9 * self.SECONDS)
+            client.advance_time(0.9 * self.TIMEOUT_SECONDS)
             endpoint.send(part)
             assert events.get(timeout=WAIT_SECONDS) == ResponseData(part)
         assert events.get(timeout=WAIT_SECONDS) == ResponseEnd()
 
-    def test_response_that_stalls_is_given_up(self, client, endpoint):
-        events = self.begin(client, endpoint, stall_timeout=0.5 * self.SECONDS)
-        client.pass_time(0.6 * self.SECONDS)
+    def test_stalled_response_times_out(self, client, endpoint):
+        events = self.start_response(client, endpoint, stall_timeout=0.5 * self.TIMEOUT_SECONDS)
+        client.advance_time(0.6 * self.TIMEOUT_SECONDS)
         assert events.get(timeout=WAIT_SECONDS) == CallFailed("timeout", True)
 
-    def test_call_without_a_stall_timeout_is_bounded_as_a_whole(self, client, endpoint):
-        events = self.begin(client, endpoint)
-        client.pass_time(0.9 * self.SECONDS)
+    def test_timeout_limits_the_whole_call_without_a_stall_timeout(self, client, endpoint):
+        events = self.start_response(client, endpoint)
+        client.advance_time(0.9 * self.TIMEOUT_SECONDS)
         endpoint.send(b"cd")
         assert events.get(timeout=WAIT_SECONDS) == ResponseData(b"cd")
-        client.pass_time(0.2 * self.SECONDS)
+        client.advance_time(0.2 * self.TIMEOUT_SECONDS)
         assert events.get(timeout=WAIT_SECONDS) == CallFailed("timeout", True)
 
 
-def unused_address():
+def find_unused_address():
     with socket.create_server(("127.0.0.1", 0)) as listener:
         return f"127.0.0.1:{listener.getsockname()[1]}"
 
@@ -275,25 +275,25 @@
 class TestProbe:
     @pytest.fixture
     def probe(self, client):
-        def ask(address):
-            found, done = [], threading.Event()
+        def run_probe(address):
+            results, done = [], threading.Event()
 
-            def listen(reach):
-                found.append(reach)
+            def listen(result):
+                results.append(result)
                 done.set()
 
-            client.act(lambda: client.client.probe(address, 60.0, listen))
+            client.run_in_loop(lambda: client.client.probe(address, 60.0, listen))
             assert done.wait(WAIT_SECONDS)
             assert not client.client._connections
-            return found
+            return results
 
-        return ask
+        return run_probe
 
-    def test_address_where_a_process_listens(self, probe):
-        assert probe(Endpoint().address) == [Reach.CONNECTED]
+    def test_probe_of_a_listening_process(self, probe):
+        assert probe(Endpoint().address) == [ConnectResult.CONNECTED]
 
-    def test_address_where_none_listens(self, probe):
-        assert probe(unused_address()) == [Reach.REFUSED]
+    def test_probe_of_a_closed_port(self, probe):
+        assert probe(find_unused_address()) == [ConnectResult.REFUSED]
 
-    def test_call_to_an_address_where_none_listens_is_refused(self, client):
-        assert client.call(unused_address()) == [CallFailed("refused", False)]
+    def test_call_to_a_closed_port_is_refused(self, client):
+        assert client.call(find_unused_address()) == [CallFailed("refused", False)]
--- a/flamingofront/connection/tests/test_components.py
+++ b/flamingofront/connection/tests/test_components.py
@@ -1,4 +1,4 @@
-"""Components of circuits: a public method must not become a handler by its name."""
+"""Test that no public method of a circuits component is a handler because of its name."""
 
 import importlib
 import pkgutil
@@ -9,27 +9,31 @@
 import flamingofront
 
 
-def _components():
-    """Return the component classes of the whole package, tests apart."""
+def _find_components():
+    """Return all component classes of the package except those of tests."""
     for each in pkgutil.walk_packages(flamingofront.__path__, "flamingofront."):
         if ".tests" not in each.name:
             importlib.import_module(each.name)
-    found, waiting = [], [BaseComponent]
-    while waiting:
-        for each in waiting.pop().__subclasses__():
-            waiting.append(each)
+    found, pending = [], [BaseComponent]
+    while pending:
+        for each in pending.pop().__subclasses__():
+            pending.append(each)
             if each.__module__.startswith("flamingofront."):
                 found.append(each)
     return found
 
 
 class TestComponents:
-    def test_there_are_some(self):
-        assert {each.__name__ for each in _components()} >= {"HTTPServer", "HTTPClient", "Runtime"}
-
-    @pytest.mark.parametrize("component", _components(), ids=lambda each: each.__name__)
-    def test_public_methods_are_no_handlers(self, component):
-        """A `Component` makes a handler of each public method, for the event of its name."""
+    def test_components_are_found(self):
+        assert {each.__name__ for each in _find_components()} >= {
+            "HTTPServer",
+            "HTTPClient",
+            "Runtime",
+        }
+
+    @pytest.mark.parametrize("component", _find_components(), ids=lambda each: each.__name__)
+    def test_public_methods_are_not_handlers(self, component):
+        """A `Component` would turn each public method into a handler of the event with its name."""
         assert not issubclass(component, Component)
         handlers = [
             name
--- a/flamingofront/connection/tests/test_framing.py
+++ b/flamingofront/connection/tests/test_framing.py
@@ -1,10 +1,10 @@
-"""Strict framing: the same result for any cut of the bytes, an error for what is ambiguous."""
+"""Tests of strict framing: any split of the bytes parses alike, ambiguous input is rejected."""
 
 import pytest
 from hypothesis import given
 from hypothesis import strategies as st
 
-from flamingofront.connection.framing import HeadBuffer, request_decoder
+from flamingofront.connection.framing import HeadBuffer, create_request_decoder
 from flamingofront.errors import ErrorKind, RequestError
 
 MAX_BODY = 1000
@@ -20,7 +20,7 @@
                 if result is None:
                     continue
                 head, piece = result
-                decoder = request_decoder(head, MAX_BODY)
+                decoder = create_request_decoder(head, MAX_BODY)
             if decoder.complete:
                 rest += piece
                 continue
@@ -33,12 +33,12 @@
     return head, body, rest
 
 
-def pieces_of(data, cuts):
+def split_at(data, cuts):
     edges = [0, *sorted(cut % (len(data) + 1) for cut in cuts), len(data)]
     return [data[a:b] for a, b in zip(edges, edges[1:], strict=False)]
 
 
-def chunked(body, sizes):
+def encode_chunked(body, sizes):
     out, at = b"", 0
     for size in sizes:
         part = body[at : at + size]
@@ -53,30 +53,32 @@
 NEXT = b"GET /next HTTP/1.1\r\nHost: h\r\n\r\n"
 
 
-class TestCuts:
+class TestSplitInput:
     @given(st.binary(max_size=200), cuts)
-    def test_length_framed(self, body, at):
+    def test_body_with_content_length(self, body, at):
         data = b"POST /p?a=1 HTTP/1.1\r\nContent-Length: %d\r\n\r\n%b" % (len(body), body) + NEXT
-        head, got, rest = parse(pieces_of(data, at))
+        head, got, rest = parse(split_at(data, at))
         assert (head.method, head.path, head.query) == ("POST", "/p", {"a": "1"})
         assert (got, rest) == (body, NEXT)
 
     @given(st.binary(max_size=200), st.lists(st.integers(1, 50), max_size=6), cuts)
-    def test_chunked(self, body, sizes, at):
-        data = b"POST /p HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n" + chunked(body, sizes)
-        head, got, rest = parse(pieces_of(data + NEXT, at))
+    def test_body_in_chunks(self, body, sizes, at):
+        data = b"POST /p HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n" + encode_chunked(
+            body, sizes
+        )
+        head, got, rest = parse(split_at(data + NEXT, at))
         assert (got, rest) == (body, NEXT)
 
     @given(st.binary(max_size=300), cuts)
-    def test_any_bytes_give_the_same_result_however_cut(self, data, at):
-        assert parse(pieces_of(data, at)) == parse([data])
+    def test_result_is_independent_of_the_split(self, data, at):
+        assert parse(split_at(data, at)) == parse([data])
 
     @given(st.lists(st.sampled_from([b"A: b\r\n", b"\r\n", b"\n", b"\\x41: \\N", b":", b"\x00"])))
-    def test_odd_heads_are_errors_or_heads_but_never_faults(self, lines):
+    def test_unusual_head_raises_only_request_errors(self, lines):
         parse([b"GET / HTTP/1.1\r\n" + b"".join(lines) + b"\r\n\r\n"])
 
 
-class TestAmbiguous:
+class TestAmbiguousInput:
     @pytest.mark.parametrize(
         "headers",
         [
@@ -95,7 +97,7 @@
             b"No colon\r\n",
         ],
     )
-    def test_is_malformed(self, headers):
+    def test_framing_headers_are_rejected(self, headers):
         data = b"POST / HTTP/1.1\r\nHost: h\r\n" + headers + b"\r\nx"
         assert parse([data]) is ErrorKind.MALFORMED_REQUEST
 
@@ -103,11 +105,11 @@
         "line",
         [b"GET", b"GET /", b"GET / HTTP/2.0", b"GET http://h/ HTTP/1.1", b"G@T / HTTP/1.1", b"\\"],
     )
-    def test_first_line_is_malformed(self, line):
+    def test_start_line_is_rejected(self, line):
         assert parse([line + b"\r\n\r\n"]) is ErrorKind.MALFORMED_REQUEST
 
     @pytest.mark.parametrize("chunk", [b"zz\r\n", b"-1\r\n", b"3;x=y\r\nabc\r\n", b"3\r\nabcd\r\n"])
-    def test_chunk_is_malformed(self, chunk):
+    def test_chunk_is_rejected(self, chunk):
         data = b"POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n" + chunk + b"0\r\n\r\n"
         assert parse([data]) is ErrorKind.MALFORMED_REQUEST
 
@@ -116,6 +118,6 @@
         data = b"POST / HTTP/1.1\r\nContent-Length: 1001\r\n\r\n"
         assert parse([data]) is ErrorKind.BODY_TOO_LARGE
 
-    def test_backslashes_in_a_header_are_kept(self):
+    def test_backslashes_in_header_are_unchanged(self):
         head, _, _ = parse([b"GET / HTTP/1.1\r\nA: \\x41\\N{DASH}\\\r\n\r\n"])
         assert head.headers["a"] == "\\x41\\N{DASH}\\"
--- a/flamingofront/connection/tests/test_runtime.py
+++ b/flamingofront/connection/tests/test_runtime.py
@@ -1,4 +1,4 @@
-"""The event loop and its timers."""
+"""Tests of the event loop and its timers."""
 
 import threading
 
@@ -10,40 +10,40 @@
 JOIN_SECONDS = 5.0
 
 
-class note(Event):  # noqa: N801 - circuits names events by their class
+class note(Event):  # noqa: N801 - the class name is the event name
     pass
 
 
 class Listener(Component):
     def __init__(self):
         super().__init__()
-        self.heard = threading.Event()
+        self.received = threading.Event()
 
     def note(self):
-        self.heard.set()
+        self.received.set()
 
 
 class TestRuntime:
-    def test_stop_from_the_last_timer_ends_the_loop(self):
+    def test_stop_in_the_last_timer_ends_the_loop(self):
         runtime = Runtime(print, clock=ManualClock())
         runtime.timers.once(0.0, runtime.stop)
         thread = threading.Thread(target=runtime.run, daemon=True)
         thread.start()
         runtime.poller.resume()
         thread.join(JOIN_SECONDS)
-        ended = not thread.is_alive()
+        has_ended = not thread.is_alive()
         runtime.poller.resume()
-        assert ended
+        assert has_ended
 
-    def test_event_fired_by_a_timer_does_not_wait_for_the_next_poll(self):
+    def test_event_fired_by_a_timer_is_handled_before_the_next_poll(self):
         runtime = Runtime(print, clock=ManualClock())
         listener = Listener().register(runtime)
         runtime.timers.once(0.0, lambda: runtime.fire(note()))
         thread = threading.Thread(target=runtime.run, daemon=True)
         thread.start()
-        heard = listener.heard.wait(JOIN_SECONDS)
+        received = listener.received.wait(JOIN_SECONDS)
         runtime.timers.once(0.0, runtime.stop)
         runtime.poller.resume()
         thread.join(JOIN_SECONDS)
         runtime.poller.resume()
-        assert heard
+        assert received
--- a/flamingofront/forward_daemon.py
+++ b/flamingofront/forward_daemon.py
@@ -83,7 +83,7 @@
             self.callers,
             settings.stop_grace,
             self.runtime.stop,
-            self.callers.refuse_unread,
+            self.callers.reject_incomplete,
         )
 
     def _dependencies(self) -> Dependencies:
--- a/flamingofront/process/former_sends.py
+++ b/flamingofront/process/former_sends.py
@@ -4,7 +4,7 @@
 from collections.abc import Callable, Iterable
 from dataclasses import dataclass
 
-from flamingofront.connection.interfaces import Reach
+from flamingofront.connection.interfaces import ConnectResult
 from flamingofront.decisions.quarantine_facts import EndpointEnd, RecordedSends
 from flamingofront.decisions.send_intents import IntentRecord, SendIntent
 from flamingofront.errors import PlatformError
@@ -131,10 +131,10 @@
             address, PROBE_SECONDS, lambda reach: self._probed(endpoint_id, reach)
         )
 
-    def _probed(self, endpoint_id: str, reach: Reach) -> None:
-        if reach is Reach.CONNECTED:
+    def _probed(self, endpoint_id: str, reach: ConnectResult) -> None:
+        if reach is ConnectResult.CONNECTED:
             self.seen_alive[endpoint_id] = self._guard.wall()
-        elif reach is Reach.REFUSED:
+        elif reach is ConnectResult.REFUSED:
             self._guard.crash_detector.record_closed_port(endpoint_id)
 
     def _read_vanished(self) -> Task:
@@ -197,13 +197,13 @@
             address, PROBE_SECONDS, lambda reach: self._former_probed(endpoint_id, reach)
         )
 
-    def _former_probed(self, endpoint_id: str, reach: Reach) -> None:
-        if reach is not Reach.REFUSED and not self._directory.ready_endpoints():
+    def _former_probed(self, endpoint_id: str, reach: ConnectResult) -> None:
+        if reach is not ConnectResult.REFUSED and not self._directory.ready_endpoints():
             # The rows of endpoints are not read yet.
             self._timers.once(TOGETHER_SECONDS, lambda: self._former_probed(endpoint_id, reach))
-        elif reach is Reach.REFUSED or not self._directory.zone_of(endpoint_id):
+        elif reach is ConnectResult.REFUSED or not self._directory.zone_of(endpoint_id):
             self._guard.crash_detector.record_closed_port(endpoint_id)
-        elif reach is Reach.CONNECTED:
+        elif reach is ConnectResult.CONNECTED:
             self.seen_alive[endpoint_id] = self._guard.wall()
 
     def _read_again(self) -> Task:
--- a/flamingofront/process/forwarding/node.py
+++ b/flamingofront/process/forwarding/node.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass, replace
 
-from flamingofront.connection.client import MAX_IDLE_PER_ADDRESS
+from flamingofront.connection.client import MAX_IDLE_CONNECTIONS_PER_ADDRESS
 from flamingofront.connection.interfaces import Exchange, Transport
 from flamingofront.decisions.choice import BacklogChoice
 from flamingofront.decisions.fleet_plan import CheapestSafeFleet
@@ -485,9 +485,9 @@
         )
         service = self.configuration.services.get(row.service) if row is not None else None
         if service is None or not service.max_connections:
-            return MAX_IDLE_PER_ADDRESS
+            return MAX_IDLE_CONNECTIONS_PER_ADDRESS
         part = service.max_connections * IDLE_PART * self.member_share()
-        return max(1, min(MAX_IDLE_PER_ADDRESS, int(part)))
+        return max(1, min(MAX_IDLE_CONNECTIONS_PER_ADDRESS, int(part)))
 
     def start(self) -> None:
         """Begin all periodic work."""
--- a/flamingofront/request/forward_gateway.py
+++ b/flamingofront/request/forward_gateway.py
@@ -138,7 +138,7 @@
     def _verify(self, req: InboundRequest, exchange: Exchange) -> None:
         """Let a request wait until it is known whether a newer configuration knows its route."""
         waits = _Waits()
-        exchange.on_gone = waits.caller_left
+        exchange.on_disconnect = waits.caller_left
         self.unknown_gate.verify(
             lambda is_current: waits.is_gone or self._verified(req, exchange, is_current)
         )
@@ -189,7 +189,7 @@
         # Before the question: its reply could come after the end of this process.
         self._check_stop(record)
         asked_at = self._hub.now()
-        exchange.on_gone = offer.caller_left
+        exchange.on_disconnect = offer.caller_left
         self.quota_gate.decide(
             workspace, units, lambda decision: self._decided(offer, decision, asked_at)
         )
--- a/flamingofront/request/keyed.py
+++ b/flamingofront/request/keyed.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 
 from flamingofront.connection.interfaces import Exchange
-from flamingofront.connection.server import error_body
+from flamingofront.connection.server import encode_error
 from flamingofront.decisions.admission import WorkspaceShare
 from flamingofront.errors import ANSWERS, ErrorKind, PlatformError, Ran, RequestError
 from flamingofront.messages import InboundRequest, Sleep
@@ -289,7 +289,7 @@
         """Store the answer, or the error, of a job."""
         if answer is None:
             status = ANSWERS[exc.kind].status
-            answer = StoredAnswer(status, "application/json", error_body(exc, request_id))
+            answer = StoredAnswer(status, "application/json", encode_error(exc, request_id))
         self._storing.add(request_id)
         task = finish_job(
             self._documents, request_id, self._vm_id, answer, self._rng, self._until()
--- a/flamingofront/standins/engine.py
+++ b/flamingofront/standins/engine.py
@@ -184,7 +184,7 @@
         stream = self._make_stream(data, exchange)
         counts = self.counts.executions
         counts[stream.request] = counts.get(stream.request, 0) + 1
-        exchange.on_gone = lambda: self._cancel(stream)
+        exchange.on_disconnect = lambda: self._cancel(stream)
         self._waiting.append(stream)
         self._waiting.sort(key=lambda each: (each.priority, each.order))
         self._ensure_step()
@@ -281,7 +281,7 @@
     def _finish(self, stream: _Stream) -> None:
         self._running.remove(stream)
         self._store(stream.context)
-        stream.exchange.on_gone = None
+        stream.exchange.on_disconnect = None
         stream.exchange.finish()
 
     def _cancel(self, stream: _Stream) -> None:
@@ -294,7 +294,7 @@
         """Break all streams at once and answer nothing any more."""
         self.dead = True
         for stream in self._running + self._waiting:
-            stream.exchange.on_gone = None
+            stream.exchange.on_disconnect = None
             stream.exchange.abort()
         self._running.clear()
         self._waiting.clear()
--- a/flamingofront/standins/forward_endpoint.py
+++ b/flamingofront/standins/forward_endpoint.py
@@ -90,7 +90,7 @@
             exchange.respond(503, fields, b"")
             return
         self.runs.append(req)
-        exchange.on_gone = self._gone
+        exchange.on_disconnect = self._gone
         if self.crashes_on(req):
             self._begin_to_crash(req, exchange)
             return
@@ -104,7 +104,7 @@
             if self._timers.now() < begins_at:
                 crash.cancel()
 
-        exchange.on_gone = gone
+        exchange.on_disconnect = gone
 
     def _gone(self) -> None:
         self.abandoned += 1
--- a/flamingofront/version/edits.py
+++ b/flamingofront/version/edits.py
@@ -14,7 +14,7 @@
     make_object,
 )
 
-__all__ = ["Edit", "EditAction", "apply_edits", "object_key", "validate"]
+__all__ = ["Edit", "EditAction", "apply_edits", "build_object_key", "validate"]
 
 
 class EditAction(StrEnum):
@@ -38,10 +38,10 @@
     @property
     def key(self) -> str:
         """Key of the edited object in `Configuration.changes`."""
-        return object_key(self.kind, self.name)
+        return build_object_key(self.kind, self.name)
 
 
-def object_key(kind: ObjectKind, name: str) -> str:
+def build_object_key(kind: ObjectKind, name: str) -> str:
     """Return the key of an object in `Configuration.changes`."""
     return f"{kind.value}/{name}"
 
--- a/flamingofront/version/model.py
+++ b/flamingofront/version/model.py
@@ -378,8 +378,8 @@
     owner = f"{kind.value} {values.get('name', '?')}"
     unknown = sorted(set(values) - set(fields))
     if unknown:
-        known = ", ".join(sorted(set(fields) - {"name"}))
-        raise ConfigurationError((f"{owner}: no field {unknown[0]!r}; fields are {known}",))
+        allowed = ", ".join(sorted(set(fields) - {"name"}))
+        raise ConfigurationError((f"{owner}: no field {unknown[0]!r}; fields are {allowed}",))
     missing = [
         each.name
         for each in fields.values()
--- a/flamingofront/version/routing.py
+++ b/flamingofront/version/routing.py
@@ -4,7 +4,7 @@
 
 from flamingofront.version.model import Configuration, Move
 
-__all__ = ["hash_to_fraction", "select_side", "select_move_side"]
+__all__ = ["hash_to_fraction", "select_move_side", "select_side"]
 
 _HASH_BYTES = 8
 _FULL_SHARE = 100.0
