--- a/flamingofront/platform/tests/test_adapter.py
+++ b/flamingofront/platform/tests/test_adapter.py
@@ -15,7 +15,7 @@
 from flamingofront.platform.endpoints import decode_endpoint
 from flamingofront.platform.requests import PlatformProtocol
 from flamingofront.platform.settings import parse_settings
-from flamingofront.process.store import EndpointOrder, UsageReport
+from flamingofront.process.store import ScalingRequest, UsageReport
 from flamingofront.version.forwarding import Backend, ForwardedRoute, RequestKind
 
 PACKAGE = Path(__file__).resolve().parents[2]
@@ -116,7 +116,7 @@
             b' "spot": true, "leaves_ms": 2500, "sequence": 7, "slots": 8, "version": "v1",'
             b' "cold_left_ms": 0, "born": 1764721441000}',
         )
-        assert row.position == (1764721441000, 7)
+        assert row.order_key == (1764721441000, 7)
         assert (row.ready, row.reclaimable, row.leaves_in, row.sequence) == (False, True, 2.5, 7)
 
     @pytest.mark.parametrize("data", [b"", b"{}", b"[1]", b'{"service": 1}', b"\xff\xfe", b"1e999"])
@@ -203,7 +203,7 @@
         host, _, port = row.address.rpartition(":")
         assert host.count(".") == 3 and 0 < int(port) < 65536
         assert type(row.slots) is int and row.slots >= 0
-        assert row.position >= (0, 0) and row.ready in (True, False)
+        assert row.order_key >= (0, 0) and row.ready in (True, False)
 
 
 class TestErrorAnswers:
@@ -224,7 +224,7 @@
     def test_what_a_partition_holds_up_is_given_up_before_the_wait_ends(self):
         cloud = PlatformCloud("127.0.0.1:1", 1.0)
         for task in (
-            cloud.order("front-1", 2, EndpointOrder("s", "z", 1, True)),
+            cloud.request_endpoints("front-1", 2, ScalingRequest("s", "z", 1, True)),
             cloud.report_usage("front-1", 2, UsageReport(7, {})),
         ):
             call = next(task)
--- a/flamingofront/process/operators.py
+++ b/flamingofront/process/operators.py
@@ -13,8 +13,8 @@
 from flamingofront.messages import InboundRequest
 from flamingofront.process.dissemination import Dissemination
 from flamingofront.process.documents import DocumentStore
-from flamingofront.process.expiry import KEPT_SECONDS
-from flamingofront.process.held_rows import HELD_COLUMNS
+from flamingofront.process.expiry import RETENTION_SECONDS
+from flamingofront.process.held_rows import QUARANTINE_COLUMNS
 from flamingofront.process.peers import PeerLinks
 from flamingofront.process.tasks import TaskRunner
 from flamingofront.process.timers import TimerService
@@ -71,7 +71,7 @@
     ),
     "leases": ("lease", "vm", "holder", "fencing", "held"),
     "configuration": ("zone", "vm", "revision", "ready", "heard"),
-    "held": HELD_COLUMNS,
+    "held": QUARANTINE_COLUMNS,
     "counters": ("vm", "counter", "labels", "value"),
 }
 # Subjects of which each process knows only its own part.
@@ -156,7 +156,7 @@
             operation,
             self._timers.now,
             self._rng,
-            until=self._timers.wall() + KEPT_SECONDS,
+            until=self._timers.wall() + RETENTION_SECONDS,
         )
         self._tasks.start(task, lambda outcome: self._committed(outcome, exchange))
 
--- a/flamingofront/process/rows.py
+++ b/flamingofront/process/rows.py
@@ -184,14 +184,14 @@
         return rows
 
     def _leases(self) -> Rows:
-        views = [self._state.lease.view()]
+        views = [self._state.lease.get_view()]
         return [
             {
                 "lease": view.name,
                 "vm": self._vm_id,
                 "holder": view.holder,
                 "fencing": view.fencing,
-                "held": view.held_here,
+                "held": view.is_holder,
             }
             for view in views
         ]
--- a/flamingofront/request/endpoint_ends.py
+++ b/flamingofront/request/endpoint_ends.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass, field
 
 from flamingofront.connection.interfaces import ConnectResult, Transport
-from flamingofront.decisions.quarantine_facts import EndpointEnd
+from flamingofront.decisions.quarantine_facts import EndpointCrash
 from flamingofront.process.logs import Log
 from flamingofront.process.metrics import Metrics
 from flamingofront.process.timers import TimerService
@@ -58,7 +58,7 @@
     Attributes
     ----------
     on_crash : callable
-        Called with each `EndpointEnd`, with its time on the clock of the timer service. Another
+        Called with each `EndpointCrash`, with its time on the clock of the timer service. Another
         call for the same crash has the requests that were detected later.
     on_unobserved_crash : callable
         Called with each endpoint whose row was deleted without notice while this process had no
@@ -81,7 +81,7 @@
         self._metrics = metrics
         self._log = log
         self._checks: dict[str, _CrashCheck] = {}
-        self.on_crash: Callable[[EndpointEnd], None] = lambda end: None
+        self.on_crash: Callable[[EndpointCrash], None] = lambda end: None
         self.on_unobserved_crash: Callable[[str], None] = lambda endpoint_id: None
         self.on_crash_found: Callable[[str], None] = lambda endpoint_id: None
 
@@ -216,5 +216,5 @@
         self, endpoint_id: str, check: _CrashCheck, fingerprints: frozenset[str]
     ) -> None:
         self.on_crash(
-            EndpointEnd(endpoint_id, check.zone, check.lost_at, tuple(sorted(fingerprints)))
+            EndpointCrash(endpoint_id, check.zone, check.lost_at, tuple(sorted(fingerprints)))
         )
--- a/flamingofront/request/forward_gateway.py
+++ b/flamingofront/request/forward_gateway.py
@@ -213,7 +213,7 @@
         self._check_stop(offer.record)
         request = self._hub.accept(offer.record, _share(offer.route, offer.workspace))
         if offer.workspace is not None:
-            self._quota.spend(offer.workspace, offer.units, self._hub.now())
+            self._quota.consume(offer.workspace, offer.units, self._hub.now())
         request.on_running = self._on_running
         request.rule_of = self._version_rule
         request.on_end = lambda ended: self._ended(ended, offer)
@@ -235,7 +235,7 @@
         if decision.wait <= 0:
             return
         workspace = offer.workspace
-        state = decision.state or self._quota.state(workspace, self._hub.now())
+        state = decision.state or self._quota.get_state(workspace, self._hub.now())
         inputs = {
             "workspace": workspace.name,
             "units": offer.units,
--- a/flamingofront/version/commit.py
+++ b/flamingofront/version/commit.py
@@ -15,7 +15,7 @@
 from flamingofront.messages import Sleep
 from flamingofront.process.backoff import Backoff
 from flamingofront.process.documents import Condition, Document, DocumentStore, Write
-from flamingofront.process.expiry import KEPT_SECONDS, expiry_write
+from flamingofront.process.expiry import RETENTION_SECONDS, build_expiry_write
 from flamingofront.process.tasks import Task
 from flamingofront.version.edits import Edit, apply_edits
 from flamingofront.version.model import (
@@ -174,7 +174,7 @@
             Write(HEAD_KEY, {"revision": new.revision}),
             Write(DOCUMENT_KEY, configuration_to_json(new)),
             Write(operation_key, outcome_row),
-            expiry_write(operation_key, self._until),
+            build_expiry_write(operation_key, self._until),
         )
         try:
             result = yield from self._documents.transact(conditions, writes)
@@ -198,7 +198,7 @@
     rng: random.Random,
     budget: float = 6.0,
     backoff: Backoff = DEFAULT_BACKOFF,
-    until: float = KEPT_SECONDS,
+    until: float = RETENTION_SECONDS,
 ) -> Task:
     """Commit a change to the table service, retrying until the time budget is used up.
 
@@ -241,7 +241,7 @@
         if now() >= deadline:
             state = CommitState.UNKNOWN if pending.maybe_written else CommitState.UNAVAILABLE
             return CommitOutcome(state, operation, faults=(error,))
-        yield Sleep(backoff.delay(attempts, rng))
+        yield Sleep(backoff.compute_delay(attempts, rng))
         attempts += 1
 
 
@@ -266,5 +266,5 @@
             yield from documents.transact((Condition(key, 0),), (Write(key, outcome_row),))
         except PlatformError as exc:
             error = str(exc)
-            yield Sleep(DEFAULT_BACKOFF.delay(count, rng))
+            yield Sleep(DEFAULT_BACKOFF.compute_delay(count, rng))
     return CommitOutcome(CommitState.UNKNOWN, operation, faults=(error,))
