--- a/flamingofront/connection/sockets.py
+++ b/flamingofront/connection/sockets.py
@@ -1,4 +1,4 @@
-"""A listening socket and its connections, with a count of what waits for each reader."""
+"""Listening socket and its connections, with the number of unsent bytes per connection."""
 
 import contextlib
 import errno
@@ -16,46 +16,46 @@
 __all__ = ["ConnectionListener", "ServerSockets"]
 
 MAX_SEND_BYTES = 256 * 1024
-# Connections that the kernel holds until they are accepted: all callers of a VM at once.
+# Large enough that all callers of a VM can connect at once.
 LISTEN_BACKLOG = 4096
-# The caller gave a connection up before it was accepted, or the poll was for one already taken.
-_NOTHING_TO_ACCEPT = (errno.EAGAIN, errno.ECONNABORTED)
+# No connection is pending, or the caller closed it before it was accepted.
+_NO_CONNECTION_ERRORS = (errno.EAGAIN, errno.ECONNABORTED)
 
 
 class ConnectionListener(ABC):
-    """Gets what happens at the connections of a `ServerSockets`."""
+    """Receiver of the events of the connections of a `ServerSockets`."""
 
     @abstractmethod
     def accepted(self, sock: socket.socket) -> None:
-        """Take a new connection."""
+        """Handle a new connection."""
 
     @abstractmethod
     def received(self, sock: socket.socket, data: bytes) -> None:
-        """Take bytes that came on a connection."""
+        """Handle bytes that were received on a connection."""
 
     @abstractmethod
     def closed(self, sock: socket.socket) -> None:
-        """Take note that a connection was closed, by either side."""
+        """Handle the close of a connection by either side."""
 
 
 class ServerSockets(BaseComponent, SocketOwner):
-    """Accepts connections on one address, reads and writes them.
+    """Accepts connections on one address, reads from them and writes to them.
 
     Parameters
     ----------
     bind : tuple of (str, int)
-        Address and port; port 0 lets the kernel pick.
+        Address and port; with port 0 the kernel chooses a free one.
     listener : ConnectionListener
-        `closed` is called from the timer service, not from within the call that closes.
+        Its `closed` method is called by the timer service, not within the call that closes.
     read_bytes : int
-        Most bytes of one read.
+        Maximum number of bytes of one read.
     on_fault : callable
-        Gets an error of accepting, for example that no descriptor is left.
+        Called with an error of accepting a connection, for example "too many open files".
 
     Attributes
     ----------
-    waiting : dict of socket to int
-        Bytes that wait for the reader of each connection; those without any are left out.
+    unsent_bytes : dict of socket to int
+        Bytes queued on each connection; a connection without queued bytes has no entry.
     """
 
     def __init__(
@@ -76,43 +76,43 @@
         self._buffers: dict[socket.socket, deque[bytes]] = {}
         self._closing: set[socket.socket] = set()
         self._poller: DirectPoller | None = None
-        self._bound = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
-        self._bound.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-        self._bound.setblocking(False)
-        self._bound.bind(bind)
-        self._bound.listen(LISTEN_BACKLOG)
-        self._port = self._bound.getsockname()[1]
+        self._listen_socket = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
+        self._listen_socket.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
+        self._listen_socket.setblocking(False)
+        self._listen_socket.bind(bind)
+        self._listen_socket.listen(LISTEN_BACKLOG)
+        self._port = self._listen_socket.getsockname()[1]
 
     @property
     def port(self) -> int:
-        """Port that is listened on."""
+        """Port of the listening socket."""
         return self._port
 
     @handler("registered", channel="*")
     def _on_registered(self, component, manager) -> None:
         if self._poller is None:
             self._poller = findcmp(self.root, DirectPoller)
-            self._poller.watch(self._bound, self, READ)
+            self._poller.watch(self._listen_socket, self, READ)
 
     @handler("stopped", channel="*")
     def _on_stopped(self, component) -> None:
-        """Listen no more: a process that has stopped takes no new connections."""
-        if self._bound.fileno() >= 0:
-            self._poller.unwatch(self._bound)
-            self._bound.close()
+        """Close the listening socket, so that a stopped process gets no new connections."""
+        if self._listen_socket.fileno() >= 0:
+            self._poller.unwatch(self._listen_socket)
+            self._listen_socket.close()
 
     def on_readable(self, sock: socket.socket) -> None:
-        """Accept a connection, or read from one."""
-        if sock is self._bound:
+        """Accept a connection, or read from an accepted one."""
+        if sock is self._listen_socket:
             self._accept()
         else:
             self.read_available(sock)
 
     def _accept(self) -> None:
         try:
-            sock, _ = self._bound.accept()
+            sock, _ = self._listen_socket.accept()
         except OSError as exc:
-            if exc.errno not in _NOTHING_TO_ACCEPT:
+            if exc.errno not in _NO_CONNECTION_ERRORS:
                 self._on_fault(exc)
             return
         sock.setblocking(False)
@@ -122,7 +122,7 @@
         self._listener.accepted(sock)
 
     def read_available(self, sock: socket.socket) -> None:
-        """Pass on what has arrived on a connection; close it if the caller has."""
+        """Read once and pass the bytes to the listener; close the connection if the caller did."""
         if sock not in self._buffers:
             return
         try:
@@ -138,36 +138,36 @@
             self.close(sock)
 
     def on_socket_error(self, sock: socket.socket) -> None:
-        """Close a connection that its caller has reset."""
+        """Close a connection that the caller reset."""
         self.drop(sock)
 
-    def queue(self, sock: socket.socket, data: bytes) -> None:
-        """Send bytes, and keep what the socket does not take at once.
+    def write(self, sock: socket.socket, data: bytes) -> None:
+        """Send bytes and queue those that the kernel does not accept at once.
 
         Notes
         -----
-        The listener learns late that a connection was closed; what is sent until then is dropped.
+        The listener is notified of a close with a delay; bytes sent until then are discarded.
         """
         buffer = self._buffers.get(sock)
         if buffer is None:
             return
         if not buffer:
-            data = data[self._send_now(sock, data) :]
+            data = data[self._try_send(sock, data) :]
         if data:
             buffer.append(data)
             self.unsent_bytes[sock] = self.unsent_bytes.get(sock, 0) + len(data)
             self._poller.watch(sock, self, READ | WRITE)
 
     @staticmethod
-    def _send_now(sock: socket.socket, data: bytes) -> int:
-        """Return how many bytes the socket took; a broken one shows at the next poll."""
+    def _try_send(sock: socket.socket, data: bytes) -> int:
+        """Send without queueing; return the number of bytes sent, 0 after an error."""
         try:
             return sock.send(data)
         except OSError:
-            return 0
+            return 0  # the next poll reports the error
 
     def on_writable(self, sock: socket.socket) -> None:
-        """Send what waits for a reader."""
+        """Send queued bytes of a connection."""
         buffer = self._buffers[sock]
         parts, size = [], 0
         while buffer and size < MAX_SEND_BYTES:
@@ -185,10 +185,10 @@
             buffer.appendleft(joined[sent:])
         self.unsent_bytes[sock] -= sent
         if not buffer:
-            self._written(sock)
+            self._on_all_sent(sock)
 
-    def _written(self, sock: socket.socket) -> None:
-        """Go on after all that waited for a reader was sent."""
+    def _on_all_sent(self, sock: socket.socket) -> None:
+        """Close the connection if that was requested, otherwise resume reading."""
         del self.unsent_bytes[sock]
         if sock in self._closing:
             self.drop(sock)
@@ -196,22 +196,22 @@
             self._poller.watch(sock, self, READ)
 
     def close(self, sock: socket.socket) -> None:
-        """Close a connection once what waits for it has been sent."""
+        """Close a connection after its queued bytes have been sent."""
         if self.unsent_bytes.get(sock):
             self._closing.add(sock)
-            # What the caller sends is read no more; its end would be told at each poll.
+            # Reading stops: otherwise each poll would report the end of the caller's stream.
             self._poller.watch(sock, self, WRITE)
         else:
             self.drop(sock)
 
     def drop(self, sock: socket.socket) -> None:
-        """Close a connection without sending what waits for it."""
+        """Close a connection without sending its queued bytes."""
         if self._buffers.pop(sock, None) is None:
             return
         self.unsent_bytes.pop(sock, None)
         self._closing.discard(sock)
         self._poller.unwatch(sock)
-        with contextlib.suppress(OSError):  # its caller has closed it already
+        with contextlib.suppress(OSError):  # the caller has closed it already
             sock.shutdown(socket.SHUT_RDWR)
         sock.close()
         self._timers.once(0.0, lambda: self._listener.closed(sock))
