--- a/bench/proofs.py
+++ b/bench/proofs.py
@@ -18,7 +18,7 @@
     yield "notice, list 20 s late", measure_last_request(world, "engine-a1", 15.0)
     world = demo_world(THREE_ZONES)
     world.platform.vms["engine-a1"]["state"] = "leaving"
-    world.platform._show("engine-a1", 0.0)
+    world.platform._update_list("engine-a1", 0.0)
     yield "sign in the VM list only", measure_last_request(world, "engine-a1", 15.0)
     world = demo_world(THREE_ZONES)
     world.start_operation(["drain endpoint engine-a1"], "entry-b1")
@@ -41,7 +41,7 @@
         caller = world.start_operation(["change workspace desk weight=2"], "entry-a1")
         world.run_until(lambda caller=caller: caller.done)
         for service in ("table", "vms", "cloud"):
-            world.platform.fail(service, mode)
+            world.platform.inject_fault(service, mode)
         yield name, seconds_until_active(world, caller.data["revision"])
     world = demo_world(FOUR_ZONES)
     world.isolate("zone-d")
--- a/flamingofront/connection/client.py
+++ b/flamingofront/connection/client.py
@@ -167,7 +167,7 @@
         """Assign a call and send its request once the connection is established."""
         self._call = call
         call.conn = self
-        self._set_user_timeout(call.call.silence_timeout)
+        self._set_user_timeout(call.call.ack_timeout)
         self._heads = HeadBuffer(is_request=False, max_bytes=MAX_RESPONSE_HEAD_BYTES)
         self._head: Head | None = None
         self._decoder: BodyDecoder | None = None
@@ -388,11 +388,11 @@
         Notes
         -----
         The target may close an idle connection while a request is being sent on it. The reset then
-        does not tell if the request was executed. A call with `fresh` set avoids this ambiguity.
+        does not tell if the request was executed. A call with `new_connection` set avoids this ambiguity.
         """
         handle = _Call(call, listener)
         handle.timer = self.timers.once(call.timeout, lambda: self._on_timeout(handle))
-        conn = None if call.fresh else self._pop_idle(call.address)
+        conn = None if call.new_connection else self._pop_idle(call.address)
         if conn is None:
             conn = _ClientConnection(self, call.address)
             self._connections[conn.sock] = conn
--- a/flamingofront/connection/tests/test_client.py
+++ b/flamingofront/connection/tests/test_client.py
@@ -143,7 +143,7 @@
     def test_fresh_call_opens_a_new_connection(self, client):
         endpoint = Endpoint(encode_response(), encode_response())
         client.call(endpoint.address)
-        client.call(endpoint.address, fresh=True)
+        client.call(endpoint.address, new_connection=True)
         assert endpoint.connections == 2
 
 
@@ -197,7 +197,7 @@
 
     def test_silence_timeout_sets_tcp_user_timeout(self, client):
         endpoint = Endpoint(encode_response(), encode_response())
-        client.call(endpoint.address, silence_timeout=0.8)
+        client.call(endpoint.address, ack_timeout=0.8)
         (conn,) = client.client._connections.values()
         option = (socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT)
         assert conn.sock.getsockopt(*option) == 800
--- a/flamingofront/process/calls.py
+++ b/flamingofront/process/calls.py
@@ -23,16 +23,16 @@
     Raises
     ------
     PlatformError
-        If there is no response or its status is not allowed; `maybe_done` is True if a write may
+        If there is no response or its status is not allowed; `maybe_applied` is True if a write may
         have taken effect.
     """
     reply = yield call
     where = f"{call.method} {call.path.split('?')[0]}"
     if isinstance(reply, CallFailed):
-        raise PlatformError(f"{where}: {reply.reason}", maybe_done=is_write and reply.wrote)
+        raise PlatformError(f"{where}: {reply.reason}", maybe_applied=is_write and reply.wrote)
     if reply.status not in allowed_statuses:
         is_rejected = reply.status in REJECTED_STATUSES
         raise PlatformError(
-            f"{where}: status {reply.status}", maybe_done=is_write and not is_rejected
+            f"{where}: status {reply.status}", maybe_applied=is_write and not is_rejected
         )
     return reply
--- a/flamingofront/process/documents.py
+++ b/flamingofront/process/documents.py
@@ -2,7 +2,7 @@
 
 A document is a row of one table. A document that is too large for a row is stored as an object,
 whose name is in the row. Each operation is a generator for `flamingofront.process.tasks`; a failed
-one raises `PlatformError`, whose `maybe_done` is True if a write may have taken effect.
+one raises `PlatformError`, whose `maybe_applied` is True if a write may have taken effect.
 """
 
 import contextlib
@@ -226,7 +226,7 @@
             yield from self._objects.put(name, data)
         except PlatformError as exc:
             # An object without a row has no effect, and the transaction was not sent.
-            raise PlatformError(str(exc), maybe_done=False) from exc
+            raise PlatformError(str(exc), maybe_applied=False) from exc
         return orjson.dumps({OBJECT_FIELD: name, **stamp_fields})
 
     def _decode_row(self, row: StoredRow) -> Task:
--- a/flamingofront/process/tasks.py
+++ b/flamingofront/process/tasks.py
@@ -1,6 +1,6 @@
 """Tasks: generators that yield calls and sleeps, and their runner.
 
-A task yields an `OutboundCall` and is sent a `WholeResponse` or `CallFailed`, or yields a `Sleep`
+A task yields an `OutboundCall` and is sent a `BufferedResponse` or `CallFailed`, or yields a `Sleep`
 and is sent None. Its logic needs neither a socket nor a clock, and a test can drive it step by
 step.
 """
@@ -10,19 +10,19 @@
 
 from flamingofront.connection.interfaces import CallEvent, CallHandle, Transport
 from flamingofront.messages import (
+    BufferedResponse,
     CallFailed,
     OutboundCall,
     ResponseData,
     ResponseEnd,
     ResponseHead,
     Sleep,
-    WholeResponse,
 )
 from flamingofront.process.timers import Timer, TimerService
 
 __all__ = ["Reply", "ReplyCollector", "Task", "TaskRunner", "call_buffered"]
 
-Reply = WholeResponse | CallFailed
+Reply = BufferedResponse | CallFailed
 Task = Generator[OutboundCall | Sleep, Reply | None, Any]
 
 
@@ -32,7 +32,7 @@
     Parameters
     ----------
     on_reply : callable
-        Called with the `WholeResponse`, or with the `CallFailed`.
+        Called with the `BufferedResponse`, or with the `CallFailed`.
     """
 
     def __init__(self, on_reply: Callable[[Reply], None]):
@@ -49,7 +49,7 @@
         elif isinstance(event, ResponseEnd):
             assert self._head is not None
             body = b"".join(self._parts)
-            self._on_reply(WholeResponse(self._head.status, self._head.headers, body))
+            self._on_reply(BufferedResponse(self._head.status, self._head.headers, body))
         else:
             self._on_reply(event)
 
--- a/flamingofront/process/tests/test_configuration.py
+++ b/flamingofront/process/tests/test_configuration.py
@@ -41,19 +41,19 @@
         caller = world.start_operation(["change workspace desk weight=2"], "entry-a1")
         world.run_until(lambda: caller.done)
         for service in ("table", "vms", "cloud"):
-            world.platform.fail(service, mode)
+            world.platform.inject_fault(service, mode)
         assert seconds_until_active(world, caller.data["revision"]) < ACTIVATION_LIMIT_SECONDS
 
     def test_active_everywhere_although_write_response_was_lost(self):
         world = demo_world(ZONES)
-        world.platform.fail("table", FaultMode.LOSE_ANSWER, count=1, writes_only=True)
+        world.platform.inject_fault("table", FaultMode.LOSE_ANSWER, count=1, writes_only=True)
         outcome = world.operate("change workspace desk weight=2", "entry-a1")
         assert outcome["state"] == "accepted"
         assert seconds_until_active(world, outcome["revision"]) < ACTIVATION_LIMIT_SECONDS
 
     def test_active_everywhere_although_accepting_process_dies(self):
         world = demo_world(ZONES)
-        world.platform.fail("table", FaultMode.LOSE_ANSWER, count=1, writes_only=True)
+        world.platform.inject_fault("table", FaultMode.LOSE_ANSWER, count=1, writes_only=True)
         world.start_operation(["change workspace desk weight=2"], "entry-a1")
         world.run_until(lambda: world.platform.rows["config/head"][0]["revision"] == 2)
         world.kill("entry-a1")
@@ -68,7 +68,7 @@
         outcome = world.operate("change workspace desk weight=2", "entry-a1")
         seconds_until_active(world, outcome["revision"])
         for service in ("table", "vms", "cloud"):
-            world.platform.fail(service, FaultMode.DOWN)
+            world.platform.inject_fault(service, FaultMode.DOWN)
         world.kill("entry-b1")
         node = world.entry("entry-b1", "zone-b")
         assert not node.ready
@@ -128,14 +128,14 @@
 
     def test_unknown_outcome_can_be_settled_later(self):
         world = demo_world(ZONES)
-        world.platform.fail("table", FaultMode.LOSE_ANSWER, count=1, writes_only=True)
+        world.platform.inject_fault("table", FaultMode.LOSE_ANSWER, count=1, writes_only=True)
         caller = world.start_operation(["change workspace desk weight=2"], "entry-a1")
         world.run_until(lambda: world.platform.rows["config/head"][0]["revision"] == 2)
-        world.platform.fail("table", FaultMode.DOWN)
+        world.platform.inject_fault("table", FaultMode.DOWN)
         world.run_until(lambda: caller.done)
         outcome = caller.data
         assert outcome["state"] == "unknown"
-        world.platform.fail("table", FaultMode.UP)
+        world.platform.inject_fault("table", FaultMode.UP)
         settled = world.operate(f"settle {outcome['operation']}", "entry-b1")
         assert (settled["state"], settled["revision"]) == ("accepted", 2)
 
@@ -185,7 +185,7 @@
     @rule(mode=st.sampled_from(list(FaultMode)))
     def change_platform_state(self, mode):
         for service in ("table", "vms", "cloud"):
-            self.world.platform.fail(service, mode, 0.5)
+            self.world.platform.inject_fault(service, mode, 0.5)
 
     @rule(name=st.sampled_from(["entry-a1", "entry-b1", "entry-c1"]))
     def replace_process(self, name):
@@ -207,7 +207,7 @@
             return
         self.world.heal()
         for service in ("table", "vms", "cloud"):
-            self.world.platform.fail(service, FaultMode.UP)
+            self.world.platform.inject_fault(service, FaultMode.UP)
         self.world.run(15.0)
         head = self.world.platform.rows["config/head"][0]["revision"]
         assert set(get_revisions(self.world).values()) == {head}
--- a/flamingofront/process/tests/test_documents.py
+++ b/flamingofront/process/tests/test_documents.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from flamingofront.daemon import documents_at
+from flamingofront.daemon import open_document_store
 from flamingofront.errors import PlatformError
 from flamingofront.process.documents import DOCUMENT_TABLE, MAX_ROW_BYTES, Condition, Write
 from flamingofront.process.logs import Log
@@ -15,7 +15,7 @@
 from flamingofront.process.store import make_revision
 from flamingofront.process.tasks import TaskRunner
 from flamingofront.standins.platform import FaultMode
-from flamingofront.standins.table_store import RANGE_ROWS
+from flamingofront.standins.table_store import MAX_RANGE_ROWS
 from flamingofront.tests.network import FakeTransport
 from flamingofront.tests.world import World
 
@@ -28,7 +28,7 @@
     def __init__(self):
         self.world = World()
         host = self.world._host("process", "zone-a")
-        self.documents = documents_at(
+        self.documents = open_document_store(
             self.world.host("platform").address, 1.0, self.world.clock.now, Log("test")
         )
         self.tasks = TaskRunner(FakeTransport(self.world, host), host.timers, self.raise_error)
@@ -91,9 +91,9 @@
         assert [each.key for each in store.run(store.documents.scan("a/"))] == ["a/", "a/1", "a/~"]
 
     def test_scan_continues_after_a_truncated_range(self, store):
-        for number in range(RANGE_ROWS + 3):
+        for number in range(MAX_RANGE_ROWS + 3):
             store.platform.rows.put(f"many/{number:04d}", {})
-        assert len(store.run(store.documents.scan("many/"))) == RANGE_ROWS + 3
+        assert len(store.run(store.documents.scan("many/"))) == MAX_RANGE_ROWS + 3
 
 
 class TestLargeDocuments:
@@ -105,15 +105,15 @@
         assert not small.object_name
         assert all(
             len(row[0]) <= MAX_ROW_BYTES
-            for row in store.platform.store.rows(DOCUMENT_TABLE).values()
+            for row in store.platform.store.get_rows(DOCUMENT_TABLE).values()
         )
 
     def test_failure_of_the_object_store_writes_no_document(self, store):
-        store.platform.fail("objects", FaultMode.LOSE_ANSWER)
+        store.platform.inject_fault("objects", FaultMode.LOSE_ANSWER)
         with pytest.raises(PlatformError) as caught:
             store.write(Write("large", LARGE_VALUE))
-        assert not caught.value.maybe_done
-        store.platform.fail("objects", FaultMode.UP)
+        assert not caught.value.maybe_applied
+        store.platform.inject_fault("objects", FaultMode.UP)
         assert store.read("large")[0].revision == 0
 
     def test_object_of_a_deleted_document_can_be_dropped_repeatedly(self, store):
--- a/flamingofront/process/tests/test_expiry.py
+++ b/flamingofront/process/tests/test_expiry.py
@@ -59,8 +59,8 @@
 
     def test_store_outage_only_delays_the_removal(self):
         world = self.build_world()
-        world.platform.fail("table", FaultMode.LOSE_ANSWER)
+        world.platform.inject_fault("table", FaultMode.LOSE_ANSWER)
         advance(world, AFTER_EXPIRY_SECONDS)
-        world.platform.fail("table", FaultMode.UP)
+        world.platform.inject_fault("table", FaultMode.UP)
         world.run(3 * SWEEP_PERIOD_SECONDS)
         assert list_keys(world, "claim/") == list_keys(world, "expiry/") == []
--- a/flamingofront/process/tests/test_holds.py
+++ b/flamingofront/process/tests/test_holds.py
@@ -85,7 +85,7 @@
         """Return the quarantine entries in the store by key."""
         return {
             key: decode_quarantine_entry(key, row[0])
-            for key, row in world.store.rows(QUARANTINE_TABLE).items()
+            for key, row in world.store.get_rows(QUARANTINE_TABLE).items()
         }
 
     def test_entry_is_stored_after_an_outage_of_the_store(self):
@@ -142,7 +142,7 @@
         entry = self.build_entry(world, since=world.clock.now() - ENTRY_LIFETIME_SECONDS - 1)
         world.store.put(QUARANTINE_TABLE, "f-1", encode_quarantine_entry(entry))
         world.run(1.0)
-        assert not world.store.rows(QUARANTINE_TABLE)
+        assert not world.store.get_rows(QUARANTINE_TABLE)
         assert not world.fronts["front-1"].hub.guard.quarantine
 
     def test_stored_evidence_counts_with_the_next_crash(self):
--- a/flamingofront/process/tests/test_intents.py
+++ b/flamingofront/process/tests/test_intents.py
@@ -19,7 +19,7 @@
 
 def read_records(world):
     """Return the intent records in the store by fingerprint."""
-    rows = world.store.rows(INTENT_TABLE)
+    rows = world.store.get_rows(INTENT_TABLE)
     return {key: decode_record(key, value) for key, (value, _) in rows.items()}
 
 
@@ -120,7 +120,7 @@
         before = read_records(world)
         for lost in world.store.restore(0.2):
             if lost.table != INTENT_TABLE:
-                world.store.put_back(lost)
+                world.store.rewrite_row(lost)
         assert not read_records(world)
         world.run_until(lambda: read_records(world) == before, limit=1.0)
 
@@ -163,14 +163,14 @@
     def test_lost_change_history_does_not_prevent_serving(self):
         world = crashing_world(fronts=1)
         world.kill("front-0")
-        world.store.forget_history()
+        world.store.discard_history()
         world.run(1.0)
         world.front("front-0", first_start=False)
         world.run(1.0)
         caller = world.ask("front-0", "/stream/once/x", body=BODY)
         world.finish(caller)
         assert caller.status == 200
-        assert world.store.rows(LEADER_TABLE, LEADER_TABLE)
+        assert world.store.get_rows(LEADER_TABLE, LEADER_TABLE)
 
 
 class TestStartOfRecording:
--- a/flamingofront/process/tests/test_leases.py
+++ b/flamingofront/process/tests/test_leases.py
@@ -6,7 +6,7 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 
-from flamingofront.daemon import documents_at
+from flamingofront.daemon import open_document_store
 from flamingofront.messages import Sleep
 from flamingofront.process.leases import LeaseKeeper
 from flamingofront.process.logs import Log
@@ -37,7 +37,7 @@
             raise exc
 
         runner = TaskRunner(FakeTransport(self.world, host), host.timers, raise_error)
-        documents = documents_at(
+        documents = open_document_store(
             self.world.host("platform").address, 1.0, self.world.clock.now, Log("test")
         )
         keeper = LeaseKeeper(
@@ -84,10 +84,10 @@
     def test_lease_expires_in_an_outage_and_has_one_holder_after_it(self, mode):
         pair = Keepers()
         pair.world.run(5.0)
-        pair.world.platform.fail("table", mode)
+        pair.world.platform.inject_fault("table", mode)
         pair.world.run(LEASE_SECONDS + 3.0)
         assert pair.list_holders() == []
-        pair.world.platform.fail("table", FaultMode.UP)
+        pair.world.platform.inject_fault("table", FaultMode.UP)
         pair.world.run(20.0)
         assert len(pair.list_holders()) == 1
 
@@ -132,7 +132,7 @@
 
     @rule(mode=st.sampled_from(list(FaultMode)), delay=st.floats(0.1, 3.0))
     def change_platform_fault(self, mode, delay):
-        self.group.world.platform.fail("table", mode, delay)
+        self.group.world.platform.inject_fault("table", mode, delay)
 
     @invariant()
     def check_lease(self):
@@ -192,7 +192,7 @@
     def test_no_order_is_sent_after_the_lease_has_expired(self):
         world = demo_world(entries_per_zone=1)
         world.run(10.0)
-        world.platform.fail("table", FaultMode.DOWN)
+        world.platform.inject_fault("table", FaultMode.DOWN)
         world.run(15.0)
         before = list(world.engines["engine-a1"].orders)
         self.load_other_model(world, "engine-a1")
@@ -204,7 +204,7 @@
 
     def test_keeper_sleeps_after_a_failed_renewal(self):
         keeper = LeaseKeeper(
-            documents_at("127.0.0.1:1", 1.0, lambda: 0.0, Log("test")),
+            open_document_store("127.0.0.1:1", 1.0, lambda: 0.0, Log("test")),
             "d/z",
             "h/1",
             lambda: 0.0,
