--- a/bench/entries.py
+++ b/bench/entries.py
@@ -22,7 +22,7 @@
     usable,
 )
 from flamingofront.decisions.retry import EndpointHealth, PacedRetryBudget, RetryBudget
-from flamingofront.errors import Ran, RequestError
+from flamingofront.errors import Executed, RequestError
 from flamingofront.messages import (
     CancelAttempt,
     Complete,
@@ -334,7 +334,7 @@
         engine_id, attempt = self.engine.engine_id, self.machine.attempt_id
         self.leave()
         self.entry.health.failed(engine_id, self.sim.now)
-        self.carry(self.machine.lost(attempt, engine_id, Ran.UNKNOWN, self.sim.now))
+        self.carry(self.machine.lost(attempt, engine_id, Executed.UNKNOWN, self.sim.now))
 
     def move(self, attempt):
         """Resume elsewhere by recomputation."""
--- a/bench/known_failure_mutations.py
+++ b/bench/known_failure_mutations.py
@@ -28,7 +28,7 @@
     Mutation(
         "S the time left is looked at again before an attempt",
         "request/forwarded_request.py",
-        "if refusal is None or self.machine.ran is not Ran.NO:",
+        "if refusal is None or self.machine.ran is not Executed.NO:",
         "if True:",
         STOPPING,
     ),
--- a/bench/platform_mutations.py
+++ b/bench/platform_mutations.py
@@ -26,7 +26,7 @@
     Mutation(
         "P a status that says not run needs evidence",
         "platform/requests.py",
-        "if status in NOT_RUN_STATUSES and exc.ran is not Ran.NO:",
+        "if status in NOT_RUN_STATUSES and exc.ran is not Executed.NO:",
         "if False:",
         "platform/tests/test_adapter.py",
     ),
--- a/flamingofront/connection/client.py
+++ b/flamingofront/connection/client.py
@@ -167,7 +167,7 @@
         """Take a call over and send it as soon as the connection stands."""
         self._call = call
         call.conn = self
-        self._limit_silence(call.call.silence_timeout)
+        self._limit_silence(call.call.ack_timeout)
         self._heads = HeadBuffer(is_request=False, max_bytes=MAX_RESPONSE_HEAD_BYTES)
         self._head: Head | None = None
         self._decoder: BodyDecoder | None = None
@@ -382,11 +382,11 @@
         Notes
         -----
         The target may be closing an idle connection at the very moment it is used again; the reset
-        then says nothing about execution. A call with `fresh` set avoids that doubt.
+        then says nothing about execution. A call with `new_connection` set avoids that doubt.
         """
         handle = _Call(call, listener)
         handle.timer = self.timers.once(call.timeout, lambda: self._timed_out(handle))
-        conn = None if call.fresh else self._take_idle(call.address)
+        conn = None if call.new_connection else self._take_idle(call.address)
         if conn is None:
             conn = _ClientConnection(self, call.address)
             self._connections[conn.sock] = conn
--- a/flamingofront/connection/server.py
+++ b/flamingofront/connection/server.py
@@ -22,7 +22,7 @@
 )
 from flamingofront.connection.interfaces import Exchange
 from flamingofront.connection.sockets import ConnectionListener, ServerSockets
-from flamingofront.errors import ANSWERS, ErrorKind, RequestError
+from flamingofront.errors import ERROR_RESPONSES, ErrorKind, RequestError
 from flamingofront.messages import InboundRequest
 from flamingofront.process.timers import Timer, TimerService
 
@@ -91,7 +91,7 @@
         {
             "error": {
                 "kind": exc.kind.value,
-                "message": exc.detail or ANSWERS[exc.kind].text,
+                "message": exc.detail or ERROR_RESPONSES[exc.kind].text,
                 "request_id": request_id,
                 "ran": exc.ran.value,
                 "retry_after": exc.retry_after,
@@ -113,7 +113,7 @@
 
 def default_error(exc: RequestError) -> RenderedError:
     """Return status, headers and body of the answer that tells `exc`."""
-    return ANSWERS[exc.kind].status, error_headers(exc), error_body(exc)
+    return ERROR_RESPONSES[exc.kind].status, error_headers(exc), error_body(exc)
 
 
 class _Connection(Exchange):
--- a/flamingofront/connection/tests/test_client.py
+++ b/flamingofront/connection/tests/test_client.py
@@ -143,7 +143,7 @@
     def test_call_may_ask_for_a_fresh_connection(self, client):
         endpoint = Endpoint(answer(), answer())
         client.call(endpoint.address)
-        client.call(endpoint.address, fresh=True)
+        client.call(endpoint.address, new_connection=True)
         assert endpoint.connections == 2
 
 
@@ -197,7 +197,7 @@
 
     def test_call_sets_how_long_the_system_keeps_unacknowledged_bytes(self, client):
         endpoint = Endpoint(answer(), answer())
-        client.call(endpoint.address, silence_timeout=0.8)
+        client.call(endpoint.address, ack_timeout=0.8)
         (conn,) = client.client._connections.values()
         option = (socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT)
         assert conn.sock.getsockopt(*option) == 800
--- a/flamingofront/decisions/tests/test_quota.py
+++ b/flamingofront/decisions/tests/test_quota.py
@@ -263,7 +263,7 @@
         callers = [world.ask("front-1", "/read/x") for _ in range(12)]
         world.finish(*callers)
         assert refused and {each.kind for each in refused} == {ErrorKind.LIMIT_EXCEEDED}
-        inputs = refused[-1].inputs
+        inputs = refused[-1].log_fields
         assert (inputs["workspace"], inputs["rate"], inputs["burst"]) == ("desk", 2.0, 2.0)
         assert inputs["bucket"] < inputs["burst"] and inputs["taken"] > 0
         assert {"units", "limit", "heard_share", "lag"} <= set(inputs)
@@ -279,7 +279,7 @@
         world.run_until(lambda: all(each.ready for each in world.fronts.values()))
         refused = []
         for front in world.fronts.values():
-            front.gateway.refused = lambda exc, req=None: refused.append(exc.inputs)
+            front.gateway.refused = lambda exc, req=None: refused.append(exc.log_fields)
         for _ in range(30):
             world.ask("front-1", "/read/x")
             world.run(0.05)
--- a/flamingofront/platform/cloud.py
+++ b/flamingofront/platform/cloud.py
@@ -59,5 +59,5 @@
             orjson.dumps(body),
             headers,
             self._timeout,
-            silence_timeout=self._timeout * SILENCE_PART,
+            ack_timeout=self._timeout * SILENCE_PART,
         )
--- a/flamingofront/platform/requests.py
+++ b/flamingofront/platform/requests.py
@@ -4,7 +4,7 @@
 
 from flamingofront.connection.server import RenderedError, error_body
 from flamingofront.decisions.lateness import Urgency
-from flamingofront.errors import ANSWERS, ErrorKind, Ran, RequestError
+from flamingofront.errors import ERROR_RESPONSES, ErrorKind, Executed, RequestError
 from flamingofront.messages import InboundRequest, ResponseHead
 from flamingofront.request.forward_work import (
     AttemptFacts,
@@ -145,8 +145,8 @@
 
     def render_error(self, exc: RequestError) -> RenderedError:
         """Return an error answer; a status that says "not run" is only given with evidence."""
-        status = ANSWERS[exc.kind].status
-        if status in NOT_RUN_STATUSES and exc.ran is not Ran.NO:
+        status = ERROR_RESPONSES[exc.kind].status
+        if status in NOT_RUN_STATUSES and exc.ran is not Executed.NO:
             status = STATUS_MAY_HAVE_RUN
         fields: Fields = (("Content-Type", "application/json"),)
         if exc.retry_after is not None and status in NOT_RUN_STATUSES:
--- a/flamingofront/platform/store.py
+++ b/flamingofront/platform/store.py
@@ -8,7 +8,7 @@
 import orjson
 
 from flamingofront.errors import PlatformError
-from flamingofront.messages import OutboundCall, WholeResponse
+from flamingofront.messages import BufferedResponse, OutboundCall
 from flamingofront.process.calls import ask
 from flamingofront.process.store import (
     HistoryLostError,
@@ -128,14 +128,14 @@
         )
 
 
-def _body(reply: WholeResponse) -> dict[str, Any]:
+def _body(reply: BufferedResponse) -> dict[str, Any]:
     try:
         return orjson.loads(reply.body)
     except orjson.JSONDecodeError as exc:
         raise PlatformError(f"the store's answer is malformed: {exc}") from exc
 
 
-def _era(reply: WholeResponse) -> int:
+def _era(reply: BufferedResponse) -> int:
     text = reply.headers.get(ERA, "0")
     if not text.isdigit():
         raise PlatformError(f"the store's era is malformed: {text[:40]!r}")
--- a/flamingofront/platform/tests/test_adapter.py
+++ b/flamingofront/platform/tests/test_adapter.py
@@ -8,7 +8,13 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from flamingofront.errors import ConfigurationError, ErrorKind, PlatformError, Ran, RequestError
+from flamingofront.errors import (
+    ConfigurationError,
+    ErrorKind,
+    Executed,
+    PlatformError,
+    RequestError,
+)
 from flamingofront.messages import InboundRequest, ResponseHead
 from flamingofront.platform.cloud import PlatformCloud
 from flamingofront.platform.config import decode_configuration
@@ -209,13 +215,13 @@
 class TestErrorAnswers:
     @pytest.mark.parametrize("kind", list(ErrorKind))
     def test_a_status_that_says_not_run_needs_evidence(self, kind):
-        for ran in (Ran.UNKNOWN, Ran.YES):
+        for ran in (Executed.UNKNOWN, Executed.YES):
             status, fields, _ = PlatformProtocol().render_error(RequestError(kind, ran=ran))
             assert status not in (408, 421, 429, 503)
             assert "Retry-After" not in dict(fields)
 
     def test_time_to_come_back_has_a_fraction(self):
-        exc = RequestError(ErrorKind.OVERLOADED, ran=Ran.NO, retry_after=0.25)
+        exc = RequestError(ErrorKind.OVERLOADED, ran=Executed.NO, retry_after=0.25)
         status, fields, _ = PlatformProtocol().render_error(exc)
         assert status == 503 and dict(fields)["Retry-After"] == "0.250"
 
@@ -228,7 +234,7 @@
             cloud.report_usage("front-1", 2, UsageReport(7, {})),
         ):
             call = next(task)
-            assert call.silence_timeout < call.timeout
+            assert call.ack_timeout < call.timeout
             assert dict(call.headers)["X-Flamingofront-Fencing-Token"] == "2"
 
 
--- a/flamingofront/process/documents.py
+++ b/flamingofront/process/documents.py
@@ -2,7 +2,7 @@
 
 A document is a row of one table. One that is too large for a row is kept as an object, and its row
 names the object. Each operation is a generator for `flamingofront.process.tasks`; a failed one
-raises `PlatformError`, whose `maybe_done` says whether a write may have taken effect.
+raises `PlatformError`, whose `maybe_applied` says whether a write may have taken effect.
 """
 
 import contextlib
@@ -222,7 +222,7 @@
             yield from self._objects.put(name, data)
         except PlatformError as exc:
             # An object alone changes nothing: the transaction was not sent.
-            raise PlatformError(str(exc), maybe_done=False) from exc
+            raise PlatformError(str(exc), maybe_applied=False) from exc
         return orjson.dumps({OBJECT_FIELD: name, **marked})
 
     def _document(self, row: StoredRow) -> Task:
--- a/flamingofront/process/forwarding/exchange.py
+++ b/flamingofront/process/forwarding/exchange.py
@@ -3,7 +3,7 @@
 import random
 from collections.abc import Callable
 
-from flamingofront.messages import OutboundCall, Sleep, WholeResponse
+from flamingofront.messages import BufferedResponse, OutboundCall, Sleep
 from flamingofront.process.forwarding.document_copies import apply_copy
 from flamingofront.process.forwarding.knowledge import Knowledge
 from flamingofront.process.forwarding.news import EndpointNews, decode_news
@@ -211,7 +211,7 @@
         reply = yield OutboundCall(
             address, "GET", path, timeout=ASK_TIMEOUT, stall_timeout=ASK_TIMEOUT
         )
-        if isinstance(reply, WholeResponse) and reply.status == 200:
+        if isinstance(reply, BufferedResponse) and reply.status == 200:
             return reply.body
         self._log.info("peer did not answer", peer=peer, path=path, reply=str(reply)[:80])
         return b""
--- a/flamingofront/process/forwarding/tests/test_duties.py
+++ b/flamingofront/process/forwarding/tests/test_duties.py
@@ -14,7 +14,7 @@
 
 
 def calls(world, path):
-    return [each for each in world.store.duty_calls if each.path == path]
+    return [each for each in world.store.leader_calls if each.path == path]
 
 
 def usage(world):
@@ -34,7 +34,7 @@
     """Fencing numbers never fall, and nobody acts before and after another within a lease."""
     last = None
     last_of = {}
-    for each in world.store.duty_calls:
+    for each in world.store.leader_calls:
         if last is not None:
             assert each.fencing >= last.fencing
             if each.holder != last.holder:
@@ -79,7 +79,7 @@
         windows = sorted(usage(world))
         assert windows == list(range(windows[0], windows[-1] + 1))
         assert sum(each.get("desk", 0) for each in usage(world).values()) == 40
-        assert len({each.holder for each in world.store.duty_calls}) >= 2
+        assert len({each.holder for each in world.store.leader_calls}) >= 2
         assert_one_holder_at_a_time(world)
 
     @pytest.mark.parametrize("seed", range(6))
@@ -90,7 +90,7 @@
         world.run(20.0)
         usage(world)
         assert_one_holder_at_a_time(world)
-        assert len({each.fencing for each in world.store.duty_calls}) == 2
+        assert len({each.fencing for each in world.store.leader_calls}) == 2
 
     def test_rolling_restart_loses_no_counts(self):
         world = ready_world(fronts=3)
--- a/flamingofront/process/forwarding/tests/test_restored_store.py
+++ b/flamingofront/process/forwarding/tests/test_restored_store.py
@@ -40,7 +40,7 @@
     timers = world.host("store").timers
     for each in world.store.restore(seconds):
         if each.table in OWNERS:
-            timers.once(latest * rng.random(), lambda each=each: world.store.put_back(each))
+            timers.once(latest * rng.random(), lambda each=each: world.store.rewrite_row(each))
 
 
 class TestFollowing:
@@ -176,7 +176,7 @@
         world.run(12.0)
         usage(world)
         assert_one_holder_at_a_time(world)
-        assert world.store.duty_calls[-1].at > world.clock.now() - 6.0
+        assert world.store.leader_calls[-1].at > world.clock.now() - 6.0
 
     def test_holder_goes_on_at_once_with_what_it_has_reported(self):
         world = ready_world(fronts=3)
--- a/flamingofront/process/tests/test_documents.py
+++ b/flamingofront/process/tests/test_documents.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from flamingofront.daemon import documents_at
+from flamingofront.daemon import open_document_store
 from flamingofront.errors import PlatformError
 from flamingofront.process.documents import DOCUMENT_TABLE, ROW_BYTES, Condition, Write
 from flamingofront.process.logs import Log
@@ -28,7 +28,7 @@
     def __init__(self):
         self.world = World()
         host = self.world._host("process", "zone-a")
-        self.documents = documents_at(
+        self.documents = open_document_store(
             self.world.host("platform").address, 1.0, self.world.clock.now, Log("test")
         )
         self.tasks = TaskRunner(FakeTransport(self.world, host), host.timers, self.fail)
@@ -111,7 +111,7 @@
         store.platform.fail("objects", FaultMode.LOSE_ANSWER)
         with pytest.raises(PlatformError) as caught:
             store.write(Write("large", LARGE))
-        assert not caught.value.maybe_done
+        assert not caught.value.maybe_applied
         store.platform.fail("objects", FaultMode.UP)
         assert store.read("large")[0].revision == 0
 
--- a/flamingofront/process/tests/test_intents.py
+++ b/flamingofront/process/tests/test_intents.py
@@ -117,7 +117,7 @@
         before = recorded(world)
         for lost in world.store.restore(0.2):
             if lost.table != INTENT_TABLE:
-                world.store.put_back(lost)
+                world.store.rewrite_row(lost)
         assert not recorded(world)
         world.run_until(lambda: recorded(world) == before, limit=1.0)
 
--- a/flamingofront/process/tests/test_leases.py
+++ b/flamingofront/process/tests/test_leases.py
@@ -6,7 +6,7 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 
-from flamingofront.daemon import documents_at
+from flamingofront.daemon import open_document_store
 from flamingofront.messages import Sleep
 from flamingofront.process.leases import LeaseKeeper
 from flamingofront.process.logs import Log
@@ -36,7 +36,7 @@
             raise exc
 
         runner = TaskRunner(FakeTransport(self.world, host), host.timers, fault)
-        documents = documents_at(
+        documents = open_document_store(
             self.world.host("platform").address, 1.0, self.world.clock.now, Log("test")
         )
         keeper = LeaseKeeper(
@@ -201,7 +201,7 @@
 
     def test_generator_waits_between_renewals(self):
         keeper = LeaseKeeper(
-            documents_at("127.0.0.1:1", 1.0, lambda: 0.0, Log("test")),
+            open_document_store("127.0.0.1:1", 1.0, lambda: 0.0, Log("test")),
             "d/z",
             "h/1",
             lambda: 0.0,
--- a/flamingofront/process/tests/test_leaving.py
+++ b/flamingofront/process/tests/test_leaving.py
@@ -136,13 +136,13 @@
 class TestStaleList:
     def test_a_stale_list_does_not_revive_a_vm(self):
         world = demo_world(ZONES)
-        before = {name: dict(each) for name, each in world.platform.shown.items()}
+        before = {name: dict(each) for name, each in world.platform.listed_vms.items()}
         world.platform.reclaim("engine-a1", 1.0)
         world.run(4.0)
         world.kill("engine-a1")
         world.platform.remove_vm("engine-a1")
         world.run(10.0)
-        world.platform.shown = before
+        world.platform.listed_vms = before
         world.run(10.0)
         for node in world.nodes.values():
             assert node.gossip.facts.get("engine-a1").state is VmState.GONE
@@ -150,8 +150,8 @@
 
     def test_vm_missing_from_one_list_is_not_gone(self):
         world = demo_world(ZONES)
-        record = world.platform.shown.pop("engine-a1")
+        record = world.platform.listed_vms.pop("engine-a1")
         world.run(2.5)
-        world.platform.shown["engine-a1"] = record
+        world.platform.listed_vms["engine-a1"] = record
         world.run(10.0)
         assert world.nodes["entry-a1"].gossip.facts.get("engine-a1").state is VmState.LIVE
--- a/flamingofront/request/active.py
+++ b/flamingofront/request/active.py
@@ -9,7 +9,7 @@
 from flamingofront.decisions.choice import Candidate
 from flamingofront.decisions.quarantine_facts import Standing
 from flamingofront.decisions.rollout import VersionRule
-from flamingofront.errors import ErrorKind, Ran, RequestError
+from flamingofront.errors import ErrorKind, Executed, RequestError
 from flamingofront.messages import (
     CallFailed,
     CancelAttempt,
@@ -329,12 +329,12 @@
             handle.cancel()
         self.hub.directory.record_attempt_end(self.endpoint_id)
 
-    def lost(self, attempt_id: str, executed: Ran, reason: str, sent: bool = True) -> None:
+    def lost(self, attempt_id: str, executed: Executed, reason: str, sent: bool = True) -> None:
         """An attempt ended without its answer; `sent` is False if nothing can have arrived."""
         if self.done or attempt_id != self.machine.attempt_id:
             return
         now = self.hub.now()
-        if not sent or executed is Ran.NO:
+        if not sent or executed is Executed.NO:
             self._attempt_intents.withdraw()
         self._release()
         self.hub.record_attempt_loss(self.record.service, self.endpoint_id, executed, reason, now)
@@ -354,7 +354,7 @@
             self.hub.directory.record_connect_failure(self.endpoint_id, self.hub.now(), refused)
         elif event.reason == "reset" and event.wrote and not self._was_stale(event):
             self.connection_broke(attempt_id)
-        executed = Ran.UNKNOWN if event.wrote else Ran.NO
+        executed = Executed.UNKNOWN if event.wrote else Executed.NO
         self.lost(attempt_id, executed, event.reason, sent=event.wrote)
 
     def _was_stale(self, event: CallFailed) -> bool:
@@ -384,7 +384,7 @@
         """Make the final answer."""
 
     def _fail(self, order: Fail) -> None:
-        ran = Ran.YES if order.kind is ErrorKind.CRASHES_ENDPOINTS else order.ran
+        ran = Executed.YES if order.kind is ErrorKind.CRASHES_ENDPOINTS else order.ran
         exc = RequestError(order.kind, order.detail, ran, self._retry_after(order))
         self.log.info(
             "request failed",
--- a/flamingofront/request/attachments.py
+++ b/flamingofront/request/attachments.py
@@ -14,7 +14,7 @@
 )
 from flamingofront.connection.interfaces import Exchange
 from flamingofront.connection.server import JSON_HEADERS, error_body, error_headers
-from flamingofront.errors import ANSWERS, ErrorKind, RequestError
+from flamingofront.errors import ERROR_RESPONSES, ErrorKind, RequestError
 from flamingofront.request.records import ModelWork
 from flamingofront.request.stored_answer import StoredAnswer
 
@@ -40,7 +40,7 @@
         headers += (("X-Request-Id", request_id),)
     if exc.kind is ErrorKind.HANDED_OVER:
         headers += (("Location", f"/v1/requests/{request_id}"),)
-    exchange.respond(ANSWERS[exc.kind].status, headers, error_body(exc, request_id))
+    exchange.respond(ERROR_RESPONSES[exc.kind].status, headers, error_body(exc, request_id))
 
 
 def respond_accepted(exchange: Exchange, request_id: str) -> None:
--- a/flamingofront/request/attempts.py
+++ b/flamingofront/request/attempts.py
@@ -11,7 +11,7 @@
 from enum import StrEnum
 
 from flamingofront.decisions.retry import RetryBudget
-from flamingofront.errors import ErrorKind, Ran
+from flamingofront.errors import ErrorKind, Executed
 from flamingofront.messages import (
     CancelAttempt,
     Complete,
@@ -86,7 +86,7 @@
         rng: random.Random,
         backoff: Backoff = DEFAULT_BACKOFF,
         tokens: tuple[str, ...] = (),
-        ran: Ran = Ran.NO,
+        ran: Executed = Executed.NO,
     ):
         self.facts = facts
         self.assembler = Assembler(facts.request_id, tokens)
@@ -118,8 +118,8 @@
 
     def wrote(self, attempt_id: str) -> None:
         """Note that bytes of an attempt may have reached its endpoint."""
-        if attempt_id == self.attempt_id and self.ran is Ran.NO:
-            self.ran = Ran.UNKNOWN
+        if attempt_id == self.attempt_id and self.ran is Executed.NO:
+            self.ran = Executed.UNKNOWN
 
     def frame(self, frame: Frame) -> list[Order]:
         """Take tokens from an endpoint."""
@@ -128,11 +128,11 @@
             return []
         orders: list[Order] = []
         if added:
-            self.ran = Ran.YES
+            self.ran = Executed.YES
             self._failures = 0
             orders.append(Emit(self.assembler.offset - len(added), added))
         if self.assembler.complete:
-            self.ran = Ran.YES
+            self.ran = Executed.YES
             self._end()
             orders.append(Complete(self.assembler.offset))
         return orders
@@ -141,7 +141,7 @@
         """Take a whole answer of a plain service; False if it is not the current attempt's."""
         if self.phase is not Phase.RUNNING or attempt_id != self.attempt_id:
             return False
-        self.ran = Ran.YES
+        self.ran = Executed.YES
         self._end()
         return True
 
@@ -165,14 +165,14 @@
     def progressed(self, attempt_id: str) -> None:
         """Note that an endpoint has sent a part of the answer that was passed on."""
         if attempt_id == self.attempt_id:
-            self.ran = Ran.YES
+            self.ran = Executed.YES
             self._failures = 0
 
     def lost(
         self,
         attempt_id: str,
         endpoint_id: str,
-        executed: Ran,
+        executed: Executed,
         now: float,
         detail: str = "",
         sent: bool = True,
@@ -193,7 +193,7 @@
         self._settle_ran(executed)
         if now >= self.facts.deadline:
             return self._fail(ErrorKind.DEADLINE_EXCEEDED, detail)
-        if not self.facts.repeatable and executed is not Ran.NO:
+        if not self.facts.repeatable and executed is not Executed.NO:
             return self._fail(ErrorKind.OUTCOME_UNKNOWN, detail)
         if self._failures >= MAX_FAILURES_WITHOUT_PROGRESS:
             return self._fail(ErrorKind.ENDPOINT_FAILED, detail, self._backoff.longest)
@@ -207,16 +207,16 @@
             delay = max(delay, self._backoff.delay(self._failures - 2, self._rng))
         return self._wait_or_fail(now, delay, ErrorKind.RETRY_BUDGET_EXHAUSTED)
 
-    def _settle_ran(self, executed: Ran) -> None:
+    def _settle_ran(self, executed: Executed) -> None:
         """Keep the strongest evidence; a refused attempt proves nothing about earlier ones."""
-        if executed is Ran.NO and self.ran is not Ran.YES:
+        if executed is Executed.NO and self.ran is not Executed.YES:
             self.ran = self._ran_before_attempt
-        elif executed is not Ran.NO and self.ran is Ran.NO:
-            self.ran = Ran.UNKNOWN
+        elif executed is not Executed.NO and self.ran is Executed.NO:
+            self.ran = Executed.UNKNOWN
 
     def _last_kind(self) -> ErrorKind:
         """Return the error of a request whose attempts are used up."""
-        return ErrorKind.OVERLOADED if self.ran is Ran.NO else ErrorKind.ENDPOINT_FAILED
+        return ErrorKind.OVERLOADED if self.ran is Executed.NO else ErrorKind.ENDPOINT_FAILED
 
     def _wait_or_fail(self, now: float, delay: float, kind: ErrorKind) -> list[Order]:
         if now + delay >= self.facts.deadline:
--- a/flamingofront/request/claims.py
+++ b/flamingofront/request/claims.py
@@ -185,7 +185,7 @@
             if (yield from documents.replace(row, value)):
                 return ClaimOutcome(ClaimDecision.GRANTED, owner, request_id)
         except PlatformError as exc:
-            maybe_left = maybe_left or exc.maybe_done
+            maybe_left = maybe_left or exc.maybe_applied
         if now() >= deadline:
             return ClaimOutcome(ClaimDecision.UNAVAILABLE, maybe_left=maybe_left)
         yield Sleep(backoff.delay(tries, rng))
--- a/flamingofront/request/forward_gateway.py
+++ b/flamingofront/request/forward_gateway.py
@@ -166,7 +166,7 @@
             status=self._protocol.render_error(exc)[0],
             retry_after=exc.retry_after,
             configuration=self.configuration.version,
-            **exc.inputs,
+            **exc.log_fields,
         )
 
     def _forward(self, req: InboundRequest, exchange: Exchange) -> None:
@@ -236,7 +236,7 @@
             return
         workspace = offer.workspace
         state = decision.state or self._quota.state(workspace, self._hub.now())
-        inputs = {
+        log_fields = {
             "workspace": workspace.name,
             "units": offer.units,
             "rate": workspace.rate,
@@ -248,7 +248,7 @@
             ErrorKind.LIMIT_EXCEEDED,
             f"workspace {workspace.name} is over its quota of {workspace.rate:g} a second",
             retry_after=decision.wait,
-            inputs=inputs,
+            log_fields=log_fields,
         )
 
     def _check_stop(self, record: RequestRecord) -> None:
@@ -264,7 +264,7 @@
         route: ForwardedRoute,
         workspace: ForwardedWorkspace | None,
     ) -> RequestRecord:
-        spent = self._hub.now() - req.began_at
+        spent = self._hub.now() - req.head_received_at
         left = route.timeout - spent
         if caller.deadline is not None:
             left = min(left, caller.deadline - spent)
--- a/flamingofront/request/forwarded_request.py
+++ b/flamingofront/request/forwarded_request.py
@@ -9,7 +9,7 @@
 from flamingofront.decisions.lateness import Expectation, postponement, urgency
 from flamingofront.decisions.rollout import VersionRule
 from flamingofront.decisions.stopping import StreamTimes
-from flamingofront.errors import ErrorKind, Ran, RequestError
+from flamingofront.errors import ErrorKind, Executed, RequestError
 from flamingofront.messages import (
     CallFailed,
     Fail,
@@ -199,7 +199,7 @@
             timeout=left + CALL_MARGIN_SECONDS,
             stream=True,
             # A reset on a kept connection leaves open whether the request ran.
-            fresh=self.needs_fresh_connection,
+            new_connection=self.needs_fresh_connection,
             host=work.host,
             connect_timeout=CONNECT_SECONDS,
         )
@@ -256,10 +256,10 @@
     def _tell_outcome(self, is_bad: bool) -> None:
         self.hub.on_outcome(self.record.service.name, self.endpoint_id, is_bad)
 
-    def lost(self, attempt_id: str, executed: Ran, reason: str, sent: bool = True) -> None:
+    def lost(self, attempt_id: str, executed: Executed, reason: str, sent: bool = True) -> None:
         """Take note of an attempt that ended without its answer."""
         is_current = not self.done and attempt_id == self.machine.attempt_id
-        if is_current and sent and executed is not Ran.NO:
+        if is_current and sent and executed is not Executed.NO:
             self._tell_outcome(is_bad=True)
         super().lost(attempt_id, executed, reason, sent)
 
@@ -303,7 +303,7 @@
         if self.work.repeatable and self.machine.attempt_id == attempt_id:
             self._fallback = answer
             self.running()
-            self.lost(attempt_id, Ran.UNKNOWN, f"status {answer.status}")
+            self.lost(attempt_id, Executed.UNKNOWN, f"status {answer.status}")
         else:
             self.answered(attempt_id, answer)
 
@@ -315,7 +315,7 @@
         """Go on at another endpoint, if that is allowed: this one cannot be heard any more."""
         if self.work.repeatable and self.machine.attempt_id and self._may_try_again():
             # Nothing is known of the answer: it says nothing of the endpoint's version.
-            super().lost(self.machine.attempt_id, Ran.UNKNOWN, "zone cut off")
+            super().lost(self.machine.attempt_id, Executed.UNKNOWN, "zone cut off")
 
     def endpoint_restarted(self, at: float) -> None:
         """Give an attempt up that its endpoint has lost by starting again.
@@ -329,7 +329,7 @@
             self.hub.guard.crash_detector.record_restart(
                 self.endpoint_id, frozenset((self.fingerprint,))
             )
-            self.lost(self.machine.attempt_id, Ran.UNKNOWN, "endpoint started again")
+            self.lost(self.machine.attempt_id, Executed.UNKNOWN, "endpoint started again")
 
     def _may_try_again(self) -> bool:
         most = self.machine.facts.max_attempts
@@ -348,10 +348,10 @@
         """Start an attempt, unless it has waited so long that it may outlast this process."""
         left = self.machine.facts.deadline - self.hub.now()
         refusal = refusal_for_stop(self.hub, self.record, left)
-        if refusal is None or self.machine.ran is not Ran.NO:
+        if refusal is None or self.machine.ran is not Executed.NO:
             super()._start_attempt(order)
             return
-        self.log.info("refused for the stop", **refusal.inputs)
+        self.log.info("refused for the stop", **refusal.log_fields)
         self.carry(self.machine.give_up(refusal.kind, refusal.detail, refusal.retry_after))
 
     def process_ends(self) -> None:
@@ -360,7 +360,7 @@
             return
         self._sync_wrote()
         kind = ErrorKind.DRAINING
-        if self.machine.ran is not Ran.NO:
+        if self.machine.ran is not Executed.NO:
             # No 503: that would state that the request has not run.
             repeatable = self.work.repeatable
             kind = ErrorKind.ENDPOINT_FAILED if repeatable else ErrorKind.OUTCOME_UNKNOWN
--- a/flamingofront/request/gateway.py
+++ b/flamingofront/request/gateway.py
@@ -15,7 +15,7 @@
 from flamingofront.connection.interfaces import Exchange
 from flamingofront.connection.server import JSON_HEADERS
 from flamingofront.decisions.admission import WorkspaceShare
-from flamingofront.errors import ErrorKind, PlatformError, Ran, RequestError
+from flamingofront.errors import ErrorKind, Executed, PlatformError, RequestError
 from flamingofront.messages import InboundRequest
 from flamingofront.process.documents import DocumentStore
 from flamingofront.process.tasks import Task, TaskRunner
@@ -278,7 +278,7 @@
     def _job_refused(
         self, request: ActiveRequest, fault: PlatformError, exchange: Exchange
     ) -> None:
-        ran = Ran.UNKNOWN if fault.maybe_done else Ran.NO
+        ran = Executed.UNKNOWN if fault.maybe_applied else Executed.NO
         exc = RequestError(
             ErrorKind.STORE_UNAVAILABLE, str(fault), ran, retry_after=STORE_RETRY_SECONDS
         )
--- a/flamingofront/request/guard.py
+++ b/flamingofront/request/guard.py
@@ -18,7 +18,7 @@
     is_about_restart,
 )
 from flamingofront.decisions.quarantine_facts import EndpointEnd, Hold, QuarantineWord, Standing
-from flamingofront.errors import ErrorKind, Ran, RequestError
+from flamingofront.errors import ErrorKind, Executed, RequestError
 from flamingofront.process.logs import Log
 from flamingofront.process.metrics import Metrics
 from flamingofront.process.timers import TimerService
@@ -53,7 +53,7 @@
         ErrorKind.CRASHES_ENDPOINTS,
         f"{len(entry.endpoints)} endpoints ended while they ran this request, the last one "
         f"{ago:.1f} s ago; do not repeat it",
-        inputs={
+        log_fields={
             "work": entry.fingerprint,
             "endpoints": entry.endpoints,
             "last_end_age": round(ago, 3),
@@ -366,7 +366,7 @@
             next_trial_in=round(entry.next_trial - self.wall(), 1),
         )
         for request in self._active():
-            has_started = request.machine.ran is Ran.YES
+            has_started = request.machine.ran is Executed.YES
             if request.fingerprint == entry.fingerprint and not (has_started or request.is_trial):
                 request.held_back()
 
--- a/flamingofront/request/hub.py
+++ b/flamingofront/request/hub.py
@@ -18,7 +18,7 @@
 from flamingofront.decisions.engine_rates import LearnedRates
 from flamingofront.decisions.retry import PacedRetryBudget, RetryBudget
 from flamingofront.decisions.stopping import CompletionBounds
-from flamingofront.errors import ErrorKind, Ran, RequestError
+from flamingofront.errors import ErrorKind, Executed, RequestError
 from flamingofront.process.logs import Log
 from flamingofront.process.metrics import Metrics
 from flamingofront.process.timers import Timer, TimerService
@@ -212,7 +212,7 @@
                 if request is not None and not request.done:
                     retry_after = admission.retry_after(self.now())
                     request.refuse(
-                        RequestError(ErrorKind.OVERLOADED, ran=Ran.NO, retry_after=retry_after)
+                        RequestError(ErrorKind.OVERLOADED, ran=Executed.NO, retry_after=retry_after)
                     )
         self.refresh_capacity()
         self.start_ready_requests()
@@ -304,7 +304,7 @@
         self.load_meter.add(service, self.rates.of(service).now().work(tokens), self.now())
 
     def record_attempt_loss(
-        self, service: Service, endpoint_id: str, ran: Ran, reason: str, now: float
+        self, service: Service, endpoint_id: str, ran: Executed, reason: str, now: float
     ) -> None:
         """Count a failed attempt and record the failure of its endpoint."""
         self.metrics.count("retries_total", reason=reason)
--- a/flamingofront/request/inheritance.py
+++ b/flamingofront/request/inheritance.py
@@ -5,7 +5,7 @@
 from typing import Any
 
 from flamingofront.decisions.admission import WorkspaceShare
-from flamingofront.errors import ErrorKind, PlatformError, Ran, RequestError
+from flamingofront.errors import ErrorKind, Executed, PlatformError, RequestError
 from flamingofront.messages import Sleep
 from flamingofront.process.backoff import Backoff
 from flamingofront.process.documents import DocumentStore
@@ -126,7 +126,7 @@
             if request_id in self._hub.active or self._keyed.storing(request_id):
                 continue
             if is_lost(job):
-                exc = RequestError(ErrorKind.OUTCOME_UNKNOWN, ran=Ran.UNKNOWN)
+                exc = RequestError(ErrorKind.OUTCOME_UNKNOWN, ran=Executed.UNKNOWN)
                 self._keyed.store_job_answer(request_id, None, exc)
                 continue
             request = self._adopt(job.record)
--- a/flamingofront/request/jobs.py
+++ b/flamingofront/request/jobs.py
@@ -85,24 +85,24 @@
     Raises
     ------
     PlatformError
-        If the job could not be confirmed; `maybe_done` if it may stand nevertheless.
+        If the job could not be confirmed; `maybe_applied` if it may stand nevertheless.
     """
     key = _job_key(record.request_id)
     value = {"record": record.to_json(), "owner": owner, "state": JobState.QUEUED.value}
     writes = (Write(key, value), Write(_owner_key(owner, record.request_id), {}))
-    maybe_done = False
+    maybe_applied = False
     detail = ""
     for tries in range(CREATE_TRIES):
         try:
             result = yield from documents.transact((Condition(key, 0),), writes)
             # A failed condition means that an earlier try, whose answer was lost, took effect.
-            if result.ok or maybe_done:
+            if result.ok or maybe_applied:
                 return
         except PlatformError as exc:
-            maybe_done = maybe_done or exc.maybe_done
+            maybe_applied = maybe_applied or exc.maybe_applied
             detail = str(exc)
         yield Sleep(_BACKOFF.delay(tries, rng))
-    raise PlatformError(detail, maybe_done)
+    raise PlatformError(detail, maybe_applied)
 
 
 def fetch_job(documents: DocumentStore, request_id: str) -> Task:
--- a/flamingofront/request/keyed.py
+++ b/flamingofront/request/keyed.py
@@ -7,7 +7,7 @@
 from flamingofront.connection.interfaces import Exchange
 from flamingofront.connection.server import error_body
 from flamingofront.decisions.admission import WorkspaceShare
-from flamingofront.errors import ANSWERS, ErrorKind, PlatformError, Ran, RequestError
+from flamingofront.errors import ERROR_RESPONSES, ErrorKind, Executed, PlatformError, RequestError
 from flamingofront.messages import InboundRequest, Sleep
 from flamingofront.process.backoff import Backoff
 from flamingofront.process.documents import DocumentStore
@@ -118,7 +118,7 @@
             try:
                 yield from create_job(self._documents, record, self._vm_id, self._rng)
             except PlatformError as exc:
-                if exc.maybe_done:
+                if exc.maybe_applied:
                     return ClaimOutcome(ClaimDecision.JOB_UNCONFIRMED)
                 return ClaimOutcome(ClaimDecision.UNAVAILABLE, maybe_left=True)
         return outcome
@@ -157,7 +157,7 @@
             self._documents, key, request.request_id, None, self._rng, self._until()
         )
         self._tasks.start(task, lambda _: self._claiming.pop(key, None))
-        exc = RequestError(ErrorKind.STORE_UNAVAILABLE, ran=Ran.UNKNOWN)
+        exc = RequestError(ErrorKind.STORE_UNAVAILABLE, ran=Executed.UNKNOWN)
         self._refuse(request, exc, exchange)
 
     def _refuse(self, request: ActiveRequest, exc: RequestError, exchange: Exchange) -> None:
@@ -208,7 +208,7 @@
         """Store what became of the request before its key is free again."""
         if request.record.job:
             self.store_job_answer(request.request_id, answer, exc)
-        if answer is None and exc is not None and exc.ran is Ran.NO:
+        if answer is None and exc is not None and exc.ran is Executed.NO:
             self._release(key, request.request_id, 0.0)
             self._claiming.pop(key, None)
             return
@@ -241,7 +241,7 @@
         """
         if request.done:
             # Its time ended while the row was written; nothing was sent.
-            late = RequestError(ErrorKind.DEADLINE_EXCEEDED, ran=Ran.NO)
+            late = RequestError(ErrorKind.DEADLINE_EXCEEDED, ran=Executed.NO)
             self.store_job_answer(request.request_id, None, late)
             return
         if request.on_settled is None:
@@ -288,7 +288,7 @@
     ) -> None:
         """Store the answer, or the error, of a job."""
         if answer is None:
-            status = ANSWERS[exc.kind].status
+            status = ERROR_RESPONSES[exc.kind].status
             answer = StoredAnswer(status, "application/json", error_body(exc, request_id))
         self._storing.add(request_id)
         task = finish_job(
--- a/flamingofront/request/model_request.py
+++ b/flamingofront/request/model_request.py
@@ -7,7 +7,7 @@
 from flamingofront.connection.interfaces import CallEvent
 from flamingofront.decisions.admission import Ticket
 from flamingofront.decisions.choice import Candidate
-from flamingofront.errors import Ran
+from flamingofront.errors import Executed
 from flamingofront.messages import (
     Emit,
     Frame,
@@ -82,7 +82,7 @@
             (("Content-Type", "application/json"),),
             self.record.service.call_timeout,
             stream=True,
-            fresh=self.needs_fresh_connection,
+            new_connection=self.needs_fresh_connection,
         )
 
     def _listener(self, attempt_id: str, chosen: Candidate) -> Callable[[CallEvent], None]:
@@ -156,7 +156,7 @@
             for data in _coalesced(frames):
                 self._take_frame(data)
         except (orjson.JSONDecodeError, KeyError, TypeError):
-            self._request.lost(self._attempt_id, Ran.UNKNOWN, "malformed frame")
+            self._request.lost(self._attempt_id, Executed.UNKNOWN, "malformed frame")
 
     def _take_frame(self, data: dict) -> None:
         if self._request.done or self._request.machine.attempt_id != self._attempt_id:
@@ -172,7 +172,7 @@
 
     def _ended(self) -> None:
         refused = self._status != 200 and _says_not_run(self._buffer)
-        executed = Ran.NO if refused else Ran.UNKNOWN
+        executed = Executed.NO if refused else Executed.UNKNOWN
         reason = "refused" if refused else f"ended with status {self._status}"
         self._request.lost(self._attempt_id, executed, reason)
 
--- a/flamingofront/request/plain_request.py
+++ b/flamingofront/request/plain_request.py
@@ -4,8 +4,8 @@
 
 from flamingofront.connection.interfaces import CallEvent
 from flamingofront.decisions.choice import Candidate
-from flamingofront.errors import Ran
-from flamingofront.messages import CallFailed, OutboundCall, StartAttempt, WholeResponse
+from flamingofront.errors import Executed
+from flamingofront.messages import BufferedResponse, CallFailed, OutboundCall, StartAttempt
 from flamingofront.process.tasks import Reply, ReplyCollector
 from flamingofront.request.active import ActiveRequest
 from flamingofront.request.records import PlainWork
@@ -37,7 +37,7 @@
             self.work.body,
             headers,
             self.record.service.call_timeout,
-            fresh=self.needs_fresh_connection,
+            new_connection=self.needs_fresh_connection,
         )
 
     def _listener(self, attempt_id: str, chosen: Candidate) -> Callable[[CallEvent], None]:
@@ -48,13 +48,13 @@
         if isinstance(reply, CallFailed):
             self.call_failed(attempt_id, reply)
         elif reply.headers.get(NOT_RUN_HEADER) == "true":
-            self.lost(attempt_id, Ran.NO, "refused")
+            self.lost(attempt_id, Executed.NO, "refused")
         elif reply.headers.get("x-request-id", self.request_id) != self.request_id:
-            self.lost(attempt_id, Ran.UNKNOWN, "crossed answer")
+            self.lost(attempt_id, Executed.UNKNOWN, "crossed answer")
         else:
             self._answered(attempt_id, reply)
 
-    def _answered(self, attempt_id: str, reply: WholeResponse) -> None:
+    def _answered(self, attempt_id: str, reply: BufferedResponse) -> None:
         if not self.machine.answered(attempt_id):
             return
         self.hub.directory.health.succeeded(self.endpoint_id)
--- a/flamingofront/request/reattach.py
+++ b/flamingofront/request/reattach.py
@@ -11,7 +11,7 @@
 
 from flamingofront.connection.interfaces import CallEvent, CallHandle, Exchange, Transport
 from flamingofront.connection.server import JSON_HEADERS
-from flamingofront.errors import ErrorKind, PlatformError, Ran, RequestError
+from flamingofront.errors import ErrorKind, Executed, PlatformError, RequestError
 from flamingofront.messages import OutboundCall, ResponseData, ResponseEnd, ResponseHead
 from flamingofront.process.documents import DocumentStore
 from flamingofront.process.tasks import Task, TaskRunner
@@ -146,7 +146,7 @@
         """Answer from the job's row, the last place to look."""
         if isinstance(status, PlatformError):
             kind = ErrorKind.STORE_UNAVAILABLE
-            exc = RequestError(kind, str(status), Ran.UNKNOWN, RETRY_SECONDS)
+            exc = RequestError(kind, str(status), Executed.UNKNOWN, RETRY_SECONDS)
             self._refuse(exc, request_id, exchange)
         elif status is None or status.workspace != workspace:
             kind = ErrorKind.HOLDER_UNREACHABLE if unreachable else ErrorKind.UNKNOWN_REQUEST
@@ -343,7 +343,7 @@
                 RequestError(
                     ErrorKind(error["kind"]),
                     error["detail"],
-                    Ran(error["ran"]),
+                    Executed(error["ran"]),
                     data.get("retry_after"),
                 )
             )
--- a/flamingofront/request/stop_refusal.py
+++ b/flamingofront/request/stop_refusal.py
@@ -3,7 +3,7 @@
 import math
 
 from flamingofront.decisions.stopping import ends_in_time
-from flamingofront.errors import ErrorKind, Ran, RequestError
+from flamingofront.errors import ErrorKind, Executed, RequestError
 from flamingofront.request.forward_work import ForwardWork
 from flamingofront.request.host import RequestHost
 from flamingofront.request.records import RequestRecord
@@ -33,7 +33,7 @@
     return RequestError(
         ErrorKind.DRAINING,
         "this process stops before the request could end",
-        Ran.NO,
+        Executed.NO,
         STOPPING_RETRY_SECONDS,
         {
             "stop_left": round(left, 2),
--- a/flamingofront/request/tests/test_attempts.py
+++ b/flamingofront/request/tests/test_attempts.py
@@ -6,7 +6,7 @@
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, rule
 
 from flamingofront.decisions.retry import PacedRetryBudget, UnlimitedRetryBudget
-from flamingofront.errors import ErrorKind, Ran
+from flamingofront.errors import ErrorKind, Executed
 from flamingofront.messages import Complete, Emit, Fail, Frame, ScheduleRetry, StartAttempt
 from flamingofront.request.attempts import Phase, RequestFacts, RequestMachine
 
@@ -22,41 +22,41 @@
     def test_loss_with_evidence_is_retried_even_if_not_repeatable(self):
         machine = machine_of(repeatable=False)
         (start,) = machine.start()
-        orders = machine.lost(start.attempt_id, "e", Ran.NO, 1.0)
+        orders = machine.lost(start.attempt_id, "e", Executed.NO, 1.0)
         assert isinstance(orders[0], ScheduleRetry)
-        assert machine.ran is Ran.NO
+        assert machine.ran is Executed.NO
 
     def test_loss_without_evidence_is_final_if_not_repeatable(self):
         machine = machine_of(repeatable=False)
         (start,) = machine.start()
         machine.wrote(start.attempt_id)
-        (fail,) = machine.lost(start.attempt_id, "e", Ran.UNKNOWN, 1.0)
-        assert (fail.kind, fail.ran) == (ErrorKind.OUTCOME_UNKNOWN, Ran.UNKNOWN)
+        (fail,) = machine.lost(start.attempt_id, "e", Executed.UNKNOWN, 1.0)
+        assert (fail.kind, fail.ran) == (ErrorKind.OUTCOME_UNKNOWN, Executed.UNKNOWN)
 
     def test_refusal_after_an_unknown_attempt_does_not_become_not_run(self):
         machine = machine_of()
         (start,) = machine.start()
         machine.wrote(start.attempt_id)
-        machine.lost(start.attempt_id, "e", Ran.UNKNOWN, 1.0)
+        machine.lost(start.attempt_id, "e", Executed.UNKNOWN, 1.0)
         (second,) = machine.start()
-        machine.lost(second.attempt_id, "f", Ran.NO, 1.0)
+        machine.lost(second.attempt_id, "f", Executed.NO, 1.0)
         (fail,) = machine.deadline()
-        assert fail.ran is Ran.UNKNOWN
+        assert fail.ran is Executed.UNKNOWN
 
     def test_refusal_after_a_refusal_stays_not_run(self):
         machine = machine_of()
         for endpoint in ("e", "f"):
             (start,) = machine.start()
             machine.wrote(start.attempt_id)
-            machine.lost(start.attempt_id, endpoint, Ran.NO, 1.0)
+            machine.lost(start.attempt_id, endpoint, Executed.NO, 1.0)
         (fail,) = machine.deadline()
-        assert fail.ran is Ran.NO
+        assert fail.ran is Executed.NO
 
     def test_wait_beyond_the_deadline_is_told_at_once(self):
         budget = PacedRetryBudget(ratio=0.0, floor_rate=0.1, burst=0.0)
         machine = machine_of(deadline=5.0, budget=budget)
         (start,) = machine.start()
-        (fail,) = machine.lost(start.attempt_id, "e", Ran.UNKNOWN, 1.0)
+        (fail,) = machine.lost(start.attempt_id, "e", Executed.UNKNOWN, 1.0)
         assert fail.kind is ErrorKind.RETRY_BUDGET_EXHAUSTED
         assert fail.retry_after == 10.0
 
@@ -64,7 +64,7 @@
         machine = machine_of()
         (start,) = machine.start()
         machine.frame(Frame("r", start.attempt_id, 0, ("x", "y")))
-        machine.lost(start.attempt_id, "e", Ran.UNKNOWN, 1.0)
+        machine.lost(start.attempt_id, "e", Executed.UNKNOWN, 1.0)
         (again,) = machine.start()
         assert again.offset == 2
         assert again.exclude == {"e"}
@@ -78,7 +78,7 @@
         machine.frame(Frame("r", start.attempt_id, 0, ("x",)))
         machine.freeze()
         assert machine.frame(Frame("r", start.attempt_id, 1, ("y",), True)) == []
-        assert machine.lost(start.attempt_id, "e", Ran.UNKNOWN, 1.0) == []
+        assert machine.lost(start.attempt_id, "e", Executed.UNKNOWN, 1.0) == []
         assert machine.start() == machine.deadline() == machine.caller_gone() == []
         assert machine.assembler.tokens == ["x"]
 
@@ -149,15 +149,15 @@
         attempt = self.current()
         if attempt is None or self.machine.phase is not Phase.RUNNING:
             return
-        executed = Ran.NO
+        executed = Executed.NO
         if kind == "refused":
             self.machine.wrote(attempt)
         elif kind.startswith("reset"):
             self.machine.wrote(attempt)
-            executed = Ran.UNKNOWN
+            executed = Executed.UNKNOWN
             self.executions += kind == "reset after"
-        if self.text and executed is Ran.NO:
-            executed = Ran.UNKNOWN
+        if self.text and executed is Executed.NO:
+            executed = Executed.UNKNOWN
         self.carry(self.machine.lost(attempt, "e", executed, self.now))
 
     @rule(seconds=st.floats(0.0, 5.0))
@@ -188,7 +188,7 @@
     @invariant()
     def not_run_is_never_said_of_work_that_ran(self):
         for final in getattr(self, "finals", ()):
-            if isinstance(final, Fail) and final.ran is Ran.NO:
+            if isinstance(final, Fail) and final.ran is Executed.NO:
                 assert self.executions == 0
 
     @invariant()
--- a/flamingofront/request/tests/test_reclaims.py
+++ b/flamingofront/request/tests/test_reclaims.py
@@ -82,7 +82,7 @@
 
     def test_no_position_is_made_by_two_engines(self):
         """Each engine says something else, so a spliced or doubled token would show."""
-        world = demo_world(ZONES, distinct=True)
+        world = demo_world(ZONES, distinct_text=True)
         callers = start_streams(world, 8)
         reclaim(world, ["engine-a1", "engine-b1"], 2.0)
         world.finish(*callers)
--- a/flamingofront/standins/engine.py
+++ b/flamingofront/standins/engine.py
@@ -1,6 +1,6 @@
 """Stand-in for a model engine: continuous batching, prefix cache, resume, cancel, KV export.
 
-The text it makes depends on the prompt and the offset alone, or with `distinct` also on the
+The text it makes depends on the prompt and the offset alone, or with `distinct_text` also on the
 engine, so that a text spliced from two engines can be told from a whole one.
 """
 
@@ -63,7 +63,7 @@
     event_loss: float = 0.05
     transfer_token_seconds: float = 0.0001
     check_fencing: bool = True
-    distinct: bool = False
+    distinct_text: bool = False
 
 
 def expected_token(prompt: Sequence[str], offset: int, engine_id: str = "") -> str:
@@ -209,7 +209,7 @@
             data.get("priority", 5),
             exchange,
             self._order,
-            seed=self.engine_id if self.options.distinct else "",
+            seed=self.engine_id if self.options.distinct_text else "",
         )
         context = stream.context
         stream.cached = self._cached_tokens(context)
@@ -290,7 +290,7 @@
                 queue.remove(stream)
                 self._store(stream.context)
 
-    def die(self) -> None:
+    def crash(self) -> None:
         """Break all streams at once and answer nothing any more."""
         self.dead = True
         for stream in self._running + self._waiting:
--- a/flamingofront/tests/test_forwarding.py
+++ b/flamingofront/tests/test_forwarding.py
@@ -233,7 +233,7 @@
         caller = world.ask("front-1", "/stream/again/x")
         world.run_until(lambda: b"id: 1" in caller.body)
         for each in world.endpoints.values():
-            each.plain_answers = True
+            each.disable_streaming = True
         world.kill(world.fronts["front-1"].hub.active.popitem()[1].endpoint_id)
         world.finish(caller)
         assert caller.broken and b"from" not in caller.body
--- a/flamingofront/version/commit.py
+++ b/flamingofront/version/commit.py
@@ -179,7 +179,7 @@
         try:
             result = yield from self._documents.transact(conditions, writes)
         except PlatformError as exc:
-            self.maybe_written = self.maybe_written or exc.maybe_done
+            self.maybe_written = self.maybe_written or exc.maybe_applied
             raise
         if not result.ok:
             return None
