--- a/flamingofront/platform/__init__.py
+++ b/flamingofront/platform/__init__.py
@@ -1,4 +1,4 @@
-"""Adapter for the users' platform: its names, formats and calls, and nothing that decides.
+"""Adapter for the users' platform: wire names, formats and calls, without any decisions.
 
-Everything that the platform sends is decoded here once, into types of the product.
+All input from the platform is decoded here into the types of this package.
 """
--- a/flamingofront/platform/cloud.py
+++ b/flamingofront/platform/cloud.py
@@ -1,4 +1,4 @@
-"""Calls of the cloud's interface, each of which is the duty of one process at a time."""
+"""Client of the cloud API, which only the holder of the leader lease calls."""
 
 from typing import Any
 
@@ -14,22 +14,22 @@
 
 HOLDER_HEADER = "X-Flamingofront-Duty-Holder"
 FENCING_HEADER = "X-Flamingofront-Fencing-Token"
-STATUS_NONE_TO_BE_HAD = 409
-# Part of the wait for an answer after which the system gives up an unacknowledged call. What a
-# partition holds up is lost then; a call that was only closed could arrive when the partition
-# heals, behind those of the next holder.
-SILENCE_PART = 0.8
+STATUS_NO_CAPACITY = 409
+# Fraction of the call timeout after which the kernel discards unacknowledged data. Otherwise a call
+# delayed by a network partition could arrive after the partition heals, behind calls of the next
+# lease holder.
+ACK_TIMEOUT_FRACTION = 0.8
 
 
 class PlatformCloud(Cloud):
-    """The platform's interface for usage reports and orders.
+    """Client of the platform's API for usage reports and scaling requests.
 
     Parameters
     ----------
     address : str
-        ``IP:PORT`` of the interface.
+        ``IP:PORT`` of the API.
     timeout : float
-        Seconds to wait for an answer.
+        Seconds to wait for a response.
     """
 
     def __init__(self, address: str, timeout: float):
@@ -37,20 +37,22 @@
         self._timeout = timeout
 
     def report_usage(self, holder: str, fencing: int, report: UsageReport) -> Task:
-        """Send the counts of one window."""
+        """Send the request counts of one usage window, with the caller's fencing token."""
         body = {"window_id": report.window, "counts": dict(report.counts)}
-        yield from ask(self._post("/usage", holder, fencing, body), True, (STATUS_OK,))
+        yield from ask(self._make_call("/usage", holder, fencing, body), True, (STATUS_OK,))
 
     def order(self, holder: str, fencing: int, order: EndpointOrder) -> Task:
-        """Order a number of endpoints; False if none are to be had there now."""
+        """Request a number of endpoints; return False if the zone has no capacity now."""
         body = {"service": order.service, "zone": order.zone, "desired": order.count}
         if order.reclaimable:
             body["spot"] = True
-        call = self._post("/scale", holder, fencing, body)
-        reply = yield from ask(call, True, (STATUS_OK, STATUS_NONE_TO_BE_HAD))
+        call = self._make_call("/scale", holder, fencing, body)
+        reply = yield from ask(call, True, (STATUS_OK, STATUS_NO_CAPACITY))
         return reply.status == STATUS_OK
 
-    def _post(self, path: str, holder: str, fencing: int, body: dict[str, Any]) -> OutboundCall:
+    def _make_call(
+        self, path: str, holder: str, fencing: int, body: dict[str, Any]
+    ) -> OutboundCall:
         headers = (*JSON_HEADERS, (HOLDER_HEADER, holder), (FENCING_HEADER, str(fencing)))
         return OutboundCall(
             self._address,
@@ -59,5 +61,5 @@
             orjson.dumps(body),
             headers,
             self._timeout,
-            ack_timeout=self._timeout * SILENCE_PART,
+            ack_timeout=self._timeout * ACK_TIMEOUT_FRACTION,
         )
--- a/flamingofront/platform/endpoints.py
+++ b/flamingofront/platform/endpoints.py
@@ -1,4 +1,4 @@
-"""Rows by which endpoints register themselves."""
+"""Decoding of the table rows with which endpoints register themselves."""
 
 import orjson
 
@@ -9,24 +9,24 @@
 
 ENDPOINT_TABLE = "servers"
 _READY = "ready"
-# A leaving endpoint still serves what it has; any other word names no endpoint to use.
+# A draining endpoint still serves its running requests. Any other state makes the row malformed.
 _STATES = (_READY, "draining")
-_MS = 1000
+_MS_PER_SECOND = 1000
 
 
 def decode_endpoint(key: str, data: bytes) -> EndpointRow:
-    """Return the endpoint in a row; the key is its id.
+    """Return the endpoint decoded from a row, whose key is the endpoint id.
 
     Raises
     ------
     PlatformError
-        If a field is missing or not as it should be: another writer may have put the row there.
+        If a field is missing or invalid, for example because another writer wrote the row.
     """
     try:
         doc = orjson.loads(data)
         state = doc["state"]
         if state not in _STATES:
-            raise ValueError(f"state is {state!r:.60}, which is none that is known")
+            raise ValueError(f"state is {state!r:.60}, expected ready or draining")
         leaves = doc.get("leaves_ms")
         return EndpointRow(
             endpoint_id=key,
@@ -35,22 +35,23 @@
             zone=doc["zone"],
             slots=doc["slots"],
             ready=state == _READY,
-            # Not the time since the start: for how much longer the endpoint stays slow.
-            warming=_number(doc["cold_left_ms"]) / _MS,
+            # "cold_left_ms" is the remaining warm-up time, not the time since the start.
+            warming=_require_number(doc["cold_left_ms"]) / _MS_PER_SECOND,
             sequence=doc["sequence"],
-            # Unix milliseconds of the endpoint's start; deployments without restarts leave it out.
+            # Start time in Unix milliseconds, absent in deployments that never restart endpoints.
             born=doc.get("born", 0),
             version=doc["version"],
-            # True for endpoints that the cloud may take back.
+            # True for endpoints that the cloud may reclaim.
             reclaimable=doc.get("spot", False),
-            leaves_in=None if leaves is None else _number(leaves) / _MS,
+            leaves_in=None if leaves is None else _require_number(leaves) / _MS_PER_SECOND,
         )
     except (KeyError, TypeError, ValueError, AttributeError) as exc:
         raise PlatformError(f"malformed row of endpoint {key}: {exc!r:.200}") from exc
 
 
-def _number(value: object) -> float:
-    """Return a number as it came; a truth value is none."""
+def _require_number(value: object) -> float:
+    """Return the value unchanged; raise `ValueError` if it is not an int or float."""
+    # The type is compared because bool is a subclass of int.
     if type(value) not in (int, float):
-        raise ValueError(f"{value!r:.60} is no number")
+        raise ValueError(f"{value!r:.60} is not a number")
     return value
--- a/flamingofront/platform/objects.py
+++ b/flamingofront/platform/objects.py
@@ -1,4 +1,4 @@
-"""Calls of the platform's object store."""
+"""Client of the platform's object store."""
 
 from urllib.parse import quote
 
@@ -13,18 +13,18 @@
 STATUS_NOT_FOUND = 404
 PUT_PATH = "/api/blob-put/"
 GET_PATH = "/api/blob-get/"
-DROP_PATH = "/api/blob-drop/"
+DELETE_PATH = "/api/blob-drop/"
 
 
 class PlatformObjectStore(ObjectStore):
-    """The platform's object store.
+    """Client of the platform's object store.
 
     Parameters
     ----------
     address : str
         ``IP:PORT`` of the store.
     timeout : float
-        Seconds to wait for an answer.
+        Seconds to wait for a response.
     """
 
     def __init__(self, address: str, timeout: float):
@@ -32,21 +32,21 @@
         self._timeout = timeout
 
     def put(self, name: str, data: bytes) -> Task:
-        """Store an object."""
-        yield from ask(self._call("PUT", PUT_PATH, name, data), True, (STATUS_OK,))
+        """Store an object, replacing any object of the same name."""
+        yield from ask(self._make_call("PUT", PUT_PATH, name, data), True, (STATUS_OK,))
 
     def get(self, name: str) -> Task:
-        """Return the bytes of an object, None if there is none."""
-        call = self._call("GET", GET_PATH, name)
+        """Return the bytes of an object, or None if it does not exist."""
+        call = self._make_call("GET", GET_PATH, name)
         reply = yield from ask(call, False, (STATUS_OK, STATUS_NOT_FOUND))
         return reply.body if reply.status == STATUS_OK else None
 
     def drop(self, name: str) -> Task:
-        """Remove an object."""
-        call = self._call("DELETE", DROP_PATH, name)
+        """Delete an object; it is not an error if the object does not exist."""
+        call = self._make_call("DELETE", DELETE_PATH, name)
         yield from ask(call, True, (STATUS_OK, STATUS_NOT_FOUND))
 
-    def _call(self, method: str, path: str, name: str, data: bytes = b"") -> OutboundCall:
+    def _make_call(self, method: str, path: str, name: str, data: bytes = b"") -> OutboundCall:
         return OutboundCall(
             self._address, method, path + quote(name, safe=""), data, timeout=self._timeout
         )
--- a/flamingofront/platform/requests.py
+++ b/flamingofront/platform/requests.py
@@ -1,4 +1,4 @@
-"""Headers of forwarded requests and answers."""
+"""Headers of forwarded requests and responses."""
 
 import re
 
@@ -18,29 +18,29 @@
 
 __all__ = ["PlatformProtocol"]
 
-PREFIX = "x-flamingofront-"
-REQUEST_ID = PREFIX + "request-id"
-DEADLINE = PREFIX + "deadline-ms"
-# Two numbers: tokens of the prompt, and the most tokens of the answer.
-TOKEN_COUNTS = PREFIX + "token-counts"
-PROMPT_PARTS = PREFIX + "prompt-prefix"
-# Id of the endpoint's present start; any other endpoint refuses the request.
-EXPECTED_ENDPOINT = "X-Flamingofront-Expect-Instance"
-WORKSPACE = "X-Flamingofront-Tenant"
-# A digit, 0 first and 5 where there is none.
-URGENCY = "X-Flamingofront-Request-Urgency"
-NOT_RUN = PREFIX + "not-executed"
-LAST_EVENT = "last-event-id"
-# Requests a second that an endpoint takes from all callers together, with or without a fraction.
-RATE_LIMIT = "server-limit"
+HEADER_PREFIX = "x-flamingofront-"
+REQUEST_ID_HEADER = HEADER_PREFIX + "request-id"
+DEADLINE_HEADER = HEADER_PREFIX + "deadline-ms"
+# Two numbers: tokens in the prompt, and the maximum number of tokens in the response.
+TOKEN_COUNTS_HEADER = HEADER_PREFIX + "token-counts"
+PROMPT_PARTS_HEADER = HEADER_PREFIX + "prompt-prefix"
+# Id of the endpoint process that must run the request; any other endpoint rejects it.
+EXPECTED_ENDPOINT_HEADER = "X-Flamingofront-Expect-Instance"
+WORKSPACE_HEADER = "X-Flamingofront-Tenant"
+# One digit: 0 is the most urgent. Endpoints assume 5 if the header is absent.
+URGENCY_HEADER = "X-Flamingofront-Request-Urgency"
+NOT_RUN_HEADER = HEADER_PREFIX + "not-executed"
+LAST_EVENT_HEADER = "last-event-id"
+# Requests per second that the endpoint accepts from all entry processes together, as a decimal.
+RATE_LIMIT_HEADER = "server-limit"
 DECIMAL = re.compile(r"\d{1,9}(\.\d{1,9})?", re.ASCII)
-# "1" once the endpoint leaves.
-LEAVING = "server-leaving"
-# Seconds, with or without a fraction; a date is none.
-RETRY_AFTER = "retry-after"
+# "1" while the endpoint is draining.
+LEAVING_HEADER = "server-leaving"
+# Seconds as a decimal. HTTP dates are not supported and are ignored.
+RETRY_AFTER_HEADER = "retry-after"
 STATUS_WRONG_ENDPOINT = 421
 STATUS_UNAVAILABLE = 503
-# These statuses tell a caller that its request has not run and never will.
+# These statuses state that the request was not executed and never will be.
 NOT_RUN_STATUSES = frozenset({408, 421, 429, 503})
 STATUS_MAY_HAVE_RUN = 502
 
@@ -59,23 +59,23 @@
         "expect",
     }
 )
-# Headers that only this system may set; callers forge them.
+# Headers that only this system may set. They are removed from requests because callers forge them.
 SYSTEM_FIELDS = frozenset(
     {
-        EXPECTED_ENDPOINT.lower(),
-        WORKSPACE.lower(),
-        DEADLINE,
-        NOT_RUN,
-        PREFIX + "expect-version",
-        URGENCY.lower(),
-        PREFIX + "hold",
-        PREFIX + "pin-ms",
-        PREFIX + "kv-backup",
-        PREFIX + "kv-fetch",
-        PREFIX + "kv-from",
-        PREFIX + "duty-holder",
-        PREFIX + "fencing-token",
-        PREFIX + "instance-id",
+        EXPECTED_ENDPOINT_HEADER.lower(),
+        WORKSPACE_HEADER.lower(),
+        DEADLINE_HEADER,
+        NOT_RUN_HEADER,
+        HEADER_PREFIX + "expect-version",
+        URGENCY_HEADER.lower(),
+        HEADER_PREFIX + "hold",
+        HEADER_PREFIX + "pin-ms",
+        HEADER_PREFIX + "kv-backup",
+        HEADER_PREFIX + "kv-fetch",
+        HEADER_PREFIX + "kv-from",
+        HEADER_PREFIX + "duty-holder",
+        HEADER_PREFIX + "fencing-token",
+        HEADER_PREFIX + "instance-id",
         "kv-fetch",
         "kv-from",
     }
@@ -85,125 +85,139 @@
 
 
 class PlatformProtocol(ForwardProtocol):
-    """The platform's header names."""
+    """Encodes and decodes headers under the platform's names."""
 
     def request_id(self, req: InboundRequest) -> str:
-        """Return the caller's id of a request."""
-        return req.header(REQUEST_ID)
+        """Return the request id that the caller gave, or an empty string."""
+        return req.header(REQUEST_ID_HEADER)
 
     def decode(self, req: InboundRequest) -> CallerRequest:
-        """Return what a caller's headers say."""
-        request_id = req.header(REQUEST_ID)
+        """Return the fields decoded from a caller's headers.
+
+        Raises
+        ------
+        RequestError
+            If the request id is missing or the deadline is not a number.
+        """
+        request_id = req.header(REQUEST_ID_HEADER)
         if not request_id:
-            raise RequestError(ErrorKind.MALFORMED_REQUEST, f"header {REQUEST_ID} is missing")
-        counts = _token_counts(req.header(TOKEN_COUNTS))
-        named = _connection_options(req.fields)
+            raise RequestError(
+                ErrorKind.MALFORMED_REQUEST, f"header {REQUEST_ID_HEADER} is missing"
+            )
+        counts = _parse_token_counts(req.header(TOKEN_COUNTS_HEADER))
+        hop_names = _get_connection_options(req.fields)
         return CallerRequest(
             request_id=request_id,
             host=req.header("host"),
             path=req.target.partition("?")[0],
-            deadline=_milliseconds(req.header(DEADLINE)),
-            key=_key(req.header("authorization")),
-            prompt=_prompt(req.header(PROMPT_PARTS)),
+            deadline=_parse_deadline(req.header(DEADLINE_HEADER)),
+            key=_parse_api_key(req.header("authorization")),
+            prompt=_parse_prompt_parts(req.header(PROMPT_PARTS_HEADER)),
             prompt_tokens=counts[0] if counts else 0,
             output_tokens=counts[1] if counts else 0,
             counts_tokens=counts is not None,
-            fields=_without(req.fields, NOT_FORWARDED | named),
+            fields=_remove_headers(req.fields, NOT_FORWARDED | hop_names),
         )
 
     def attempt_fields(self, work: ForwardWork, facts: AttemptFacts) -> Fields:
-        """Return the headers of an attempt."""
+        """Return the headers that one attempt sends to an endpoint."""
         fields = work.fields
         if facts.last_event:
-            fields = _without(fields, frozenset({LAST_EVENT}))
+            fields = _remove_headers(fields, frozenset({LAST_EVENT_HEADER}))
             fields += (("Last-Event-Id", facts.last_event),)
         fields += (
-            (EXPECTED_ENDPOINT, facts.endpoint_id),
+            (EXPECTED_ENDPOINT_HEADER, facts.endpoint_id),
             ("X-Flamingofront-Deadline-Ms", str(max(1, int(facts.time_left * 1000)))),
         )
         if work.workspace:
-            fields += ((WORKSPACE, work.workspace),)
+            fields += ((WORKSPACE_HEADER, work.workspace),)
         if facts.urgency is not Urgency.IN_TIME:
-            fields += ((URGENCY, str(int(facts.urgency))),)
+            fields += ((URGENCY_HEADER, str(int(facts.urgency))),)
         return fields
 
     def judge(self, request_id: str, head: ResponseHead) -> EndpointAnswer:
-        """Return what the head of an endpoint's answer says."""
+        """Return the facts decoded from the status and headers of an endpoint's response."""
         wrong_endpoint = head.status == STATUS_WRONG_ENDPOINT
         return EndpointAnswer(
             status=head.status,
-            not_run=NOT_RUN in head.headers or wrong_endpoint,
-            crossed=head.headers.get(REQUEST_ID, request_id) != request_id,
+            not_run=NOT_RUN_HEADER in head.headers or wrong_endpoint,
+            crossed=head.headers.get(REQUEST_ID_HEADER, request_id) != request_id,
             wrong_endpoint=wrong_endpoint,
             stream=head.headers.get("content-type", "").startswith("text/event-stream"),
-            fields=_without(head.fields, HOP_FIELDS | _connection_options(head.fields)),
-            names_limit=RATE_LIMIT in head.headers,
-            rate_limit=_decimal(head.headers.get(RATE_LIMIT, "")),
-            leaving=head.headers.get(LEAVING, "").strip() == "1",
-            pause=_pause(head),
+            fields=_remove_headers(head.fields, HOP_FIELDS | _get_connection_options(head.fields)),
+            names_limit=RATE_LIMIT_HEADER in head.headers,
+            rate_limit=_parse_decimal(head.headers.get(RATE_LIMIT_HEADER, "")),
+            leaving=head.headers.get(LEAVING_HEADER, "").strip() == "1",
+            pause=_parse_backoff(head),
         )
 
     def render_error(self, exc: RequestError) -> RenderedError:
-        """Return an error answer; a status that says "not run" is only given with evidence."""
+        """Return status, headers and body of an error response.
+
+        Notes
+        -----
+        A status that states "not executed" is sent only if that is certain, otherwise 502.
+        """
         status = ERROR_RESPONSES[exc.kind].status
         if status in NOT_RUN_STATUSES and exc.ran is not Executed.NO:
             status = STATUS_MAY_HAVE_RUN
         fields: Fields = (("Content-Type", "application/json"),)
         if exc.retry_after is not None and status in NOT_RUN_STATUSES:
-            # Seconds, which may have a fraction here.
+            # The platform accepts fractional seconds.
             fields += (("Retry-After", f"{exc.retry_after:.3f}"),)
         return status, fields, error_body(exc)
 
 
-def _without(fields: Fields, names: frozenset[str]) -> Fields:
+def _remove_headers(fields: Fields, names: frozenset[str]) -> Fields:
     return tuple(each for each in fields if each[0].lower() not in names)
 
 
-def _connection_options(fields: Fields) -> frozenset[str]:
-    """Return the header names that a ``Connection`` header declares as of this hop only."""
+def _get_connection_options(fields: Fields) -> frozenset[str]:
+    """Return the names of the hop-by-hop headers that a ``Connection`` header lists."""
     values = (value for name, value in fields if name.lower() == "connection")
     return frozenset(each.strip().lower() for value in values for each in value.split(","))
 
 
-def _milliseconds(text: str) -> float | None:
-    """Return seconds, None where the header is absent."""
+def _parse_deadline(text: str) -> float | None:
+    """Return the deadline in seconds, or None if the header is absent."""
     if not text:
         return None
     try:
         return max(0.0, float(text) / 1000)
     except ValueError:
         raise RequestError(
-            ErrorKind.MALFORMED_REQUEST, f"{DEADLINE} must be milliseconds, got {text[:40]!r}"
+            ErrorKind.MALFORMED_REQUEST,
+            f"{DEADLINE_HEADER} must be milliseconds, got {text[:40]!r}",
         ) from None
 
 
-def _decimal(text: str) -> float | None:
-    """Return a decimal number that is not negative; None if it is absent or something else."""
+def _parse_decimal(text: str) -> float | None:
+    """Return a non-negative decimal number, or None if the text is empty or malformed."""
     return float(text) if DECIMAL.fullmatch(text.strip()) else None
 
 
-def _pause(head: ResponseHead) -> float | None:
-    """Return the seconds for which a refusal wants no requests; None if it names no such time."""
+def _parse_backoff(head: ResponseHead) -> float | None:
+    """Return the Retry-After seconds of a 503 response, or None if there is no valid time."""
     if head.status != STATUS_UNAVAILABLE:
         return None
-    return _decimal(head.headers.get(RETRY_AFTER, "")) or None
+    return _parse_decimal(head.headers.get(RETRY_AFTER_HEADER, "")) or None
 
 
-def _key(authorization: str) -> str | None:
+def _parse_api_key(authorization: str) -> str | None:
     if authorization[: len(BEARER)].lower() != BEARER:
         return None
     return authorization[len(BEARER) :].strip()
 
 
-def _token_counts(text: str) -> tuple[int, int] | None:
+def _parse_token_counts(text: str) -> tuple[int, int] | None:
     prompt, comma, output = text.partition(",")
     if not comma or not prompt.strip().isdigit() or not output.strip().isdigit():
         return None
     return int(prompt), int(output)
 
 
-def _prompt(text: str) -> tuple[PromptPart, ...]:
-    """Return the parts ``ID:TOKENS`` of a prompt; a malformed list is only a lost hint."""
+def _parse_prompt_parts(text: str) -> tuple[PromptPart, ...]:
+    """Return the ``ID:TOKENS`` parts of a prompt; empty if malformed, as they are only a hint."""
     parts = []
     for each in text.split(",") if text else ():
         part_id, colon, tokens = each.strip().partition(":")
--- a/flamingofront/platform/rollouts.py
+++ b/flamingofront/platform/rollouts.py
@@ -1,4 +1,4 @@
-"""Orders for roll-outs, and the rows that tell how far they are."""
+"""Table rows with the operator's rollout specs and with the status of each rollout."""
 
 import math
 
@@ -11,8 +11,8 @@
 __all__ = ["ROLLOUT_ROWS", "decode_rollout", "decode_status", "encode_status"]
 
 _STATUS_TABLE = "status"
-_KEY = "rollout/"
-# While requests are moving, the roll-out still counts as running.
+_KEY_PREFIX = "rollout/"
+# The platform has no state for the phase in which requests move: it counts as running.
 _STATES = {
     Phase.RUNNING: "running",
     Phase.MOVING: "running",
@@ -21,46 +21,46 @@
 }
 
 
-def _rollout_service(key: str) -> str:
-    """Return the service that a key of the operator's table orders a roll-out of, or nothing."""
-    return key.removeprefix(_KEY) if key.startswith(_KEY) else ""
+def _parse_rollout_key(key: str) -> str:
+    """Return the service of a rollout key, or an empty string for any other key."""
+    return key.removeprefix(_KEY_PREFIX) if key.startswith(_KEY_PREFIX) else ""
 
 
-def _status_key(service: str) -> str:
-    """Return the key of the row that tells how far a service's roll-out is."""
-    return _KEY + service
+def _make_status_key(service: str) -> str:
+    """Return the key of the row with the rollout status of a service."""
+    return _KEY_PREFIX + service
 
 
 def decode_rollout(service: str, data: bytes, number: int) -> RolloutOrder:
-    """Return the order in a row; its number is the version of the row.
+    """Return the rollout spec decoded from a row; `number` is the version of the row.
 
     Raises
     ------
     PlatformError
-        If the order is malformed.
+        If the row is malformed.
     """
     try:
         doc = orjson.loads(data)
-        # ``to`` is a version; ``duration_s`` the time until the roll-out has to be over.
+        # ``to`` is the target version; ``duration_s`` the time within which the rollout must end.
         version, seconds = doc["to"], doc["duration_s"]
         if type(version) is not str or not version:
-            raise ValueError(f"to is {version!r:.60}, which is no version")
+            raise ValueError(f"to is {version!r:.60}, expected a non-empty string")
         if type(seconds) not in (int, float) or not 0 < seconds < math.inf:
-            raise ValueError(f"duration_s is {seconds!r:.60}, which is no time in seconds")
+            raise ValueError(f"duration_s is {seconds!r:.60}, expected a positive number")
         if doc.get("service", service) != service:
-            raise ValueError(f"the order is for {doc['service']!r:.60}")
+            raise ValueError(f"the row names service {doc['service']!r:.60}")
     except (KeyError, TypeError, ValueError, AttributeError) as exc:
-        raise PlatformError(f"malformed roll-out of {service}: {exc!r:.200}") from exc
+        raise PlatformError(f"malformed rollout of {service}: {exc!r:.200}") from exc
     return RolloutOrder(service, version, float(seconds), number)
 
 
 def encode_status(service: str, status: RolloutStatus) -> bytes:
-    """Return the row that tells how far a roll-out is."""
+    """Return the row that stores the status of a rollout."""
     doc = {
         "service": service,
         "to": status.version,
         "state": _STATES[status.phase],
-        # What a successor needs is the system's own.
+        # The platform ignores the fields below; the next lease holder reads them.
         "order": status.number,
         "phase": status.phase.name.lower(),
         "since": status.since,
@@ -70,7 +70,7 @@
 
 
 def decode_status(data: bytes) -> RolloutStatus:
-    """Return how far a roll-out is, as a row tells it.
+    """Return the rollout status decoded from a row.
 
     Raises
     ------
@@ -87,9 +87,14 @@
             frozenset(map(str, doc["withheld"])),
         )
     except (KeyError, TypeError, ValueError, AttributeError) as exc:
-        raise PlatformError(f"malformed status of a roll-out: {exc!r:.200}") from exc
+        raise PlatformError(f"malformed rollout status: {exc!r:.200}") from exc
 
 
 ROLLOUT_ROWS = RolloutRows(
-    _rollout_service, decode_rollout, _STATUS_TABLE, _status_key, encode_status, decode_status
+    _parse_rollout_key,
+    decode_rollout,
+    _STATUS_TABLE,
+    _make_status_key,
+    encode_status,
+    decode_status,
 )
--- a/flamingofront/platform/store.py
+++ b/flamingofront/platform/store.py
@@ -1,4 +1,4 @@
-"""Calls of the platform's table store."""
+"""Client of the platform's table store."""
 
 import base64
 from collections.abc import Sequence
@@ -30,19 +30,20 @@
 STATUS_CONDITION_FAILED = 412
 STATUS_HISTORY_LOST = 410
 JSON_HEADERS = (("Content-Type", "application/json"),)
-# Rises by one each time the store comes back from an older copy. A store without it has one era.
-ERA = "store-era"
+# Incremented each time the store is restored from an older snapshot. Some stores do not send it;
+# their era is always 0.
+ERA_HEADER = "store-era"
 
 
 class PlatformTableStore(TableStore):
-    """The platform's table store.
+    """Client of the platform's table store.
 
     Parameters
     ----------
     address : str
         ``IP:PORT`` of the store.
     timeout : float
-        Seconds to wait for an answer to begin, and for its next part.
+        Seconds to wait for a response to start, and for each further part of it.
     """
 
     def __init__(self, address: str, timeout: float):
@@ -52,33 +53,39 @@
     def read(
         self, table: str, part: str = "", first: str = "", end: str = "", limit: int = 0
     ) -> Task:
-        """Return the rows of a table's part from key `first` on."""
+        """Return the rows of one partition of a table, from key `first` on."""
         query = {"table": table, "part": part}
-        # The range excludes the key ``to``.
+        # The store leaves out the key ``to`` itself.
         bounds = {"from": first, "to": end, "limit": limit}
         query.update({name: value for name, value in bounds.items() if value})
-        call = self._get("/api/rows-get", query, self._timeout)
+        call = self._make_get_call("/api/rows-get", query, self._timeout)
         reply = yield from ask(call, False, (STATUS_OK,))
-        doc, era = _body(reply), _era(reply)
+        doc, era = _decode_body(reply), _parse_era(reply)
         version = position(era, doc["ver"])
-        return RowRange(_rows(doc, era), version, bool(doc.get("truncated", False)))
+        return RowRange(_decode_rows(doc, era), version, bool(doc.get("truncated", False)))
 
     def changes(self, table: str, after: int, wait: float) -> Task:
-        """Return what has changed since a version."""
+        """Return the rows changed since a feed position, after a wait for the first change.
+
+        Raises
+        ------
+        HistoryLostError
+            If the store no longer keeps the changes since then.
+        """
         query = {"table": table, "after_rev": version_of(after), "wait_ms": int(wait * 1000)}
-        call = self._get("/api/rows-feed", query, wait + self._timeout)
+        call = self._make_get_call("/api/rows-feed", query, wait + self._timeout)
         reply = yield from ask(call, False, (STATUS_OK, STATUS_HISTORY_LOST))
         if reply.status == STATUS_HISTORY_LOST:
-            raise HistoryLostError(f"changes of table {table} since {after} are not kept")
-        doc, era = _body(reply), _era(reply)
-        return RowChanges(_rows(doc, era), position(era, doc["ver"]))
+            raise HistoryLostError(f"changes of table {table} since {after} are no longer stored")
+        doc, era = _decode_body(reply), _parse_era(reply)
+        return RowChanges(_decode_rows(doc, era), position(era, doc["ver"]))
 
     def transact(
         self, part: str, conditions: Sequence[RowCondition], writes: Sequence[RowWrite]
     ) -> Task:
-        """Write all rows if all conditions hold."""
+        """Write all rows if all conditions hold; return the outcome and the conflicting rows."""
         body = {
-            # Each row with the version that it must have.
+            # A version of 0 requires that the row does not exist.
             "expected_rev": [
                 {
                     "table": each.table,
@@ -113,44 +120,44 @@
             self._timeout,
         )
         reply = yield from ask(call, True, (STATUS_OK, STATUS_CONDITION_FAILED))
-        doc, era = _body(reply), _era(reply)
+        doc, era = _decode_body(reply), _parse_era(reply)
         version = position(era, doc.get("ver", 0))
-        return TransactionOutcome(reply.status == STATUS_OK, version, _rows(doc, era))
+        return TransactionOutcome(reply.status == STATUS_OK, version, _decode_rows(doc, era))
 
-    def _get(self, path: str, query: dict[str, Any], timeout: float) -> OutboundCall:
+    def _make_get_call(self, path: str, query: dict[str, Any], timeout: float) -> OutboundCall:
         return OutboundCall(
             self._address,
             "GET",
             f"{path}?{urlencode(query)}",
             timeout=timeout,
-            # Rows may be larger than a VM's link carries within the time-out.
+            # A response may be too large to arrive within the timeout over a slow link.
             stall_timeout=self._timeout,
         )
 
 
-def _body(reply: BufferedResponse) -> dict[str, Any]:
+def _decode_body(reply: BufferedResponse) -> dict[str, Any]:
     try:
         return orjson.loads(reply.body)
     except orjson.JSONDecodeError as exc:
-        raise PlatformError(f"the store's answer is malformed: {exc}") from exc
+        raise PlatformError(f"malformed JSON in the store's response: {exc}") from exc
 
 
-def _era(reply: BufferedResponse) -> int:
-    text = reply.headers.get(ERA, "0")
+def _parse_era(reply: BufferedResponse) -> int:
+    text = reply.headers.get(ERA_HEADER, "0")
     if not text.isdigit():
-        raise PlatformError(f"the store's era is malformed: {text[:40]!r}")
+        raise PlatformError(f"the store's era header is not a whole number: {text[:40]!r}")
     return int(text)
 
 
-def _rows(doc: dict[str, Any], era: int) -> tuple[StoredRow, ...]:
+def _decode_rows(doc: dict[str, Any], era: int) -> tuple[StoredRow, ...]:
     try:
-        return tuple(_row(each, era) for each in doc.get("rows", ()))
+        return tuple(_decode_row(each, era) for each in doc.get("rows", ()))
     except (KeyError, TypeError, ValueError) as exc:
-        raise PlatformError(f"the store's rows are malformed: {exc!r}") from exc
+        raise PlatformError(f"malformed rows in the store's response: {exc!r}") from exc
 
 
-def _row(data: dict[str, Any], era: int) -> StoredRow:
-    # A deleted row is marked so and has no value.
+def _decode_row(data: dict[str, Any], era: int) -> StoredRow:
+    # A deleted row has a tombstone mark and no value.
     deleted = data.get("tombstone") or data.get("value") is None
     value = None if deleted else base64.b64decode(data["value"])
     version = position(era, data["ver"])
--- a/flamingofront/platform/tests/test_adapter.py
+++ b/flamingofront/platform/tests/test_adapter.py
@@ -1,4 +1,4 @@
-"""The adapter decodes what the platform sends, and no wire name stands outside it."""
+"""Tests of the platform adapter: decoding, error responses and confinement of wire names."""
 
 import re
 from pathlib import Path
@@ -57,12 +57,12 @@
         ],
         ids=lambda path: str(path.relative_to(PACKAGE)),
     )
-    def test_no_wire_name_outside_the_adapter(self, path):
+    def test_wire_names_only_occur_in_the_adapter(self, path):
         assert not WIRE_NAMES.findall(path.read_text())
 
 
 class TestSettings:
-    def test_values_are_decoded_and_unknown_keys_ignored(self):
+    def test_values_are_parsed_and_unknown_keys_ignored(self):
         settings = parse_settings(SETTINGS)
         assert settings.vm_id == "front-1"
         assert settings.rules.lease_seconds == 3.0
@@ -72,7 +72,7 @@
         assert settings.control_bind is None
 
     @pytest.mark.parametrize(
-        "line, named",
+        "line, expected_text",
         [
             ("listen.front=nonsense", "listen.front"),
             ("bounds.grace_s=soon", "bounds.grace_s"),
@@ -81,13 +81,13 @@
             ("no equals sign", "no equals sign"),
         ],
     )
-    def test_bad_value_is_named(self, line, named):
-        with pytest.raises(Exception, match=re.escape(named)):
+    def test_error_names_the_invalid_line(self, line, expected_text):
+        with pytest.raises(Exception, match=re.escape(expected_text)):
             parse_settings(SETTINGS + line + "\n")
 
 
 class TestConfigurationDocument:
-    def test_split_and_single_service(self):
+    def test_routes_with_weighted_backends_and_with_one_service(self):
         cfg = decode_configuration(
             b'{"version": 3, "services": [], "routes": ['
             b'{"name": "a", "host": "h", "prefix": "/a/", "kind": "stream", "timeout_ms": 500,'
@@ -103,11 +103,11 @@
     @pytest.mark.parametrize(
         "data", [b"", b"[]", b"null", b'{"version": "x"}', b'{"version": 1, "routes": [{}]}']
     )
-    def test_malformed_document_is_refused(self, data):
+    def test_malformed_document_is_rejected(self, data):
         with pytest.raises(ConfigurationError):
             decode_configuration(data)
 
-    def test_split_follows_the_weights(self):
+    def test_backends_are_chosen_by_weight(self):
         backends = (Backend("x", 90.0), Backend("y", 10.0))
         route = ForwardedRoute("r", "h", "/r/", RequestKind.IDEMPOTENT, backends)
         share = sum(route.backend_for(f"request-{n}") == "y" for n in range(5000)) / 5000
@@ -115,7 +115,7 @@
 
 
 class TestEndpointRows:
-    def test_reclaimed_endpoint(self):
+    def test_row_of_a_draining_reclaimable_endpoint(self):
         row = decode_endpoint(
             "i-1",
             b'{"service": "s", "address": "127.0.0.1:1", "zone": "z", "state": "draining",'
@@ -126,7 +126,7 @@
         assert (row.ready, row.reclaimable, row.leaves_in, row.sequence) == (False, True, 2.5, 7)
 
     @pytest.mark.parametrize("data", [b"", b"{}", b"[1]", b'{"service": 1}', b"\xff\xfe", b"1e999"])
-    def test_malformed_row_is_refused(self, data):
+    def test_malformed_row_is_rejected(self, data):
         with pytest.raises(PlatformError):
             decode_endpoint("i-1", data)
 
@@ -142,14 +142,14 @@
         "born": 1764721441000,
     }
 
-    def test_row_as_an_endpoint_writes_it(self):
+    def test_complete_row_with_and_without_start_time(self):
         row = decode_endpoint("i-1", orjson.dumps(self.ROW))
         assert (row.ready, row.service, row.version, row.slots) == (True, "s", "v1", 8)
-        without_start = {name: value for name, value in self.ROW.items() if name != "born"}
-        assert decode_endpoint("i-1", orjson.dumps(without_start)).born == 0
+        without_start_time = {name: value for name, value in self.ROW.items() if name != "born"}
+        assert decode_endpoint("i-1", orjson.dumps(without_start_time)).born == 0
 
     @pytest.mark.parametrize("name", [each for each in ROW if each != "born"])
-    def test_row_without_a_field_is_refused(self, name):
+    def test_row_without_a_required_field_is_rejected(self, name):
         row = {each: value for each, value in self.ROW.items() if each != name}
         with pytest.raises(PlatformError):
             decode_endpoint("i-1", orjson.dumps(row))
@@ -185,7 +185,7 @@
             ("born", None),
         ],
     )
-    def test_field_of_another_type_is_refused(self, name, value):
+    def test_field_with_invalid_type_or_value_is_rejected(self, name, value):
         with pytest.raises(PlatformError):
             decode_endpoint("i-1", orjson.dumps({**self.ROW, name: value}))
 
@@ -201,7 +201,7 @@
             | st.lists(st.integers(0, 3), max_size=2),
         )
     )
-    def test_whatever_is_written_ends_as_a_checked_row_or_is_refused(self, changes):
+    def test_any_row_is_either_decoded_to_valid_values_or_rejected(self, changes):
         try:
             row = decode_endpoint("i-1", orjson.dumps({**self.ROW, **changes}))
         except PlatformError:
@@ -212,22 +212,23 @@
         assert row.position >= (0, 0) and row.ready in (True, False)
 
 
-class TestErrorAnswers:
+class TestErrorResponses:
     @pytest.mark.parametrize("kind", list(ErrorKind))
-    def test_a_status_that_says_not_run_needs_evidence(self, kind):
+    def test_not_executed_status_is_only_sent_if_certain(self, kind):
         for ran in (Executed.UNKNOWN, Executed.YES):
             status, fields, _ = PlatformProtocol().render_error(RequestError(kind, ran=ran))
             assert status not in (408, 421, 429, 503)
             assert "Retry-After" not in dict(fields)
 
-    def test_time_to_come_back_has_a_fraction(self):
+    def test_retry_after_has_fractional_seconds(self):
         exc = RequestError(ErrorKind.OVERLOADED, ran=Executed.NO, retry_after=0.25)
         status, fields, _ = PlatformProtocol().render_error(exc)
         assert status == 503 and dict(fields)["Retry-After"] == "0.250"
 
 
-class TestDutyCalls:
-    def test_what_a_partition_holds_up_is_given_up_before_the_wait_ends(self):
+class TestCloudCalls:
+    def test_unacknowledged_calls_are_discarded_before_the_call_timeout(self):
+        # Otherwise a call delayed by a partition could arrive after one of the next lease holder.
         cloud = PlatformCloud("127.0.0.1:1", 1.0)
         for task in (
             cloud.order("front-1", 2, EndpointOrder("s", "z", 1, True)),
@@ -239,7 +240,7 @@
 
 
 class TestHeaders:
-    def test_prompt_and_tokens(self):
+    def test_prompt_parts_and_token_counts(self):
         headers = {
             "x-flamingofront-request-id": "r",
             "x-flamingofront-token-counts": "1460,80",
@@ -250,7 +251,7 @@
         assert (caller.prompt_tokens, caller.output_tokens) == (1460, 80)
         assert [each.tokens for each in caller.prompt] == [800, 660]
 
-    def test_missing_id_and_bad_deadline_are_named(self):
+    def test_error_names_missing_request_id_and_invalid_deadline(self):
         protocol = PlatformProtocol()
         with pytest.raises(RequestError, match="request-id"):
             protocol.decode(InboundRequest("GET", "/", {}, {}, b""))
@@ -266,6 +267,6 @@
             ({"x-flamingofront-not-executed": "1"}, True, False),
         ],
     )
-    def test_answers_are_judged(self, headers, not_run, crossed):
-        answer = PlatformProtocol().judge("r", ResponseHead(503, headers))
-        assert (answer.not_run, answer.crossed) == (not_run, crossed)
+    def test_execution_and_request_id_of_responses(self, headers, not_run, crossed):
+        response = PlatformProtocol().judge("r", ResponseHead(503, headers))
+        assert (response.not_run, response.crossed) == (not_run, crossed)
