--- a/flamingofront/__init__.py
+++ b/flamingofront/__init__.py
@@ -1,4 +1,4 @@
-"""Serving of language model and application requests on reclaimable VMs."""
+"""Serving system for language model and application requests on reclaimable VMs."""
 
 __all__ = ["__version__"]
 
--- a/flamingofront/cli.py
+++ b/flamingofront/cli.py
@@ -1,4 +1,4 @@
-"""`flamingofront`: the operators' command line."""
+"""`flamingofront`: the command line for operators."""
 
 import getpass
 import http.client
@@ -25,11 +25,11 @@
 DEFAULT_ENTRY = "127.0.0.1:8090"
 CALL_TIMEOUT_SECONDS = 15.0
 POLL_SECONDS = 0.25
-IN_FORCE_SECONDS = 8.0
+ACTIVATION_TIMEOUT_SECONDS = 8.0
 
 
 class ExitCode(IntEnum):
-    """What the exit code of the command line says."""
+    """Exit codes of the command line."""
 
     OK = 0
     BAD_COMMAND = 2
@@ -40,7 +40,7 @@
     TIMED_OUT = 7
 
 
-_CODE_OF_STATE = {
+_EXIT_CODES = {
     "accepted": ExitCode.OK,
     "conflict": ExitCode.CONFLICT,
     "refused": ExitCode.REFUSED,
@@ -52,12 +52,16 @@
 
 @dataclass(frozen=True)
 class Reply:
-    """Answer of an entry VM; status 0 if none answered.
+    """Response of an entry VM to a call.
 
     Parameters
     ----------
+    status : int
+        HTTP status code; 0 if no entry VM responded.
+    data : dict
+        Decoded JSON body; only ``detail`` if no entry VM responded.
     sent : bool
-        True if the call may have reached an entry VM.
+        False only if it is certain that the call reached no entry VM.
     """
 
     status: int
@@ -66,12 +70,16 @@
 
 
 class OperatorClient:
-    """Sends statements to the entry VMs, one address after the other until one answers.
+    """Sends statements to the entry VMs, trying one address after another until one responds.
 
     Parameters
     ----------
     entries : list of str
         Control addresses, ``IP:PORT``.
+    operator : str
+        Name of the operator, recorded with each change.
+    token : str
+        Control token; empty for none.
     """
 
     def __init__(self, entries: list[str], operator: str, token: str = ""):
@@ -82,12 +90,15 @@
     def send(
         self, statements: list[str], operation: str | None = None, base: int | None = None
     ) -> Reply:
-        """Send statements and return the first answer.
-
-        Notes
-        -----
-        A change carries its operation id, so sending it to a second entry VM after the first did
-        not answer cannot apply it twice.
+        """Send statements and return the first response.
+
+        Parameters
+        ----------
+        operation : str, optional
+            Id of a change, which makes it idempotent: it can be sent to a second entry VM after
+            the first did not respond.
+        base : int, optional
+            Revision that the change is based on.
         """
         body = {
             "statements": statements,
@@ -127,13 +138,14 @@
     token: str
     json: bool
 
-    def client(self) -> OperatorClient:
+    def make_client(self) -> OperatorClient:
         """Return a client for these options."""
         entries = [each.strip() for each in self.entry.split(",") if each.strip()]
         return OperatorClient(entries, self.operator, self.token)
 
 
-def _options(entry: str, operator: str, token: str, json: bool) -> _Options:
+def _resolve_options(entry: str, operator: str, token: str, json: bool) -> _Options:
+    """Return the options, with defaults from the environment for empty flags."""
     return _Options(
         entry or os.environ.get("FLAMINGOFRONT_ENTRY", DEFAULT_ENTRY),
         operator or os.environ.get("FLAMINGOFRONT_OPERATOR", "") or getpass.getuser(),
@@ -142,7 +154,7 @@
     )
 
 
-def _say(text: str) -> None:
+def _print_error(text: str) -> None:
     print(text, file=sys.stderr)
 
 
@@ -150,7 +162,7 @@
     print(orjson.dumps(data, option=orjson.OPT_INDENT_2).decode())
 
 
-def _cell(value: Any) -> str:
+def _format_cell(value: Any) -> str:
     if value is None:
         return "-"
     if isinstance(value, bool):
@@ -161,8 +173,8 @@
 
 
 def format_table(columns: list[str], rows: list[dict[str, Any]]) -> str:
-    """Return rows as a table with aligned columns."""
-    cells = [[_cell(row[name]) for name in columns] for row in rows]
+    """Return rows formatted as a text table with a header line and aligned columns."""
+    cells = [[_format_cell(row[name]) for name in columns] for row in rows]
     widths = [
         max([len(name), *(len(line[index]) for line in cells)])
         for index, name in enumerate(columns)
@@ -174,64 +186,66 @@
     )
 
 
-def _fail_on_error(reply: Reply) -> None:
-    """End the program if a call was not understood or not answered."""
+def _exit_on_error(reply: Reply) -> None:
+    """Print the error and exit if a call was rejected or got no response."""
     if reply.status == 0:
-        _say(f"error: {reply.data['detail']}")
+        _print_error(f"error: {reply.data['detail']}")
         sys.exit(ExitCode.UNAVAILABLE)
     error = reply.data.get("error")
     if error is not None:
-        _say(f"error: {error['message']}")
-        bad = reply.status in (400, 401, 404)
-        sys.exit(ExitCode.BAD_COMMAND if bad else ExitCode.UNAVAILABLE)
+        _print_error(f"error: {error['message']}")
+        is_bad_command = reply.status in (400, 401, 404)
+        sys.exit(ExitCode.BAD_COMMAND if is_bad_command else ExitCode.UNAVAILABLE)
 
 
-def _query(options: _Options, statement: str) -> None:
-    reply = options.client().send([statement])
-    _fail_on_error(reply)
+def _run_query(options: _Options, statement: str) -> None:
+    reply = options.make_client().send([statement])
+    _exit_on_error(reply)
     if options.json:
         _print_json(reply.data)
     else:
         print(format_table(reply.data["columns"], reply.data["rows"]))
     if reply.data["missing"]:
-        _say(f"not heard: {', '.join(reply.data['missing'])}")
+        _print_error(f"no response from: {', '.join(reply.data['missing'])}")
 
 
-def _change(options: _Options, statements: list[str], base: int, no_wait: bool) -> None:
+def _run_change(options: _Options, statements: list[str], base: int, no_wait: bool) -> None:
     operation = f"op-{secrets.token_hex(8)}"
-    client = options.client()
+    client = options.make_client()
     reply = client.send(statements, operation, base if base >= 0 else None)
     if reply.status == 0:
-        _report_unanswered(reply, operation)
-    _fail_on_error(reply)
+        _exit_without_response(reply, operation)
+    _exit_on_error(reply)
     outcome = reply.data
     if outcome["state"] == "accepted" and not no_wait:
-        outcome["in_force"] = _wait_in_force(client, outcome["revision"])
+        outcome["in_force"] = _wait_until_active(client, outcome["revision"])
     if options.json:
         _print_json(outcome)
     else:
-        print(_outcome_text(outcome))
-    sys.exit(_CODE_OF_STATE[outcome["state"]])
+        print(_format_outcome(outcome))
+    sys.exit(_EXIT_CODES[outcome["state"]])
 
 
-def _report_unanswered(reply: Reply, operation: str) -> None:
+def _exit_without_response(reply: Reply, operation: str) -> None:
     if not reply.sent:
-        _say(f"unavailable: nothing was changed: {reply.data['detail']}")
+        _print_error(f"unavailable: nothing was changed: {reply.data['detail']}")
         sys.exit(ExitCode.UNAVAILABLE)
-    _say(f"unknown: {reply.data['detail']}; find out with: flamingofront settle {operation}")
+    _print_error(
+        f"unknown: {reply.data['detail']}; find out with: flamingofront settle {operation}"
+    )
     sys.exit(ExitCode.UNKNOWN)
 
 
-def _outcome_text(outcome: dict[str, Any]) -> str:
+def _format_outcome(outcome: dict[str, Any]) -> str:
     state, operation = outcome["state"], outcome["operation"]
     if state == "accepted":
         zones = outcome.get("in_force")
-        where = "" if zones is None else f", in force in {_zones_text(zones)}"
-        return f"accepted: revision {outcome['revision']}{where} (operation {operation})"
+        suffix = "" if zones is None else f", in force in {_format_zones(zones)}"
+        return f"accepted: revision {outcome['revision']}{suffix} (operation {operation})"
     if state == "conflict":
-        what = ", ".join(outcome["faults"])
-        by = outcome["operator"]
-        return f"conflict: revision {outcome['revision']} by {by} changed {what} first"
+        objects = ", ".join(outcome["faults"])
+        operator = outcome["operator"]
+        return f"conflict: revision {outcome['revision']} by {operator} changed {objects} first"
     if state == "unknown":
         return f"unknown: find out with: flamingofront settle {operation}"
     if state == "abandoned":
@@ -239,18 +253,24 @@
     return f"{state}: nothing was changed: " + "; ".join(outcome["faults"])
 
 
-def _zones_text(zones: dict[str, bool]) -> str:
-    in_force = [zone for zone, reached in zones.items() if reached]
-    waiting = [zone for zone, reached in zones.items() if not reached]
-    text = ", ".join(in_force) or "no zone yet"
+def _format_zones(zones: dict[str, bool]) -> str:
+    active = [zone for zone, is_active in zones.items() if is_active]
+    waiting = [zone for zone, is_active in zones.items() if not is_active]
+    text = ", ".join(active) or "no zone yet"
     return f"{text}; not confirmed in {', '.join(waiting)}" if waiting else text
 
 
-def _wait_in_force(client: OperatorClient, revision: int) -> dict[str, bool]:
-    """Wait until all processes that are heard have a revision; return the zones."""
+def _wait_until_active(client: OperatorClient, revision: int) -> dict[str, bool]:
+    """Wait until all reachable processes have a revision or later.
+
+    Returns
+    -------
+    dict of str to bool
+        For each zone, True if all its reachable processes have the revision.
+    """
     zones: dict[str, bool] = {}
 
-    def reached() -> bool:
+    def is_active() -> bool:
         reply = client.send(["show configuration"])
         if reply.status != 200:
             return False
@@ -259,22 +279,29 @@
             zones[row["zone"]] = zones.get(row["zone"], True) and row["revision"] >= revision
         return all(zones.values())
 
-    _poll(reached, IN_FORCE_SECONDS, lambda: f"waiting for revision {revision} in all zones")
+    _poll_until(
+        is_active,
+        ACTIVATION_TIMEOUT_SECONDS,
+        lambda: f"waiting for revision {revision} in all zones",
+    )
     return dict(sorted(zones.items()))
 
 
-def _poll(is_done: Callable[[], bool], seconds: float, about: Callable[[], str]) -> bool:
-    """Ask until something is done; show progress on a terminal."""
-    end = time.monotonic() + seconds
-    shown = False
+def _poll_until(is_done: Callable[[], bool], timeout: float, progress: Callable[[], str]) -> bool:
+    """Poll a condition until it is true; return False after `timeout` seconds.
+
+    Shows the progress text if standard error is a terminal.
+    """
+    deadline = time.monotonic() + timeout
+    is_progress_shown = False
     while not is_done():
-        if time.monotonic() >= end:
+        if time.monotonic() >= deadline:
             return False
         if sys.stderr.isatty():
-            print(f"\r\x1b[K{about()}", end="", file=sys.stderr, flush=True)
-            shown = True
+            print(f"\r\x1b[K{progress()}", end="", file=sys.stderr, flush=True)
+            is_progress_shown = True
         time.sleep(POLL_SECONDS)
-    if shown:
+    if is_progress_shown:
         print("\r\x1b[K", end="", file=sys.stderr, flush=True)
     return True
 
@@ -282,7 +309,7 @@
 def show(
     *words: str, entry: str = "", operator: str = "", token: str = "", json: bool = False
 ) -> None:
-    """Ask what is running and where.
+    """Show the state of the system as a table.
 
     Subjects: vms, endpoints, services, routes, moves, workspaces, drains, requests, shares, leases,
     held, configuration, counters. Clauses: where FIELD OP VALUE [and ...], fields F,F,
@@ -290,21 +317,21 @@
     "flamingofront show requests where workspace=demo order by age desc limit 5",
     "flamingofront show counters where counter=refusals_total".
 
-    :param words: the rest of the statement
+    :param words: remaining words of the statement
     :param entry: control IP:PORT[,IP:PORT] of entry VMs; FLAMINGOFRONT_ENTRY
     :param operator: your name; FLAMINGOFRONT_OPERATOR
     :param token: control token; FLAMINGOFRONT_CONTROL_TOKEN
     :param json: print JSON instead of a table
     """
-    _query(_options(entry, operator, token, json), _statement("show", words))
+    _run_query(_resolve_options(entry, operator, token, json), _make_statement("show", words))
 
 
-def _statement(verb: str, words: tuple[str, ...]) -> str:
+def _make_statement(verb: str, words: tuple[str, ...]) -> str:
     return " ".join([verb, *(shlex.quote(word) for word in words)])
 
 
-def _changing(verb: str, about: str) -> Callable[..., None]:
-    """Return the command for a verb that changes the configuration."""
+def _make_change_command(verb: str, summary: str) -> Callable[..., None]:
+    """Return the command for a verb that changes the configuration; `summary` is its help text."""
 
     def command(
         *words: str,
@@ -315,46 +342,51 @@
         base: int = -1,
         no_wait: bool = False,
     ) -> None:
-        options = _options(entry, operator, token, json)
-        _change(options, [_statement(verb, words)], base, no_wait)
+        options = _resolve_options(entry, operator, token, json)
+        _run_change(options, [_make_statement(verb, words)], base, no_wait)
 
     command.__name__ = verb
-    command.__doc__ = f"""{about}
+    command.__doc__ = f"""{summary}
 
-    :param words: the rest of the statement
+    :param words: remaining words of the statement
     :param entry: control IP:PORT[,IP:PORT] of entry VMs; FLAMINGOFRONT_ENTRY
     :param operator: your name; FLAMINGOFRONT_OPERATOR
     :param token: control token; FLAMINGOFRONT_CONTROL_TOKEN
     :param json: print JSON instead of text
-    :param base: revision that you saw; a later change of the same object is a conflict
-    :param no_wait: do not wait until the change is in force in all zones
+    :param base: revision that the change is based on; a later change of the same object conflicts
+    :param no_wait: do not wait until the change is active in all zones
     """
     return command
 
 
-create = _changing(
+create = _make_change_command(
     "create",
     "Create an object. Example: flamingofront create route chat service=demo",
 )
-change = _changing(
+change = _make_change_command(
     "change",
     "Change fields of an object. Example: flamingofront change workspace desk max_in_flight=40",
 )
-put = _changing(
+put = _make_change_command(
     "put", "Create or replace an object. Example: flamingofront put workspace desk weight=2"
 )
-delete = _changing("delete", "Delete an object. Example: flamingofront delete route chat")
-set_ = _changing("set", "Set the share of a move. Example: flamingofront set share shift 25")
-drain = _changing(
+delete = _make_change_command(
+    "delete", "Delete an object. Example: flamingofront delete route chat"
+)
+set_ = _make_change_command(
+    "set", "Set the share of a move. Example: flamingofront set share shift 25"
+)
+drain = _make_change_command(
     "drain",
-    "Give no new work to a vm, endpoint, side or zone. Example: flamingofront drain side north",
+    "Send no new requests to a vm, endpoint, side or zone. "
+    "Example: flamingofront drain side north",
 )
-undrain = _changing(
-    "undrain", "Give new work again. Example: flamingofront undrain endpoint engine-a1"
+undrain = _make_change_command(
+    "undrain", "Cancel a drain. Example: flamingofront undrain endpoint engine-a1"
 )
-settle = _changing(
+settle = _make_change_command(
     "settle",
-    "Find out, and make final, what became of a change whose outcome is unknown. "
+    "Determine the outcome of a change that is unknown, and make it final. "
     "Example: flamingofront settle op-0123456789abcdef",
 )
 
@@ -369,7 +401,7 @@
     base: int = -1,
     no_wait: bool = False,
 ) -> None:
-    """Put all objects of a TOML file in force, together or not at all.
+    """Apply all objects of a TOML file atomically.
 
     Example: flamingofront apply examples/demo.toml
 
@@ -378,15 +410,15 @@
     :param operator: your name; FLAMINGOFRONT_OPERATOR
     :param token: control token; FLAMINGOFRONT_CONTROL_TOKEN
     :param json: print JSON instead of text
-    :param base: revision that you saw; a later change of the same object is a conflict
-    :param no_wait: do not wait until the change is in force in all zones
+    :param base: revision that the change is based on; a later change of the same object conflicts
+    :param no_wait: do not wait until the change is active in all zones
     """
     try:
         statements = statements_of(file.read_text())
     except (OSError, CommandError) as exc:
-        _say(f"error: {file}: {exc}")
+        _print_error(f"error: {file}: {exc}")
         sys.exit(ExitCode.BAD_COMMAND)
-    _change(_options(entry, operator, token, json), statements, base, no_wait)
+    _run_change(_resolve_options(entry, operator, token, json), statements, base, no_wait)
 
 
 def wait(
@@ -398,47 +430,49 @@
     operator: str = "",
     token: str = "",
 ) -> None:
-    """Wait until a drain has no request left. Example: flamingofront wait side north
+    """Wait until a drain has no requests left. Example: flamingofront wait side north
 
-    :param kind: vm, endpoint, side or zone
-    :param target: what is being drained
+    :param kind: kind of the drained object: vm, endpoint, side or zone
+    :param target: name of the drained object
     :param timeout: seconds to wait
     :param entry: control IP:PORT[,IP:PORT] of entry VMs; FLAMINGOFRONT_ENTRY
     :param operator: your name; FLAMINGOFRONT_OPERATOR
     :param token: control token; FLAMINGOFRONT_CONTROL_TOKEN
     """
-    client = _options(entry, operator, token, False).client()
-    left = {"requests": -1}
+    client = _resolve_options(entry, operator, token, False).make_client()
+    remaining = {"requests": -1}
 
     def is_drained() -> bool:
         name = shlex.quote(f"{kind}.{target}")
         reply = client.send([f"show drains where name = {name}"])
-        _fail_on_error(reply)
+        _exit_on_error(reply)
         if not reply.data["rows"]:
-            _say(f"error: {kind} {target} is not being drained")
+            _print_error(f"error: {kind} {target} is not being drained")
             sys.exit(ExitCode.BAD_COMMAND)
-        left["requests"] = reply.data["rows"][0]["requests"]
-        return left["requests"] == 0 and not reply.data["missing"]
+        remaining["requests"] = reply.data["rows"][0]["requests"]
+        return remaining["requests"] == 0 and not reply.data["missing"]
 
-    if not _poll(is_drained, timeout, lambda: f"{kind} {target}: {left['requests']} requests left"):
-        _say(f"timed out: {kind} {target} has {left['requests']} requests left")
+    if not _poll_until(
+        is_drained, timeout, lambda: f"{kind} {target}: {remaining['requests']} requests left"
+    ):
+        _print_error(f"timed out: {kind} {target} has {remaining['requests']} requests left")
         sys.exit(ExitCode.TIMED_OUT)
     print(f"drained: {kind} {target}")
 
 
 def logs(*files: str, request: str = "", event: str = "", since: str = "", work: str = "") -> None:
-    """Print log lines of entry processes in order of time.
+    """Print matching log lines of entry processes, sorted by time.
 
     :param files: log files of JSON lines; standard input if none is given
     :param request: only lines of the request with this id
     :param event: only lines of this event
     :param since: only lines from this time on, for example 2026-01-31T12:00:00
-    :param work: only lines on this piece of work: a digest that all repeats of a request have
+    :param work: only lines with this digest of the request content, equal for all its repeats
     """
     try:
         lines = [line for name in files for line in Path(name).read_text().splitlines()]
     except OSError as exc:
-        _say(f"{exc.filename}: {exc.strerror}")
+        _print_error(f"{exc.filename}: {exc.strerror}")
         sys.exit(ExitCode.BAD_COMMAND)
     if not files:
         lines = sys.stdin.read().splitlines()
@@ -447,7 +481,8 @@
             print(text)
         sys.stdout.flush()
     except BrokenPipeError:
-        # The reader, for example `head`, has seen enough; the interpreter must not flush again.
+        # The reader, for example `head`, closed the pipe. Standard output is redirected so that the
+        # flush at interpreter exit does not fail again.
         os.dup2(os.open(os.devnull, os.O_WRONLY), sys.stdout.fileno())
 
 
--- a/flamingofront/daemon.py
+++ b/flamingofront/daemon.py
@@ -1,4 +1,4 @@
-"""`flamingofront-entry`: the process of an entry VM."""
+"""`flamingofront-entry`: the entry process with its own request handling."""
 
 import os
 import random
@@ -24,23 +24,23 @@
 __all__ = ["EntryDaemon", "open_document_store", "main"]
 
 EXIT_BAD_SETTINGS = 2
-CONTROL_MAX_BODY = 32 * 1024 * 1024
+CONTROL_MAX_BODY_BYTES = 32 * 1024 * 1024
 
 
 class EntryDaemon:
-    """An `EntryNode` with its sockets.
+    """An `EntryNode` connected to its sockets and timers.
 
     Parameters
     ----------
     settings : EntrySettings
-        Checked settings.
+        Validated settings.
     """
 
     def __init__(self, settings: EntrySettings):
         log = Log("entry", vm=settings.vm_id, zone=settings.zone)
         self._log = log
         self._settings = settings
-        self.runtime = Runtime(self._fault, self._stop_signal)
+        self.runtime = Runtime(self._handle_exception, self._handle_stop_signal)
         client = HTTPClient(self.runtime.timers).register(self.runtime)
         self.node = EntryNode(
             settings,
@@ -50,7 +50,7 @@
             client,
             self.runtime.timers,
             random.Random(),
-            _incarnation(),
+            _compute_incarnation(),
             log,
             on_exit=self.runtime.stop,
         )
@@ -59,28 +59,28 @@
             self.node.handle_caller,
             self.runtime.timers,
             ServerLimits(max_body=settings.max_body),
-            self._refused,
-            self._fault,
+            self._count_rejection,
+            self._handle_exception,
             channel="callers",
         ).register(self.runtime)
         self.control = HTTPServer(
             (settings.control_bind.host, settings.control_bind.port),
             self.node.handle_control,
             self.runtime.timers,
-            ServerLimits(max_body=CONTROL_MAX_BODY),
-            self._refused,
-            self._fault,
+            ServerLimits(max_body=CONTROL_MAX_BODY_BYTES),
+            self._count_rejection,
+            self._handle_exception,
             channel="control",
         ).register(self.runtime)
 
-    def _fault(self, exc: BaseException) -> None:
-        self._log.error("fault", exc=exc)
+    def _handle_exception(self, exc: BaseException) -> None:
+        self._log.error("unhandled exception", exc=exc)
         self.node.metrics.count("faults_total")
 
-    def _refused(self, kind) -> None:
+    def _count_rejection(self, kind) -> None:
         self.node.metrics.count("refusals_total", kind=kind.value)
 
-    def _stop_signal(self) -> None:
+    def _handle_stop_signal(self) -> None:
         self.node.shut_down()
 
     def run(self) -> None:
@@ -88,7 +88,8 @@
 
         Notes
         -----
-        The first line on standard output names the addresses, for ports that the kernel picked.
+        The first line on standard output is a JSON object with the bound addresses, which include
+        ports chosen by the kernel.
         """
         addresses = {
             "callers": f"{self._settings.caller_bind.host}:{self.callers.port}",
@@ -104,27 +105,30 @@
 def open_document_store(
     address: str, timeout: float, now: Callable[[], float], log: Log
 ) -> DocumentStore:
-    """Return the documents in the platform's store.
+    """Return a document store on top of the platform's table and object stores.
 
     Parameters
     ----------
     address : str
-        ``IP:PORT`` of the store.
+        ``IP:PORT`` of the platform's stores.
     timeout : float
-        Seconds to wait for an answer.
+        Seconds to wait for a response.
     now : callable
-        Time of the timer service.
+        Returns the time of the timer service in seconds.
+    log : Log
+        Receives restores of the table store from an older snapshot.
     """
     tables = EraStore(PlatformTableStore(address, timeout), log)
     return DocumentStore(tables, PlatformObjectStore(address, timeout), now)
 
 
-def _incarnation() -> int:
-    """Return the start of this process, in milliseconds since the epoch.
+def _compute_incarnation() -> int:
+    """Return the incarnation of this process: its start time in Unix milliseconds.
 
     Notes
     -----
-    The wall clock is used here alone: the number must grow from one process to the next on a VM.
+    The number must increase from one process to the next on a VM, so this is the only use of the
+    wall clock.
     """
     return int(time.time() * 1000)
 
@@ -154,25 +158,25 @@
     """Serve requests on an entry VM.
 
     Each flag can also be given as an environment variable: ``FLAMINGOFRONT_`` and the flag's name
-    in capitals, with '_' for '-'. Flags go first. Times are in seconds, sizes in bytes.
+    in capitals, with '_' for '-'. Flags take precedence. Times are in seconds, sizes in bytes.
 
     :param vm_id: the platform's id of this VM (required)
     :param zone: availability zone of this VM (required)
     :param platform: IP:PORT of the platform's services (required)
     :param caller_bind: IP:PORT for callers, default 127.0.0.1:8080
     :param control_bind: IP:PORT for peers, operators and metrics, default 127.0.0.1:8090
-    :param advertise: control IP:PORT told to peers, default the control bind
-    :param peers: control IP:PORT,IP:PORT of entry VMs to ask first
+    :param advertise: control IP:PORT that peers connect to, default the control bind
+    :param peers: control IP:PORT,IP:PORT of entry VMs to contact first
     :param control_token: token that peers and operators must send
-    :param gossip_period: between two digest exchanges, default 1
-    :param list_period: between two reads of the VM list, default 2
-    :param load_period: between two load reports, default 1
-    :param platform_timeout: wait for one platform answer, default 2
+    :param gossip_period: time between two digest exchanges, default 1
+    :param list_period: time between two reads of the VM list, default 2
+    :param load_period: time between two load reports, default 1
+    :param platform_timeout: timeout of one call to the platform, default 2
     :param lease_duration: duration of a lease, default 6
-    :param drain_timeout: graceful shutdown before hand-over, default 20
-    :param reattach_grace: an event stream goes on without its caller, default 5
-    :param answer_retention: a finished answer is kept for re-attachment, default 300
-    :param default_deadline: if the caller names none, default 120
+    :param drain_timeout: time to finish requests on shutdown before handing them over, default 20
+    :param reattach_grace: time an event stream continues after its caller disconnects, default 5
+    :param answer_retention: time a complete response is kept for reattachment, default 300
+    :param default_deadline: deadline of requests whose caller gives none, default 120
     :param max_body: largest request body, default 8388608
     :param log_level: debug, info, warning or error, default info
     """
--- a/flamingofront/errors.py
+++ b/flamingofront/errors.py
@@ -1,7 +1,7 @@
 """Exceptions of flamingofront and the closed list of error kinds.
 
-Every answer that is not a success is made from one row of `ERROR_RESPONSES`. No other module
-chooses an HTTP status, and no other module decides whether a retry is worth advertising.
+Every error response is built from one row of `ERROR_RESPONSES`. No other module chooses the HTTP
+status of an error or decides whether to advertise a retry.
 """
 
 from collections.abc import Mapping
@@ -22,11 +22,11 @@
 ]
 
 
-DEFAULT_RETRY_SECONDS = 1.0
+DEFAULT_RETRY_AFTER_SECONDS = 1.0
 
 
 class Executed(StrEnum):
-    """Whether the work of a request was executed by an endpoint."""
+    """Whether an endpoint executed a request."""
 
     NO = "no"
     UNKNOWN = "unknown"
@@ -34,7 +34,7 @@
 
 
 class ErrorKind(StrEnum):
-    """Closed list of the errors that a caller or operator can be told."""
+    """Closed list of the errors that callers and operators receive."""
 
     MALFORMED_REQUEST = "malformed_request"
     HEADERS_TOO_LARGE = "headers_too_large"
@@ -70,18 +70,18 @@
 
 @dataclass(frozen=True)
 class ErrorResponse:
-    """How one error kind is told.
+    """Default error response for one error kind.
 
     Parameters
     ----------
     status : int
         HTTP status code.
-    ran : Ran
-        Default statement on execution; a `RequestError` may override it with better evidence.
-    retry : bool
-        Whether a ``Retry-After`` header makes sense.
+    ran : Executed
+        Whether the request was executed, unless a `RequestError` has better evidence.
+    allows_retry : bool
+        True if the response carries a ``Retry-After`` header.
     text : str
-        Sentence for the reader of the answer.
+        Message for the caller if the `RequestError` has no detail.
     """
 
     status: int
@@ -110,19 +110,19 @@
         401, Executed.NO, False, "unknown workspace or credential"
     ),
     ErrorKind.UNKNOWN_REQUEST: ErrorResponse(
-        404, Executed.UNKNOWN, False, "this request is not held here"
+        404, Executed.UNKNOWN, False, "no such request on this entry VM"
     ),
     ErrorKind.HOLDER_UNREACHABLE: ErrorResponse(
         503, Executed.UNKNOWN, True, "the entry VM that holds this request cannot be reached"
     ),
     ErrorKind.LIMIT_EXCEEDED: ErrorResponse(
-        429, Executed.NO, True, "the workspace is over its limit"
+        429, Executed.NO, True, "the workspace exceeded its limit"
     ),
     ErrorKind.OVERLOADED: ErrorResponse(503, Executed.NO, True, "the endpoints are at capacity"),
     ErrorKind.DRAINING: ErrorResponse(503, Executed.NO, True, "this entry VM is draining"),
     ErrorKind.NOT_READY: ErrorResponse(503, Executed.NO, True, "this entry VM is starting"),
     ErrorKind.NO_ENDPOINT: ErrorResponse(
-        503, Executed.NO, True, "no endpoint can take the request"
+        503, Executed.NO, True, "no endpoint is available for the request"
     ),
     ErrorKind.RETRY_BUDGET_EXHAUSTED: ErrorResponse(
         503, Executed.UNKNOWN, True, "the retry budget of the service is used up"
@@ -130,10 +130,10 @@
     ErrorKind.DEADLINE_EXCEEDED: ErrorResponse(504, Executed.UNKNOWN, True, "the deadline passed"),
     ErrorKind.ENDPOINT_FAILED: ErrorResponse(502, Executed.UNKNOWN, True, "the endpoint failed"),
     ErrorKind.OUTCOME_UNKNOWN: ErrorResponse(
-        502, Executed.UNKNOWN, False, "the call was sent but its outcome is not known"
+        502, Executed.UNKNOWN, False, "the call was sent but its outcome is unknown"
     ),
     ErrorKind.CRASHES_ENDPOINTS: ErrorResponse(
-        502, Executed.YES, False, "endpoints ended while they ran this request; it is not run again"
+        502, Executed.YES, False, "endpoints crashed while running this request; it is not retried"
     ),
     ErrorKind.KEY_REUSED: ErrorResponse(
         422, Executed.NO, False, "the idempotency key was used with another request"
@@ -142,13 +142,13 @@
         409, Executed.UNKNOWN, True, "a request with this idempotency key is in progress"
     ),
     ErrorKind.STORE_UNAVAILABLE: ErrorResponse(
-        503, Executed.NO, True, "the platform's store is out of reach"
+        503, Executed.NO, True, "the platform's store is unreachable"
     ),
     ErrorKind.HANDED_OVER: ErrorResponse(
         503, Executed.YES, True, "the request continues on another entry VM"
     ),
     ErrorKind.SLOW_READER: ErrorResponse(
-        503, Executed.YES, True, "the answer was not read in time"
+        503, Executed.YES, True, "the response was not read in time"
     ),
     ErrorKind.INVALID_CONFIGURATION: ErrorResponse(
         422, Executed.NO, False, "the configuration is not valid"
@@ -156,27 +156,27 @@
     ErrorKind.INVALID_COMMAND: ErrorResponse(400, Executed.NO, False, "the command is not valid"),
     ErrorKind.CONFLICT: ErrorResponse(409, Executed.NO, False, "another change was accepted first"),
     ErrorKind.OPERATION_UNKNOWN: ErrorResponse(
-        504, Executed.UNKNOWN, True, "the outcome of the operation is not known"
+        504, Executed.UNKNOWN, True, "the outcome of the operation is unknown"
     ),
     ErrorKind.INTERNAL: ErrorResponse(500, Executed.UNKNOWN, False, "internal error"),
 }
 
 
 class FlamingofrontError(Exception):
-    """Root of the exception tree."""
+    """Base class of all exceptions of this package."""
 
 
 class SettingsError(FlamingofrontError):
-    """A flag or environment variable has a value that is not allowed."""
+    """A flag, an environment variable or the settings file is missing, unreadable or invalid."""
 
 
 class ConfigurationError(FlamingofrontError):
-    """A proposed configuration is not valid as a whole.
+    """A configuration is invalid and is rejected as a whole.
 
     Parameters
     ----------
     faults : tuple of str
-        One sentence for each fault, naming the object, the field and the value.
+        One sentence for each error, naming the object, the field and the value.
     """
 
     def __init__(self, faults: tuple[str, ...]):
@@ -185,18 +185,18 @@
 
 
 class CommandError(FlamingofrontError):
-    """A query or command of an operator cannot be understood."""
+    """An operator's query or command cannot be parsed or names something unknown."""
 
 
 class PlatformError(FlamingofrontError):
-    """The platform's service refused, failed or did not answer.
+    """A call to the platform was rejected, failed or timed out.
 
     Parameters
     ----------
     detail : str
-        What happened.
+        Description of the failure.
     maybe_applied : bool
-        True if the operation may have taken effect nevertheless.
+        True if the operation may have taken effect despite the error.
     """
 
     def __init__(self, detail: str, maybe_applied: bool = False):
@@ -205,20 +205,21 @@
 
 
 class RequestError(FlamingofrontError):
-    """A caller's request ends with an error answer.
+    """A caller's request fails with an error response.
 
     Parameters
     ----------
     kind : ErrorKind
-        Row of the answer table.
+        Row of `ERROR_RESPONSES` that defines the response.
     detail : str, optional
-        What exactly is wrong, naming the bad value.
-    ran : Ran, optional
-        Evidence about execution; the table's default if not given.
+        Message for the caller; names the invalid value.
+    ran : Executed, optional
+        Whether the request was executed; the default of the kind if not given.
     retry_after : float, optional
-        Seconds after which a retry makes sense; a default where the table allows one.
-    inputs : mapping of str to object, optional
-        What decided, by name, for the line in the log; not told to the caller.
+        Seconds after which the caller may retry: 1 second if not given, ignored if the kind does
+        not allow a retry.
+    log_fields : mapping of str to object, optional
+        Values behind the decision, written to the log only and not sent to the caller.
     """
 
     def __init__(
@@ -234,10 +235,10 @@
         self.kind = kind
         self.detail = detail
         self.ran = ran if ran is not None else ERROR_RESPONSES[kind].ran
-        self.retry_after = self._retry_after(retry_after)
+        self.retry_after = self._resolve_retry_after(retry_after)
 
-    def _retry_after(self, given: float | None) -> float | None:
-        """Return the time to tell: none where the table says that a retry makes no sense."""
+    def _resolve_retry_after(self, seconds: float | None) -> float | None:
+        """Return the seconds to advertise, or None if the kind does not allow a retry."""
         if not ERROR_RESPONSES[self.kind].allows_retry:
             return None
-        return DEFAULT_RETRY_SECONDS if given is None else given
+        return DEFAULT_RETRY_AFTER_SECONDS if seconds is None else seconds
--- a/flamingofront/forward_daemon.py
+++ b/flamingofront/forward_daemon.py
@@ -31,8 +31,8 @@
 __all__ = ["ForwardDaemon", "main"]
 
 EXIT_BAD_SETTINGS = 2
-# Longest wait for an answer of the platform: many times its usual 4 ms, and short enough that a
-# lost answer does not use up a lease of three seconds.
+# Many times the platform's usual response time of 4 ms, but short enough that one lost response
+# does not use up a lease of 3 seconds.
 PLATFORM_TIMEOUT_SECONDS = 1.0
 METRICS_PORT = 9464
 BODY_SECONDS = 10.0
@@ -42,40 +42,40 @@
 
 
 class ForwardDaemon:
-    """A `ForwardingNode` with its sockets.
+    """A `ForwardingNode` connected to its sockets and timers.
 
     Parameters
     ----------
     settings : DeploymentSettings
-        Checked settings.
+        Validated settings.
     path : str
-        Settings file, read again on SIGHUP.
+        Settings file, reloaded on SIGHUP.
     metrics_port : int
-        Port for metrics on the VM's address; 0 lets the kernel pick.
+        Port for metrics on the VM's address; 0 lets the kernel choose one.
     """
 
     def __init__(self, settings: DeploymentSettings, path: str, metrics_port: int = METRICS_PORT):
         self._path = path
         self._settings = settings
         self._log = Log("entry", vm=settings.vm_id, zone=settings.zone)
-        self.runtime = Runtime(self._fault, self._stop_signal)
+        self.runtime = Runtime(self._handle_exception, self._handle_stop_signal)
         self._client = HTTPClient(self.runtime.timers).register(self.runtime)
         self._datagrams = DatagramSocket(
-            (settings.ip, settings.peer_port), self._datagram, self._fault
+            (settings.ip, settings.peer_port), self._receive_datagram, self._handle_exception
         ).register(self.runtime)
-        self.node = ForwardingNode(settings, self._dependencies(), random.Random(), self._log)
-        self.node.on_configuration = self._limit_callers
+        self.node = ForwardingNode(settings, self._make_dependencies(), random.Random(), self._log)
+        self.node.on_configuration = self._apply_caller_limits
         self._client.max_idle = self.node.max_idle
-        self.callers = self._server(settings.caller_bind, self.node.handle_caller, "callers")
-        ready = self._server(settings.ready_bind, self.node.handle_ready, "ready")
+        self.callers = self._make_server(settings.caller_bind, self.node.handle_caller, "callers")
+        ready = self._make_server(settings.ready_bind, self.node.handle_ready, "ready")
         metrics = Address(settings.ip, metrics_port)
         servers = {
             "callers": self.callers,
             "ready": ready,
-            "metrics": self._server(metrics, self.node.handle_control, "metrics"),
+            "metrics": self._make_server(metrics, self.node.handle_control, "metrics"),
         }
         if settings.control_bind is not None:
-            control = self._server(settings.control_bind, self.node.handle_control, "control")
+            control = self._make_server(settings.control_bind, self.node.handle_control, "control")
             servers["control"] = control
         self._ports = {name: server.port for name, server in servers.items()}
         self._stop = GracefulStop(
@@ -86,7 +86,7 @@
             self.callers.refuse_unread,
         )
 
-    def _dependencies(self) -> Dependencies:
+    def _make_dependencies(self) -> Dependencies:
         settings = self._settings
         cloud = settings.cloud
         return Dependencies(
@@ -100,23 +100,23 @@
             int(time.time() * 1000),
         )
 
-    def _datagram(self, data: bytes, ip: str) -> None:
+    def _receive_datagram(self, data: bytes, ip: str) -> None:
         self.node.peers.received(data, ip)
 
-    def _server(self, bind: Address, handler, channel: str) -> HTTPServer:
+    def _make_server(self, bind: Address, handler, channel: str) -> HTTPServer:
         return HTTPServer(
             (bind.host, bind.port),
             handler,
             self.runtime.timers,
             ServerLimits(),
-            self._refused,
-            self._fault,
+            self._record_rejection,
+            self._handle_exception,
             channel=channel,
             render_error=PlatformProtocol().render_error,
         ).register(self.runtime)
 
-    def _limit_callers(self, cfg: ForwardingConfiguration) -> None:
-        """Apply the configuration's limits to callers."""
+    def _apply_caller_limits(self, cfg: ForwardingConfiguration) -> None:
+        """Apply the caller limits of a newly activated configuration."""
         limits = cfg.limits
         self.callers.limits = ServerLimits(
             max_body=limits.max_body,
@@ -125,35 +125,35 @@
             max_head=limits.max_head,
         )
 
-    def _fault(self, exc: BaseException) -> None:
+    def _handle_exception(self, exc: BaseException) -> None:
         self.node.fault(exc)
 
-    def _refused(self, kind) -> None:
+    def _record_rejection(self, kind) -> None:
         self.node.gateway.refused(RequestError(kind))
 
-    def _stop_signal(self) -> None:
+    def _handle_stop_signal(self) -> None:
         self._stop.begin()
 
-    def _reload_signal(self, signo, frame) -> None:
-        self.runtime.timers.once(0.0, self._reload)
+    def _handle_reload_signal(self, signo, frame) -> None:
+        self.runtime.timers.once(0.0, self._reload_settings)
         self.runtime.poller.resume()
 
-    def _reload(self) -> None:
-        """Read the settings file again; a file with a fault changes nothing."""
+    def _reload_settings(self) -> None:
+        """Reload the settings file; an invalid file is logged and changes nothing."""
         try:
             settings = read_settings(self._path)
         except SettingsError as exc:
-            self._log.error("settings refused", detail=str(exc))
+            self._log.error("settings rejected", detail=str(exc))
             return
         changed = settings != self._settings
-        self._log.info("settings read again", changed=changed)
+        self._log.info("settings reloaded", changed=changed)
         if changed:
             self._settings = settings
             self.node.settings = settings
 
     def run(self) -> None:
-        """Serve until a graceful stop is complete."""
-        signal.signal(signal.SIGHUP, self._reload_signal)
+        """Serve until a graceful shutdown is complete."""
+        signal.signal(signal.SIGHUP, self._handle_reload_signal)
         self._log.info("listening", ip=self._settings.ip, ports=self._ports)
         self.node.start()
         self.runtime.run()
@@ -161,18 +161,20 @@
 
 
 def forward(*, log_level: str = "info", metrics_port: int = METRICS_PORT) -> None:
-    """Forward the routes of the platform's configuration.
+    """Forward requests on the routes of the platform's configuration.
 
-    The settings file is named by the environment variable FLAMINGOFRONT_BOOT.
+    The environment variable FLAMINGOFRONT_BOOT holds the path of the settings file.
 
     :param log_level: debug, info, warning or error
-    :param metrics_port: port for metrics on the VM's address, 0 to let the kernel pick
+    :param metrics_port: port for metrics on the VM's address, 0 to let the kernel choose one
     """
     set_up_logs(log_level, NonBlockingStream(sys.stdout.fileno()))
     path = get_settings_path(os.environ) or None
     try:
         if path is None:
-            raise SettingsError(f"{SETTINGS_VARIABLE} is not set: it names the settings file")
+            raise SettingsError(
+                f"{SETTINGS_VARIABLE} is not set: expected the path of the settings file"
+            )
         settings = read_settings(path)
     except SettingsError as exc:
         print(f"flamingofront-forward: {exc}", file=sys.stderr)
--- a/flamingofront/logview.py
+++ b/flamingofront/logview.py
@@ -1,4 +1,4 @@
-"""Select lines of JSON logs: the way of one request through the log files of several VMs."""
+"""Filter JSON log lines, for example to trace one request through the logs of several VMs."""
 
 from collections.abc import Iterable, Iterator
 from typing import Any
@@ -7,52 +7,54 @@
 
 __all__ = ["select_lines"]
 
-# Fields that begin each printed line; the others follow as they stand in the log.
-LEADING = ("time", "level", "vm", "event")
+# Fields printed first, by value only. All other fields follow as name=value in log order.
+LEADING_FIELDS = ("time", "level", "vm", "event")
 
 
 def select_lines(
     lines: Iterable[str], request: str = "", event: str = "", since: str = "", work: str = ""
 ) -> Iterator[str]:
-    """Yield the chosen lines as text, in order of time.
+    """Yield the log lines that match all filters, formatted as text and sorted by time.
 
     Parameters
     ----------
     request : str
-        Id that the caller gave, or the one of the log; empty for all.
+        Request id, either the caller's or the numbered id in the log; empty for all.
     event : str
         Name of the event; empty for all.
     since : str
-        Time from which on lines are chosen, as in the log.
+        Earliest time to include, in the time format of the log; empty for all.
     work : str
-        Digest of what is asked, the same for all repeats of a request; empty for all.
+        Digest of the request content, equal for all repeats of a request; empty for all.
 
     Notes
     -----
-    What is no JSON object, for example the cut last line of a killed process, is passed over.
+    Lines that are not a JSON object are skipped, for example the truncated last line of a killed
+    process.
     """
-    parsed = (_parse(line) for line in lines)
-    chosen = [
+    parsed = (_parse_line(line) for line in lines)
+    selected = [
         data
         for data in parsed
         if data
-        and (not request or _is_of(data, request))
-        and (not work or _is_on(data, work))
+        and (not request or _has_request(data, request))
+        and (not work or _has_work(data, work))
         and (not event or data.get("event") == event)
         and str(data.get("time", "")) >= since
     ]
-    chosen.sort(key=lambda data: str(data.get("time", "")))
-    for data in chosen:
-        yield _text(data)
+    selected.sort(key=lambda data: str(data.get("time", "")))
+    for data in selected:
+        yield _format_line(data)
 
 
-def _is_on(data: dict[str, Any], work: str) -> bool:
-    """Tell whether a line is on a piece of work, alone or among others."""
-    told = data.get("work")
-    return work in told if isinstance(told, list) else told == work
+def _has_work(data: dict[str, Any], work: str) -> bool:
+    """Return True if the ``work`` field of a line is, or contains, this digest."""
+    value = data.get("work")
+    return work in value if isinstance(value, list) else value == work
 
 
-def _parse(line: str) -> dict[str, Any]:
+def _parse_line(line: str) -> dict[str, Any]:
+    """Return the JSON object of a line, or an empty dict if it has none."""
     start = line.find("{")
     if start < 0:
         return {}
@@ -63,13 +65,13 @@
     return data if isinstance(data, dict) else {}
 
 
-def _is_of(data: dict[str, Any], request: str) -> bool:
-    """Tell whether a line is of a request; the log adds a number to the caller's id."""
-    found = str(data.get("request", ""))
-    return found == request or found.partition("#")[0] == request
+def _has_request(data: dict[str, Any], request: str) -> bool:
+    """Return True if a line belongs to a request; logged ids end in ``#`` and a number."""
+    logged_id = str(data.get("request", ""))
+    return logged_id == request or logged_id.partition("#")[0] == request
 
 
-def _text(data: dict[str, Any]) -> str:
-    leading = " ".join(str(data.get(name, "-")) for name in LEADING)
-    rest = " ".join(f"{name}={value}" for name, value in data.items() if name not in LEADING)
+def _format_line(data: dict[str, Any]) -> str:
+    leading = " ".join(str(data.get(name, "-")) for name in LEADING_FIELDS)
+    rest = " ".join(f"{name}={value}" for name, value in data.items() if name not in LEADING_FIELDS)
     return f"{leading} {rest}".rstrip()
--- a/flamingofront/messages.py
+++ b/flamingofront/messages.py
@@ -1,6 +1,6 @@
-"""Frozen data classes that the tasks of one process exchange.
+"""Frozen data classes that the components of one process exchange.
 
-Units are seconds for times and tokens for lengths unless a field says otherwise.
+Unless stated otherwise, times are in seconds and lengths in tokens.
 """
 
 from collections.abc import Mapping
@@ -29,16 +29,18 @@
 
 @dataclass(frozen=True)
 class InboundRequest:
-    """One complete HTTP request as it came from a caller, peer or operator.
+    """One complete HTTP request from a caller, peer or operator.
 
     Parameters
     ----------
+    headers : mapping of str to str
+        Header values by lower-case name.
     target : str
-        Path and query as they were sent.
+        Path and query exactly as received.
     fields : tuple of (str, str)
-        Names and values of all headers as they were sent.
-    began_at : float
-        Time at which the head was complete; the caller's deadline counts from it.
+        Names and values of all headers exactly as received.
+    head_received_at : float
+        Time at which the head was complete; the caller's deadline is measured from it.
     """
 
     method: str
@@ -51,7 +53,7 @@
     head_received_at: float = 0.0
 
     def header(self, name: str, default: str = "") -> str:
-        """Return the value of a header, by its lower-case name."""
+        """Return the value of a header, given its lower-case name."""
         return self.headers.get(name, default)
 
 
@@ -64,23 +66,23 @@
     address : str
         ``IP:PORT`` of the target.
     timeout : float
-        Seconds until the response must be complete; for a stream, the longest silence. With
-        `stall_timeout`, seconds until the response must have begun.
+        Seconds until the response must be complete; for a stream, the longest time without data.
+        With `stall_timeout`, seconds until the response must have started.
     stream : bool
-        True if response data is wanted as it arrives.
-    fresh : bool
+        True to receive the response body in parts as it arrives.
+    new_connection : bool
         True if the call must not reuse an idle connection.
     host : str
         Value of the ``Host`` header; the address if empty.
     connect_timeout : float or None
-        Seconds until the connection must stand; None if only `timeout` bounds it.
+        Seconds until the connection must be established; None if only `timeout` applies.
     ack_timeout : float or None
-        Seconds without word from the target's system after which what was sent is given up by the
-        system itself, so that it cannot arrive later; None for the client's own limit. To be below
-        `timeout` for calls that must not arrive late.
+        Seconds after which the kernel discards data that the target has not acknowledged
+        (``TCP_USER_TIMEOUT``); None for the client's default. Calls that must not arrive late need
+        a value below `timeout`.
     stall_timeout : float or None
-        Longest silence within a response that has begun, in seconds: a large response may take as
-        long as its link needs. None if `timeout` bounds it as a whole.
+        Longest time without data within a started response, in seconds, so that a large response
+        may take as long as its link needs. None if `timeout` applies to the whole response.
     """
 
     address: str
@@ -99,12 +101,13 @@
 
 @dataclass(frozen=True)
 class Sleep:
-    """Yielded by a task that wants to go on after some seconds.
+    """Yielded by a task to be resumed after some seconds.
 
     Parameters
     ----------
     relaxed : bool
-        True if it may be a little later, so that the pause costs no wake-up of its own.
+        True if the task may be resumed slightly later, together with another timer, which saves a
+        wake-up.
     """
 
     seconds: float
@@ -113,7 +116,7 @@
 
 @dataclass(frozen=True)
 class ResponseHead:
-    """Status line and headers of a streamed response; `fields` are the headers as sent."""
+    """Status and headers of a streamed response; `fields` has the headers exactly as received."""
 
     status: int
     headers: Mapping[str, str]
@@ -129,22 +132,22 @@
 
 @dataclass(frozen=True)
 class ResponseEnd:
-    """The response is complete."""
+    """End of a streamed response: it is complete."""
 
 
 @dataclass(frozen=True)
 class CallFailed:
-    """The call ended without a complete response.
+    """The call failed before a complete response was received.
 
     Parameters
     ----------
     reason : str
-        One of ``refused`` (no process listens there), ``connect`` (the target does not answer),
-        ``reset``, ``timeout``, ``framing``, ``cancelled``.
+        One of ``refused`` (no process listens on the port), ``connect`` (no connection could be
+        established), ``reset``, ``timeout``, ``framing`` (malformed response), ``cancelled``.
     wrote : bool
-        False only if it is certain that no byte of the request reached the network.
+        False only if it is certain that no byte of the request was sent.
     reused : bool
-        True if the call went out on a connection that had been idle: its target may have closed it
+        True if the call was sent on a previously idle connection, which the target may have closed
         long before.
     """
 
@@ -155,7 +158,7 @@
 
 @dataclass(frozen=True)
 class BufferedResponse:
-    """A complete response."""
+    """A complete response that was buffered, not streamed."""
 
     status: int
     headers: Mapping[str, str] = field(default_factory=dict)
@@ -164,14 +167,14 @@
 
 @dataclass(frozen=True)
 class Frame:
-    """Tokens that one attempt produced for one request.
+    """Tokens that one attempt generated for one request.
 
     Parameters
     ----------
     offset : int
-        Number of tokens of the answer that come before `tokens`.
+        Number of tokens of the response that precede `tokens`.
     final : bool
-        True if the answer ends with these tokens.
+        True if the response ends with these tokens.
     """
 
     request_id: str
@@ -183,7 +186,7 @@
 
 @dataclass(frozen=True)
 class StartAttempt:
-    """Order to send the request to an endpoint, resuming at `offset`."""
+    """Action: send the request to an endpoint not in `exclude`, resuming at token `offset`."""
 
     attempt_id: str
     offset: int
@@ -192,21 +195,21 @@
 
 @dataclass(frozen=True)
 class CancelAttempt:
-    """Order to end an attempt whose output is no longer wanted."""
+    """Action: cancel an attempt whose output is no longer needed."""
 
     attempt_id: str
 
 
 @dataclass(frozen=True)
 class ScheduleRetry:
-    """Order to come back after `delay` seconds and start another attempt."""
+    """Action: start another attempt after `delay` seconds."""
 
     delay: float
 
 
 @dataclass(frozen=True)
 class Emit:
-    """Tokens to pass to the caller."""
+    """Action: send tokens to the caller; `offset` counts the tokens before them."""
 
     offset: int
     tokens: tuple[str, ...]
@@ -214,14 +217,14 @@
 
 @dataclass(frozen=True)
 class Complete:
-    """The answer is complete."""
+    """Action: finish the response, which has `total_tokens` tokens."""
 
     total_tokens: int
 
 
 @dataclass(frozen=True)
 class Fail:
-    """The request ends with an error answer."""
+    """Action: end the request with an error response."""
 
     kind: ErrorKind
     ran: Executed
--- a/flamingofront/tests/test_forward_processes.py
+++ b/flamingofront/tests/test_forward_processes.py
@@ -147,10 +147,10 @@
 
         processes.write_settings(**{"bounds.grace_s": "nonsense"})
         processes.front.send_signal(signal.SIGHUP)
-        assert "bounds.grace_s" in processes.wait_event("settings refused")["detail"]
+        assert "bounds.grace_s" in processes.wait_event("settings rejected")["detail"]
         processes.write_settings(**{"bounds.grace_s": "15"})
         processes.front.send_signal(signal.SIGHUP)
-        assert processes.wait_event("settings read again")["changed"] is True
+        assert processes.wait_event("settings reloaded")["changed"] is True
         assert get(address, "/lookup/1", CALL)[0] == 200
 
         processes.front.send_signal(signal.SIGTERM)
@@ -160,7 +160,7 @@
         assert status == 200 and headers["Connection"] == "close"
         assert processes.wait_event("exit")["unanswered"] == 0
         assert processes.front.wait(WAIT_SECONDS) == 0
-        assert processes.errors() == ["settings refused"]
+        assert processes.errors() == ["settings rejected"]
 
     @pytest.mark.parametrize(
         "settings, named", [(None, b"FLAMINGOFRONT_BOOT"), ("node_name=x\n", b"zone")]
