--- a/bench/proofs.py
+++ b/bench/proofs.py
@@ -41,7 +41,7 @@
         caller = world.start_operation(["change workspace desk weight=2"], "entry-a1")
         world.run_until(lambda caller=caller: caller.done)
         for service in ("table", "vms", "cloud"):
-            world.platform.fail(service, mode)
+            world.platform.inject_fault(service, mode)
         yield name, seconds_until_in_force(world, caller.data["revision"])
     world = demo_world(FOUR_ZONES)
     world.isolate("zone-d")
--- a/flamingofront/process/forwarding/tests/test_duties.py
+++ b/flamingofront/process/forwarding/tests/test_duties.py
@@ -163,7 +163,7 @@
     def test_state_is_kept_in_one_row(self):
         world = ready_world()
         world.run(8.0)
-        row = world.store.value(DUTY_TABLE, DUTY_KEY, DUTY_PART)
+        row = world.store.get_value(DUTY_TABLE, DUTY_KEY, DUTY_PART)
         assert row["holder"] == "front-1" and row["reports"]
 
 
--- a/flamingofront/process/forwarding/tests/test_endpoints.py
+++ b/flamingofront/process/forwarding/tests/test_endpoints.py
@@ -296,7 +296,7 @@
     def asked_before_the_start(self, path):
         """Return a world, and a caller whose endpoint has started again without an answer."""
         world = self.world()
-        world.endpoints["engine-1"].fail(ForwardFault.HANG)
+        world.endpoints["engine-1"].inject_fault(ForwardFault.HANG)
         caller = world.ask("front-1", path)
         world.run(0.6)
         self.start_again(world)
--- a/flamingofront/process/forwarding/tests/test_readers.py
+++ b/flamingofront/process/forwarding/tests/test_readers.py
@@ -140,10 +140,10 @@
 
     def test_lost_history_is_no_harm(self):
         world = zones_world()
-        world.store.forget_history()
+        world.store.discard_history()
         world.configure_routes(version=2)
         world.register("plain-1", "records", state="draining", sequence=2)
-        world.store.forget_history()
+        world.store.discard_history()
         world.run(4.5)
         assert versions(world) == {2}
         for front in world.fronts.values():
@@ -239,7 +239,7 @@
 
     @rule()
     def store_forgets(self):
-        self.world.store.forget_history()
+        self.world.store.discard_history()
 
     @rule(name=st.sampled_from(["plain-1", "plain-2"]), ready=st.booleans())
     def endpoint_is_started_anew(self, name, ready):
@@ -251,7 +251,7 @@
 
     @rule(index=st.integers(0, 50))
     def endpoint_vanishes(self, index):
-        keys = sorted(self.world.store.rows("servers"))
+        keys = sorted(self.world.store.get_rows("servers"))
         if keys:
             self.world.store.drop("servers", keys[index % len(keys)])
 
@@ -281,8 +281,8 @@
         assert versions(world) == {self.version}
         stands = {
             key
-            for key in world.store.rows("servers")
-            if world.store.value("servers", key)["state"] == "ready"
+            for key in world.store.get_rows("servers")
+            if world.store.get_value("servers", key)["state"] == "ready"
         }
         for front in alive(world).values():
             assert live_endpoints(front) == stands
--- a/flamingofront/process/forwarding/tests/test_restored_store.py
+++ b/flamingofront/process/forwarding/tests/test_restored_store.py
@@ -101,7 +101,7 @@
         world.run(1.0)
         restore(world, 3.0)
         world.run(3.0)
-        assert set(world.store.rows(MEMBER_TABLE)) == set(world.fronts)
+        assert set(world.store.get_rows(MEMBER_TABLE)) == set(world.fronts)
 
     def test_requests_that_are_held_back_stay_so_and_are_kept_again(self):
         world = crashing_world()
@@ -109,7 +109,7 @@
         repeat(world, "/write/x", seconds=3.0)
         restore(world, 12.0)
         world.run(CONTACT_SECONDS)
-        assert len(world.store.rows(HOLD_TABLE)) == 1
+        assert len(world.store.get_rows(HOLD_TABLE)) == 1
         ends = len(world.ends_under(POISON))
         for name in list(world.fronts):
             world.kill(name)
@@ -142,15 +142,15 @@
         world.store.restore(0.8)
         world.heal()
         other = world.fronts["front-2"].store
-        while world.store.rows("own").get("key", (b"", 0))[1] < version_of(first.version):
-            known = world.store.rows("own").get("key", (b"", 0))[1]
+        while world.store.get_rows("own").get("key", (b"", 0))[1] < version_of(first.version):
+            known = world.store.get_rows("own").get("key", (b"", 0))[1]
             condition = RowCondition("own", "key", position(1, known) if known else 0)
             task = other.transact("", (condition,), (RowWrite("own", "key", b"other"),))
             world.fronts["front-2"].tasks.start(task, outcomes.append)
             world.run(0.1)
         late = run(write(first.version, b"late"))
         assert not late.ok
-        assert world.store.rows("own")["key"][0] == b"other"
+        assert world.store.get_rows("own")["key"][0] == b"other"
 
 
 class TestDuties:
@@ -231,7 +231,7 @@
         restore(rollout.world, 3.0)
         rollout.serve(4.0)
         for name in ("new-1", "new-2"):
-            rollout.world.endpoints[name].fail(ForwardFault.NONE)
+            rollout.world.endpoints[name].inject_fault(ForwardFault.NONE)
         rollout.world.store.put("op", "rollout/records", rollout.order)
         rollout.world.run(1.0)
         rollout.ordered_at = rollout.world.clock.now()
--- a/flamingofront/process/forwarding/tests/test_stopping.py
+++ b/flamingofront/process/forwarding/tests/test_stopping.py
@@ -151,7 +151,7 @@
 
     @staticmethod
     def _answer_by_size(endpoint):
-        inner = endpoint._answer
+        inner = endpoint._respond
 
         def answer(req, exchange, fault):
             named = req.header("x-flamingofront-token-counts")
@@ -159,7 +159,7 @@
                 endpoint.events = int(named.split(",")[1]) // StoppingProcess.TOKENS_PER_EVENT
             inner(req, exchange, fault)
 
-        endpoint._answer = answer
+        endpoint._respond = answer
 
     def ask(self, events=0, path="/stream/once/x", deadline=9000):
         self.count += 1
@@ -253,7 +253,7 @@
         """Its caller saw a connection that closed without an answer."""
         world = ready_world()
         for each in world.endpoints.values():
-            each.fail(ForwardFault.HANG)
+            each.inject_fault(ForwardFault.HANG)
         caller = world.ask("front-1", path)
         world.run(0.1)
         callers = SimpleNamespace(closing=False, connections=1, close_idle=lambda: 0)
--- a/flamingofront/process/tests/test_configuration.py
+++ b/flamingofront/process/tests/test_configuration.py
@@ -39,19 +39,19 @@
         caller = world.start_operation(["change workspace desk weight=2"], "entry-a1")
         world.run_until(lambda: caller.done)
         for service in ("table", "vms", "cloud"):
-            world.platform.fail(service, mode)
+            world.platform.inject_fault(service, mode)
         assert seconds_until_in_force(world, caller.data["revision"]) < SECONDS
 
     def test_everywhere_although_the_answer_of_the_write_was_lost(self):
         world = demo_world(ZONES)
-        world.platform.fail("table", FaultMode.LOSE_ANSWER, count=1, writes_only=True)
+        world.platform.inject_fault("table", FaultMode.LOSE_ANSWER, count=1, writes_only=True)
         outcome = world.operate("change workspace desk weight=2", "entry-a1")
         assert outcome["state"] == "accepted"
         assert seconds_until_in_force(world, outcome["revision"]) < SECONDS
 
     def test_everywhere_although_the_accepting_process_dies(self):
         world = demo_world(ZONES)
-        world.platform.fail("table", FaultMode.LOSE_ANSWER, count=1, writes_only=True)
+        world.platform.inject_fault("table", FaultMode.LOSE_ANSWER, count=1, writes_only=True)
         world.start_operation(["change workspace desk weight=2"], "entry-a1")
         world.run_until(lambda: world.platform.rows["config/head"][0]["revision"] == 2)
         world.kill("entry-a1")
@@ -63,7 +63,7 @@
         outcome = world.operate("change workspace desk weight=2", "entry-a1")
         seconds_until_in_force(world, outcome["revision"])
         for service in ("table", "vms", "cloud"):
-            world.platform.fail(service, FaultMode.DOWN)
+            world.platform.inject_fault(service, FaultMode.DOWN)
         world.kill("entry-b1")
         node = world.entry("entry-b1", "zone-b")
         assert not node.ready
@@ -123,14 +123,14 @@
 
     def test_unknown_outcome_is_settled_later(self):
         world = demo_world(ZONES)
-        world.platform.fail("table", FaultMode.LOSE_ANSWER, count=1, writes_only=True)
+        world.platform.inject_fault("table", FaultMode.LOSE_ANSWER, count=1, writes_only=True)
         caller = world.start_operation(["change workspace desk weight=2"], "entry-a1")
         world.run_until(lambda: world.platform.rows["config/head"][0]["revision"] == 2)
-        world.platform.fail("table", FaultMode.DOWN)
+        world.platform.inject_fault("table", FaultMode.DOWN)
         world.run_until(lambda: caller.done)
         outcome = caller.data
         assert outcome["state"] == "unknown"
-        world.platform.fail("table", FaultMode.UP)
+        world.platform.inject_fault("table", FaultMode.UP)
         settled = world.operate(f"settle {outcome['operation']}", "entry-b1")
         assert (settled["state"], settled["revision"]) == ("accepted", 2)
 
@@ -180,7 +180,7 @@
     @rule(mode=st.sampled_from(list(FaultMode)))
     def platform_changes(self, mode):
         for service in ("table", "vms", "cloud"):
-            self.world.platform.fail(service, mode, 0.5)
+            self.world.platform.inject_fault(service, mode, 0.5)
 
     @rule(name=st.sampled_from(["entry-a1", "entry-b1", "entry-c1"]))
     def process_is_replaced(self, name):
@@ -202,7 +202,7 @@
             return
         self.world.heal()
         for service in ("table", "vms", "cloud"):
-            self.world.platform.fail(service, FaultMode.UP)
+            self.world.platform.inject_fault(service, FaultMode.UP)
         self.world.run(15.0)
         head = self.world.platform.rows["config/head"][0]["revision"]
         assert set(revisions(self.world).values()) == {head}
--- a/flamingofront/process/tests/test_documents.py
+++ b/flamingofront/process/tests/test_documents.py
@@ -104,15 +104,16 @@
         assert list(store.platform.store.objects) == [large.object_name]
         assert not small.object_name
         assert all(
-            len(row[0]) <= ROW_BYTES for row in store.platform.store.rows(DOCUMENT_TABLE).values()
+            len(row[0]) <= ROW_BYTES
+            for row in store.platform.store.get_rows(DOCUMENT_TABLE).values()
         )
 
     def test_object_store_that_is_down_writes_nothing(self, store):
-        store.platform.fail("objects", FaultMode.LOSE_ANSWER)
+        store.platform.inject_fault("objects", FaultMode.LOSE_ANSWER)
         with pytest.raises(PlatformError) as caught:
             store.write(Write("large", LARGE))
         assert not caught.value.maybe_applied
-        store.platform.fail("objects", FaultMode.UP)
+        store.platform.inject_fault("objects", FaultMode.UP)
         assert store.read("large")[0].revision == 0
 
     def test_object_of_a_removed_document_can_be_dropped(self, store):
--- a/flamingofront/process/tests/test_expiry.py
+++ b/flamingofront/process/tests/test_expiry.py
@@ -53,8 +53,8 @@
 
     def test_outage_only_delays_it(self):
         world = self.world()
-        world.platform.fail("table", FaultMode.LOSE_ANSWER)
+        world.platform.inject_fault("table", FaultMode.LOSE_ANSWER)
         later(world, DAY_AND_MORE)
-        world.platform.fail("table", FaultMode.UP)
+        world.platform.inject_fault("table", FaultMode.UP)
         world.run(3 * SWEEP_PERIOD_SECONDS)
         assert rows(world, "claim/") == rows(world, "expiry/") == []
--- a/flamingofront/process/tests/test_holds.py
+++ b/flamingofront/process/tests/test_holds.py
@@ -78,7 +78,9 @@
         return Hold(fingerprint, **values)
 
     def kept(self, world):
-        return {key: decode_hold(key, row[0]) for key, row in world.store.rows(HOLD_TABLE).items()}
+        return {
+            key: decode_hold(key, row[0]) for key, row in world.store.get_rows(HOLD_TABLE).items()
+        }
 
     def test_hold_outlasts_an_outage_of_the_store(self):
         world = ready_world(fronts=3)
@@ -132,7 +134,7 @@
         hold = self.hold(world, since=world.clock.now() - FORGOTTEN_SECONDS - 1)
         world.store.put(HOLD_TABLE, "f-1", encode_hold(hold))
         world.run(1.0)
-        assert not world.store.rows(HOLD_TABLE)
+        assert not world.store.get_rows(HOLD_TABLE)
         assert not world.fronts["front-1"].hub.guard.quarantine
 
     def test_kept_ends_of_a_request_count_with_the_next_one(self):
--- a/flamingofront/process/tests/test_intents.py
+++ b/flamingofront/process/tests/test_intents.py
@@ -19,7 +19,7 @@
 
 def recorded(world):
     """Return the records in the store, by request."""
-    rows = world.store.rows(INTENT_TABLE)
+    rows = world.store.get_rows(INTENT_TABLE)
     return {key: decode_record(key, value) for key, (value, _) in rows.items()}
 
 
@@ -158,14 +158,14 @@
     def test_history_that_is_lost_is_told_and_harms_nothing(self):
         world = crashing_world(fronts=1)
         world.kill("front-0")
-        world.store.forget_history()
+        world.store.discard_history()
         world.run(1.0)
         world.front("front-0", first_start=False)
         world.run(1.0)
         caller = world.ask("front-0", "/stream/once/x", body=BODY)
         world.finish(caller)
         assert caller.status == 200
-        assert world.store.rows(DUTY_TABLE, DUTY_TABLE)
+        assert world.store.get_rows(DUTY_TABLE, DUTY_TABLE)
 
 
 class TestWaryProcesses:
--- a/flamingofront/process/tests/test_leases.py
+++ b/flamingofront/process/tests/test_leases.py
@@ -82,10 +82,10 @@
     def test_lease_lapses_while_the_platform_is_out_and_comes_back_to_one(self, mode):
         pair = Keepers()
         pair.world.run(5.0)
-        pair.world.platform.fail("table", mode)
+        pair.world.platform.inject_fault("table", mode)
         pair.world.run(DURATION + 3.0)
         assert pair.holders() == []
-        pair.world.platform.fail("table", FaultMode.UP)
+        pair.world.platform.inject_fault("table", FaultMode.UP)
         pair.world.run(20.0)
         assert len(pair.holders()) == 1
 
@@ -130,7 +130,7 @@
 
     @rule(mode=st.sampled_from(list(FaultMode)), delay=st.floats(0.1, 3.0))
     def platform_changes(self, mode, delay):
-        self.group.world.platform.fail("table", mode, delay)
+        self.group.world.platform.inject_fault("table", mode, delay)
 
     @invariant()
     def check(self):
@@ -189,7 +189,7 @@
     def test_order_is_not_given_once_the_lease_has_lapsed(self):
         world = demo_world(entries_per_zone=1)
         world.run(10.0)
-        world.platform.fail("table", FaultMode.DOWN)
+        world.platform.inject_fault("table", FaultMode.DOWN)
         world.run(15.0)
         before = list(world.engines["engine-a1"].orders)
         self.put_wrong_model(world, "engine-a1")
--- a/flamingofront/standins/__init__.py
+++ b/flamingofront/standins/__init__.py
@@ -1,3 +1,3 @@
-"""Stand-ins for the platform and the endpoints, for development and tests only."""
+"""Simulated platform services and endpoints, for development and tests only."""
 
 __all__ = []
--- a/flamingofront/standins/engine.py
+++ b/flamingofront/standins/engine.py
@@ -1,7 +1,7 @@
-"""Stand-in for a model engine: continuous batching, prefix cache, resume, cancel, KV export.
+"""Stand-in for a model engine: continuous batching, prefix cache, resume, cancel, KV transfer.
 
-The text it makes depends on the prompt and the offset alone, or with `distinct_text` also on the
-engine, so that a text spliced from two engines can be told from a whole one.
+The generated text depends only on the prompt and the offset. With `distinct_text` it also depends
+on the engine, so that tests can detect a text spliced from two engines.
 """
 
 import hashlib
@@ -19,38 +19,38 @@
 from flamingofront.process.timers import TimerService
 from flamingofront.request.prefixes import BLOCK_TOKENS, block_hashes
 
-__all__ = ["EngineOptions", "EngineStandIn", "expected_token"]
+__all__ = ["EngineOptions", "EngineStandIn", "compute_token"]
 
 FRAME_HEADERS = (("Content-Type", "application/x-ndjson"),)
-MAX_EVENTS = 512
+MAX_CACHE_EVENTS = 512
 
 
 @dataclass(frozen=True)
 class EngineOptions:
-    """Speed and size of an engine.
+    """Speed and capacity of an engine.
 
     Parameters
     ----------
     step_seconds : float
-        Time of one decoding step with one stream.
+        Duration of one decoding step with a single stream.
     crowding_seconds : float
         Time that each further stream adds to a step.
     prefill_rate : float
-        Prompt tokens read a second.
+        Prompt tokens processed per second.
     max_running, max_waiting : int
-        Streams in the batch, and streams that wait for a place in it.
+        Maximum number of streams in the batch, and in the queue for it.
     cache_blocks : int
-        Size of the prefix cache.
+        Size of the prefix cache in blocks.
     report_lag : float
-        Seconds by which the load report lags behind.
+        Age in seconds up to which a load report is reused.
     event_loss : float
-        Part of the cache events that is lost.
+        Fraction of cache events that are lost.
     transfer_token_seconds : float
-        Time to export or import the cache of one token.
+        Time to export or import the KV cache of one token.
     check_fencing : bool
-        Whether orders with an old fencing number are refused.
+        True to reject orders with an outdated fencing token.
     distinct : bool
-        Whether the text depends on the engine.
+        True if the generated text depends on the engine.
     """
 
     step_seconds: float = 0.01
@@ -66,8 +66,8 @@
     distinct_text: bool = False
 
 
-def expected_token(prompt: Sequence[str], offset: int, engine_id: str = "") -> str:
-    """Return the token that an engine makes at an offset."""
+def compute_token(prompt: Sequence[str], offset: int, engine_id: str = "") -> str:
+    """Return the token that an engine generates at an offset; `engine_id` for distinct text."""
     text = f"{''.join(prompt)}/{offset}/{engine_id}"
     digest = hashlib.blake2b(text.encode(), digest_size=3).hexdigest()
     return f" {offset}:{digest}"
@@ -75,6 +75,22 @@
 
 @dataclass
 class _Stream:
+    """One request in the queue or the batch.
+
+    Parameters
+    ----------
+    number : int
+        Arrival number; streams of equal priority start in this order.
+    cached : int
+        Tokens of the context found in the prefix cache or imported.
+    prefill_left : float
+        Seconds of prefill that remain.
+    prefilled : int
+        Tokens that have to be prefilled.
+    seed : str
+        Engine id if the text depends on the engine, otherwise empty.
+    """
+
     request: str
     attempt: str
     prompt: list[str]
@@ -82,22 +98,36 @@
     max_tokens: int
     priority: int
     exchange: Exchange
-    order: int
+    number: int
     cached: int = 0
     prefill_left: float = 0.0
     prefilled: int = 0
-    begun: bool = False
+    has_started: bool = False
     seed: str = ""
 
     @property
     def context(self) -> list[str]:
-        """All tokens that the engine has to hold."""
+        """Tokens of the prompt and of the response so far."""
         return self.prompt + self.tokens
 
 
 @dataclass
 class EngineFaults:
-    """Faults that a control call or a test switches."""
+    """Faults that a control call or a test sets.
+
+    Parameters
+    ----------
+    slow : float
+        Factor by which steps take longer.
+    silent : bool
+        True to leave all calls without a response.
+    refuse : bool
+        True to reject new requests.
+    fail_after_tokens : int
+        Offset at which streams are aborted; -1 for none.
+    status : int
+        HTTP status of the response to new requests; 0 for none.
+    """
 
     slow: float = 1.0
     silent: bool = False
@@ -108,7 +138,7 @@
 
 @dataclass
 class EngineCounts:
-    """What the engine has done."""
+    """Counters of the engine, in tokens, requests and rejected orders."""
 
     generated: int = 0
     prefilled: int = 0
@@ -118,7 +148,7 @@
 
 
 class EngineStandIn:
-    """One model engine."""
+    """One model engine with its batch, queue and prefix cache."""
 
     def __init__(
         self,
@@ -141,27 +171,27 @@
         self._rng = rng or random.Random(engine_id)
         self._running: list[_Stream] = []
         self._waiting: list[_Stream] = []
-        self._exported: dict[str, list[str]] = {}
+        self._imported: dict[str, list[str]] = {}
         self._cache: OrderedDict[str, None] = OrderedDict()
-        self._events: deque[tuple[int, str, bool]] = deque(maxlen=MAX_EVENTS)
+        self._events: deque[tuple[int, str, bool]] = deque(maxlen=MAX_CACHE_EVENTS)
         self._next_event = 1
-        self._reported = 0
-        self._report_at = -1e9
-        self._order = 0
-        self._stepping = False
+        self._reported_load = 0
+        self._reported_at = -1e9
+        self._stream_number = 0
+        self._is_step_scheduled = False
         self._next_handle = 0
 
     def handle(self, req: InboundRequest, exchange: Exchange) -> None:
-        """Take one call."""
+        """Handle one call of an entry process, or a control call of a test."""
         actions = {
-            "/generate": self._generate,
-            "/load": self._load,
-            "/state": self._state,
-            "/order": self._take_order,
-            "/kv/export": self._export,
-            "/kv/import": self._import,
-            "/faults": self._switch_faults,
-            "/counts": self._show_counts,
+            "/generate": self._start_generation,
+            "/load": self._report_load,
+            "/state": self._report_state,
+            "/order": self._apply_order,
+            "/kv/export": self._export_stream,
+            "/kv/import": self._import_context,
+            "/faults": self._set_faults,
+            "/counts": self._report_counts,
         }
         action = actions.get(req.path)
         if action is None:
@@ -171,11 +201,11 @@
 
     # Generation
 
-    def _generate(self, req: InboundRequest, exchange: Exchange) -> None:
+    def _start_generation(self, req: InboundRequest, exchange: Exchange) -> None:
         data = orjson.loads(req.body)
-        refusal = self._refusal(data)
-        if refusal is not None:
-            error = {"kind": refusal, "ran": "no"}
+        rejection = self._get_rejection(data)
+        if rejection is not None:
+            error = {"kind": rejection, "ran": "no"}
             _respond(exchange, {"error": error, "retry_after": 0.5}, 503)
             return
         if self.faults.status:
@@ -184,12 +214,13 @@
         stream = self._make_stream(data, exchange)
         counts = self.counts.executions
         counts[stream.request] = counts.get(stream.request, 0) + 1
-        exchange.on_gone = lambda: self._cancel(stream)
+        exchange.on_gone = lambda: self._cancel_stream(stream)
         self._waiting.append(stream)
-        self._waiting.sort(key=lambda each: (each.priority, each.order))
-        self._ensure_step()
+        self._waiting.sort(key=lambda each: (each.priority, each.number))
+        self._schedule_step()
 
-    def _refusal(self, data: dict[str, Any]) -> str | None:
+    def _get_rejection(self, data: dict[str, Any]) -> str | None:
+        """Return the error kind with which to reject a request, or None to accept it."""
         if self.faults.refuse:
             return "refusing"
         if data.get("model", self.model) != self.model:
@@ -199,7 +230,7 @@
         return None
 
     def _make_stream(self, data: dict[str, Any], exchange: Exchange) -> _Stream:
-        self._order += 1
+        self._stream_number += 1
         stream = _Stream(
             data["request"],
             data["attempt"],
@@ -208,14 +239,14 @@
             data["max_tokens"],
             data.get("priority", 5),
             exchange,
-            self._order,
+            self._stream_number,
             seed=self.engine_id if self.options.distinct_text else "",
         )
         context = stream.context
-        stream.cached = self._cached_tokens(context)
-        imported = self._exported.pop(data.get("kv", ""), None)
+        stream.cached = self._count_cached_tokens(context)
+        imported = self._imported.pop(data.get("kv", ""), None)
         if imported is not None:
-            stream.cached = max(stream.cached, _common_prefix(imported, context))
+            stream.cached = max(stream.cached, _count_common_prefix(imported, context))
         new_tokens = len(context) - stream.cached
         stream.prefilled = new_tokens
         stream.prefill_left = new_tokens / self.options.prefill_rate
@@ -224,35 +255,36 @@
             self.counts.resumed_prefilled += new_tokens
         return stream
 
-    def _ensure_step(self) -> None:
-        if not self._stepping and not self.dead:
-            self._stepping = True
-            self._timers.once(self._step_seconds(), self._step)
+    def _schedule_step(self) -> None:
+        if not self._is_step_scheduled and not self.dead:
+            self._is_step_scheduled = True
+            self._timers.once(self._compute_step_seconds(), self._run_step)
 
-    def _step_seconds(self) -> float:
-        crowd = max(0, len(self._running) - 1) * self.options.crowding_seconds
-        return (self.options.step_seconds + crowd) * self.faults.slow
+    def _compute_step_seconds(self) -> float:
+        extra_seconds = max(0, len(self._running) - 1) * self.options.crowding_seconds
+        return (self.options.step_seconds + extra_seconds) * self.faults.slow
 
-    def _step(self) -> None:
-        """Make one token for each running stream."""
-        self._stepping = False
+    def _run_step(self) -> None:
+        """Fill the batch from the queue and advance each running stream by one step."""
+        self._is_step_scheduled = False
         if self.dead:
             return
         while self._waiting and len(self._running) < self.options.max_running:
             self._running.append(self._waiting.pop(0))
-        seconds = self._step_seconds()
+        seconds = self._compute_step_seconds()
         for stream in list(self._running):
-            self._advance(stream, seconds)
+            self._advance_stream(stream, seconds)
         if self._running or self._waiting:
-            self._ensure_step()
+            self._schedule_step()
 
-    def _advance(self, stream: _Stream, seconds: float) -> None:
+    def _advance_stream(self, stream: _Stream, seconds: float) -> None:
+        """Continue the prefill of a stream or generate its next token."""
         if stream.prefill_left > 0:
             stream.prefill_left -= seconds / self.faults.slow
             if stream.prefill_left > 0:
                 return
         offset = len(stream.tokens)
-        token = expected_token(stream.prompt, offset, stream.seed)
+        token = compute_token(stream.prompt, offset, stream.seed)
         stream.tokens.append(token)
         self.counts.generated += 1
         if 0 <= self.faults.fail_after_tokens <= offset:
@@ -260,11 +292,11 @@
             stream.exchange.abort()
             return
         final = len(stream.tokens) >= stream.max_tokens
-        self._send(stream, offset, [token], final)
+        self._send_frame(stream, offset, [token], final)
         if final:
-            self._finish(stream)
+            self._finish_stream(stream)
 
-    def _send(self, stream: _Stream, offset: int, tokens: list[str], final: bool) -> None:
+    def _send_frame(self, stream: _Stream, offset: int, tokens: list[str], final: bool) -> None:
         frame = {
             "request": stream.request,
             "attempt": stream.attempt,
@@ -272,26 +304,26 @@
             "tokens": tokens,
             "final": final,
         }
-        if not stream.begun:
-            stream.begun = True
+        if not stream.has_started:
+            stream.has_started = True
             frame["prefilled"] = stream.prefilled
             stream.exchange.begin(200, FRAME_HEADERS)
         stream.exchange.send(orjson.dumps(frame) + b"\n")
 
-    def _finish(self, stream: _Stream) -> None:
+    def _finish_stream(self, stream: _Stream) -> None:
         self._running.remove(stream)
-        self._store(stream.context)
+        self._cache_context(stream.context)
         stream.exchange.on_gone = None
         stream.exchange.finish()
 
-    def _cancel(self, stream: _Stream) -> None:
+    def _cancel_stream(self, stream: _Stream) -> None:
         for queue in (self._running, self._waiting):
             if stream in queue:
                 queue.remove(stream)
-                self._store(stream.context)
+                self._cache_context(stream.context)
 
     def crash(self) -> None:
-        """Break all streams at once and answer nothing any more."""
+        """Abort all streams and stop responding, as after a crash."""
         self.dead = True
         for stream in self._running + self._waiting:
             stream.exchange.on_gone = None
@@ -301,7 +333,7 @@
 
     # Prefix cache
 
-    def _cached_tokens(self, context: list[str]) -> int:
+    def _count_cached_tokens(self, context: list[str]) -> int:
         count = 0
         for each in block_hashes(context):
             if each not in self._cache:
@@ -310,18 +342,18 @@
             count += 1
         return min(count * BLOCK_TOKENS, max(0, len(context) - 1))
 
-    def _store(self, context: list[str]) -> None:
+    def _cache_context(self, context: list[str]) -> None:
         for each in block_hashes(context):
             if each not in self._cache:
-                self._event(each, stored=True)
+                self._publish_event(each, stored=True)
             self._cache[each] = None
             self._cache.move_to_end(each)
         while len(self._cache) > self.options.cache_blocks:
-            old, _ = self._cache.popitem(last=False)
-            self._event(old, stored=False)
+            evicted, _ = self._cache.popitem(last=False)
+            self._publish_event(evicted, stored=False)
 
-    def _event(self, block: str, stored: bool) -> None:
-        """Publish a cache event; some are lost."""
+    def _publish_event(self, block: str, stored: bool) -> None:
+        """Publish a cache event, or lose it with probability `event_loss`."""
         number = self._next_event
         self._next_event += 1
         if self._rng.random() >= self.options.event_loss:
@@ -329,28 +361,30 @@
 
     # Reports and orders
 
-    def _load(self, req: InboundRequest, exchange: Exchange) -> None:
+    def _report_load(self, req: InboundRequest, exchange: Exchange) -> None:
         now = self._timers.now()
-        if now - self._report_at >= self.options.report_lag:
-            self._reported = len(self._running) + len(self._waiting)
-            self._report_at = now
+        if now - self._reported_at >= self.options.report_lag:
+            self._reported_load = len(self._running) + len(self._waiting)
+            self._reported_at = now
         since = int(req.query.get("since", "0"))
-        _respond(exchange, {"load": self._reported, "events": self._events_since(since)})
+        _respond(exchange, {"load": self._reported_load, "events": self._get_events_since(since)})
 
-    def _events_since(self, since: int) -> dict[str, Any]:
-        fresh = [each for each in self._events if each[0] >= since]
+    def _get_events_since(self, since: int) -> dict[str, Any]:
+        """Return the cache events from number `since` on, and whether earlier ones are missing."""
+        recent = [each for each in self._events if each[0] >= since]
         oldest = self._events[0][0] if self._events else self._next_event
         return {
             "next": self._next_event,
-            "stored": [block for _, block, stored in fresh if stored],
-            "evicted": [block for _, block, stored in fresh if not stored],
+            "stored": [block for _, block, stored in recent if stored],
+            "evicted": [block for _, block, stored in recent if not stored],
             "gap": 0 < since < oldest,
         }
 
-    def _state(self, req: InboundRequest, exchange: Exchange) -> None:
+    def _report_state(self, req: InboundRequest, exchange: Exchange) -> None:
         _respond(exchange, {"model": self.model, "role": self.role, "fencing": self.fencing})
 
-    def _take_order(self, req: InboundRequest, exchange: Exchange) -> None:
+    def _apply_order(self, req: InboundRequest, exchange: Exchange) -> None:
+        """Load a model or change the role, unless the fencing token is outdated."""
         data = orjson.loads(req.body)
         if self.options.check_fencing and data["fencing"] < self.fencing:
             self.counts.stale_orders += 1
@@ -366,7 +400,8 @@
 
     # KV cache transfer
 
-    def _export(self, req: InboundRequest, exchange: Exchange) -> None:
+    def _export_stream(self, req: InboundRequest, exchange: Exchange) -> None:
+        """Remove a running stream and respond with its context."""
         data = orjson.loads(req.body)
         stream = next((each for each in self._running if each.attempt == data["attempt"]), None)
         if stream is None:
@@ -377,21 +412,21 @@
         seconds = len(context) * self.options.transfer_token_seconds
         self._timers.once(seconds, lambda: _respond(exchange, {"context": context}))
 
-    def _import(self, req: InboundRequest, exchange: Exchange) -> None:
+    def _import_context(self, req: InboundRequest, exchange: Exchange) -> None:
         self._next_handle += 1
         handle = f"{self.engine_id}-{self._next_handle}"
         context = orjson.loads(req.body)["context"]
-        self._exported[handle] = context
+        self._imported[handle] = context
         seconds = len(context) * self.options.transfer_token_seconds
         self._timers.once(seconds, lambda: _respond(exchange, {"handle": handle}))
 
-    # Control
+    # Control calls of tests
 
-    def _switch_faults(self, req: InboundRequest, exchange: Exchange) -> None:
+    def _set_faults(self, req: InboundRequest, exchange: Exchange) -> None:
         self.faults = EngineFaults(**orjson.loads(req.body))
         _respond(exchange, {})
 
-    def _show_counts(self, req: InboundRequest, exchange: Exchange) -> None:
+    def _report_counts(self, req: InboundRequest, exchange: Exchange) -> None:
         _respond(
             exchange,
             {
@@ -405,7 +440,7 @@
         )
 
 
-def _common_prefix(first: list[str], second: list[str]) -> int:
+def _count_common_prefix(first: list[str], second: list[str]) -> int:
     count = 0
     for one, other in zip(first, second, strict=False):
         if one != other:
--- a/flamingofront/standins/forward_endpoint.py
+++ b/flamingofront/standins/forward_endpoint.py
@@ -1,4 +1,4 @@
-"""Stand-in for an endpoint of forwarded routes, model engine or plain service."""
+"""Stand-in for an endpoint of forwarded routes, either a model engine or a plain service."""
 
 from collections.abc import Callable
 from enum import StrEnum
@@ -11,14 +11,15 @@
 
 REQUEST_ID = "x-flamingofront-request-id"
 STATUS_WRONG_ENDPOINT = 421
-# From the arrival of a request to the end of the endpoint that it crashes, as engines were seen to,
-# and to its begin: what is given up until then ends nothing.
+# Time from the arrival of a poison request until the endpoint crashes, as observed with engines.
 CRASH_SECONDS = 0.09
-BEGIN_SECONDS = 0.02
+# Time from the arrival of a request until it starts to run. A request cancelled before does not
+# crash the endpoint.
+START_SECONDS = 0.02
 
 
 class ForwardFault(StrEnum):
-    """What goes wrong with a request."""
+    """How a request fails."""
 
     NONE = "none"
     REFUSE = "refuse"
@@ -28,18 +29,18 @@
     CROSSED = "crossed"
     CUT = "cut"
     REJECT = "reject"
-    """Refuse with a Retry-After header."""
+    """Respond with status 503 and a ``Retry-After`` header."""
 
 
 class ForwardEndpointStandIn:
-    """One endpoint; records each run and each request that it rejected.
+    """One endpoint, which records the requests that it executed and those that it rejected.
 
     Parameters
     ----------
     events : int
-        Events of a stream.
+        Number of events in a stream.
     gap : float
-        Seconds between events, and until a whole answer.
+        Seconds between events, and until a response that is not streamed.
     """
 
     def __init__(self, endpoint_id: str, timers: TimerService, events: int = 4, gap: float = 0.02):
@@ -51,65 +52,66 @@
         self.runs: list[InboundRequest] = []
         self.rejected: list[InboundRequest] = []
         self.abandoned = 0
-        # Requests a second that it says it takes from all, as it is written in the header.
+        # Advertised limit in requests per second, as the text of the header.
         self.rate_limit: str | None = None
-        # True to say in each answer that it leaves.
+        # True to state in each response that the endpoint is draining.
         self.leaving = False
-        # Value of the Retry-After header of its rejections.
+        # Value of the Retry-After header of rejections.
         self.retry_after = "3"
-        # True to answer requests for streams in one piece.
+        # True to respond to streaming requests without streaming.
         self.disable_streaming = False
-        # Which requests end the endpoint a moment after they began, and what happens then.
+        # Which requests crash the endpoint shortly after they start, and the callback for that.
         self.crashes_on: Callable[[InboundRequest], bool] = lambda req: False
         self.on_crash: Callable[[InboundRequest], None] = lambda req: None
         self._timers = timers
 
-    def fail(self, fault: ForwardFault, count: int = -1) -> None:
-        """Let a number of requests fail, -1 for all."""
+    def inject_fault(self, fault: ForwardFault, count: int = -1) -> None:
+        """Apply a fault to the next `count` requests, or to all if `count` is -1."""
         self.fault, self.faults_left = fault, count
 
-    def _take_fault(self) -> ForwardFault:
+    def _next_fault(self) -> ForwardFault:
+        """Return the fault of the next request and count it."""
         if self.faults_left == 0:
             return ForwardFault.NONE
         self.faults_left -= self.faults_left > 0
         return self.fault
 
     def handle(self, req: InboundRequest, exchange: Exchange) -> None:
-        """Take one request."""
+        """Handle one forwarded request."""
         expected = req.header("x-flamingofront-expect-instance")
         if expected and expected != self.endpoint_id:
             self.rejected.append(req)
-            exchange.respond(STATUS_WRONG_ENDPOINT, self._fields(req), b"")
+            exchange.respond(STATUS_WRONG_ENDPOINT, self._make_headers(req), b"")
             return
-        fault = self._take_fault()
+        fault = self._next_fault()
         if fault in (ForwardFault.REFUSE, ForwardFault.REJECT):
             self.rejected.append(req)
-            fields = (*self._fields(req), ("X-Flamingofront-Not-Executed", "1"))
+            fields = (*self._make_headers(req), ("X-Flamingofront-Not-Executed", "1"))
             if fault is ForwardFault.REJECT:
                 fields += (("Retry-After", self.retry_after),)
             exchange.respond(503, fields, b"")
             return
         self.runs.append(req)
-        exchange.on_gone = self._gone
+        exchange.on_gone = self._count_abandoned
         if self.crashes_on(req):
-            self._begin_to_crash(req, exchange)
+            self._schedule_crash(req, exchange)
             return
-        self._timers.once(self.gap, lambda: self._answer(req, exchange, fault))
+        self._timers.once(self.gap, lambda: self._respond(req, exchange, fault))
 
-    def _begin_to_crash(self, req: InboundRequest, exchange: Exchange) -> None:
+    def _schedule_crash(self, req: InboundRequest, exchange: Exchange) -> None:
         crash = self._timers.once(CRASH_SECONDS, lambda: self.on_crash(req))
-        begins_at = self._timers.now() + BEGIN_SECONDS
+        starts_at = self._timers.now() + START_SECONDS
 
-        def gone() -> None:
-            if self._timers.now() < begins_at:
+        def cancel_before_start() -> None:
+            if self._timers.now() < starts_at:
                 crash.cancel()
 
-        exchange.on_gone = gone
+        exchange.on_gone = cancel_before_start
 
-    def _gone(self) -> None:
+    def _count_abandoned(self) -> None:
         self.abandoned += 1
 
-    def _fields(self, req: InboundRequest) -> tuple[tuple[str, str], ...]:
+    def _make_headers(self, req: InboundRequest) -> tuple[tuple[str, str], ...]:
         fields = (
             ("X-Flamingofront-Request-Id", req.header(REQUEST_ID)),
             ("X-Flamingofront-Instance-Id", self.endpoint_id),
@@ -120,8 +122,8 @@
             fields += (("Server-Leaving", "1"),)
         return fields
 
-    def _answer(self, req: InboundRequest, exchange: Exchange, fault: ForwardFault) -> None:
-        fields = (*self._fields(req), ("X-Flamingofront-Response-Seal", self.endpoint_id))
+    def _respond(self, req: InboundRequest, exchange: Exchange, fault: ForwardFault) -> None:
+        fields = (*self._make_headers(req), ("X-Flamingofront-Response-Seal", self.endpoint_id))
         if fault is ForwardFault.HANG:
             return
         if fault is ForwardFault.LOSE_ANSWER:
@@ -134,11 +136,11 @@
         elif req.path.startswith("/stream/") and not self.disable_streaming:
             exchange.begin(200, (*fields, ("Content-Type", "text/event-stream")))
             cut = self.events // 2 if fault is ForwardFault.CUT else None
-            self._stream(exchange, int(req.header("last-event-id") or 0) + 1, cut)
+            self._send_events(exchange, int(req.header("last-event-id") or 0) + 1, cut)
         else:
             exchange.respond(200, fields, b"from " + self.endpoint_id.encode())
 
-    def _stream(self, exchange: Exchange, number: int, cut: int | None) -> None:
+    def _send_events(self, exchange: Exchange, number: int, cut: int | None) -> None:
         if number > self.events:
             exchange.finish()
             return
@@ -147,5 +149,7 @@
             exchange.abort()
             return
         exchange.send(b"id: %d\ndata: %s\n\n" % (number, self.endpoint_id.encode()))
-        follow: Callable[[], None] = lambda: self._stream(exchange, number + 1, cut)  # noqa: E731
-        self._timers.once(self.gap, follow)
+        send_next: Callable[[], None] = lambda: self._send_events(  # noqa: E731
+            exchange, number + 1, cut
+        )
+        self._timers.once(self.gap, send_next)
--- a/flamingofront/standins/plain.py
+++ b/flamingofront/standins/plain.py
@@ -1,4 +1,4 @@
-"""Stand-in for a plain service: counts each execution, and can fail at any step of a call."""
+"""Stand-in for a plain service that counts executions and can fail at any step of a call."""
 
 from collections import Counter
 from enum import StrEnum
@@ -14,7 +14,7 @@
 
 
 class PlainFault(StrEnum):
-    """Where a call fails."""
+    """How a call fails, before or after the request is executed."""
 
     NONE = "none"
     REFUSE = "refuse"
@@ -27,12 +27,12 @@
 
 
 class PlainStandIn:
-    """One plain endpoint.
+    """One endpoint of a plain service.
 
     Parameters
     ----------
     work_seconds : float
-        Time that a call takes.
+        Duration of a call.
     """
 
     def __init__(self, endpoint_id: str, timers: TimerService, work_seconds: float = 0.0):
@@ -44,12 +44,13 @@
         self._fault = PlainFault.NONE
         self._fault_count = 0
 
-    def fail(self, fault: PlainFault, count: int = -1) -> None:
-        """Switch a fault on for a number of calls, -1 for all."""
+    def inject_fault(self, fault: PlainFault, count: int = -1) -> None:
+        """Apply a fault to the next `count` calls, or to all if `count` is -1."""
         self._fault = fault
         self._fault_count = count
 
-    def _take_fault(self) -> PlainFault:
+    def _next_fault(self) -> PlainFault:
+        """Return the fault of the next call and count it."""
         if self._fault_count == 0:
             return PlainFault.NONE
         if self._fault_count > 0:
@@ -57,22 +58,22 @@
         return self._fault
 
     def handle(self, req: InboundRequest, exchange: Exchange) -> None:
-        """Take one call."""
+        """Handle one call: a request of the service, or a control call of a test."""
         if req.path == "/faults":
             data = orjson.loads(req.body)
-            self.fail(PlainFault(data["fault"]), data.get("count", -1))
+            self.inject_fault(PlainFault(data["fault"]), data.get("count", -1))
             _respond(exchange, {})
         elif req.path == "/load":
             _respond(exchange, {"load": 0})
         elif req.path == "/counts":
             _respond(exchange, {"executions": dict(self.executions)})
         else:
-            self._timers.once(self.work_seconds, lambda: self._call(req, exchange))
+            self._timers.once(self.work_seconds, lambda: self._handle_request(req, exchange))
 
-    def _call(self, req: InboundRequest, exchange: Exchange) -> None:
+    def _handle_request(self, req: InboundRequest, exchange: Exchange) -> None:
         if self.dead:
             return
-        fault = self._take_fault()
+        fault = self._next_fault()
         if fault is PlainFault.REFUSE:
             exchange.respond(503, (*JSON_HEADERS, ("X-Not-Run", "true")), b"{}")
         elif fault is PlainFault.RESET_BEFORE:
@@ -82,7 +83,7 @@
 
     def _execute(self, req: InboundRequest, exchange: Exchange, fault: PlainFault) -> None:
         request_id = req.header("x-request-id", "?")
-        self.executions[self._work_key(req, request_id)] += 1
+        self.executions[self._get_execution_key(req, request_id)] += 1
         body = {
             "endpoint": self.endpoint_id,
             "method": req.method,
@@ -103,12 +104,12 @@
         elif fault is not PlainFault.HANG_AFTER:
             exchange.respond(200, headers, orjson.dumps(body))
 
-    def _work_key(self, req: InboundRequest, request_id: str) -> str:
-        """Return what is counted as one piece of work: the caller's own mark, or the request."""
+    def _get_execution_key(self, req: InboundRequest, request_id: str) -> str:
+        """Return the key of the execution count: the caller's ``x-work`` header or request id."""
         return req.header("x-work", request_id)
 
     def crash(self) -> None:
-        """Answer nothing any more."""
+        """Stop responding to requests, as after a crash."""
         self.dead = True
 
 
--- a/flamingofront/standins/platform.py
+++ b/flamingofront/standins/platform.py
@@ -1,7 +1,7 @@
 """Stand-in for the platform of `flamingofront-entry`: store, VM list and reclaim notices.
 
-The store is that of the users' platform (`flamingofront.standins.table_store`). Faults are switched
-by ``POST /faults`` with ``{"service": ..., "mode": ..., "delay": ..., "count": ...}``.
+The store is the one of `flamingofront.standins.table_store`. Faults are set by ``POST /faults``
+with ``{"service": ..., "mode": ..., "delay": ..., "count": ...}``.
 """
 
 import hashlib
@@ -28,7 +28,7 @@
 
 
 class FaultMode(StrEnum):
-    """What happens to calls of a service."""
+    """How a service handles calls; ``UP`` is normal operation."""
 
     UP = "up"
     DOWN = "down"
@@ -40,23 +40,25 @@
 
 @dataclass
 class _Fault:
+    """Fault of one service; `delay` is the response delay in seconds of the mode ``SLOW``."""
+
     mode: FaultMode = FaultMode.UP
     delay: float = 0.0
-    count: int = -1  # calls that are still affected; -1 for all
+    count: int = -1  # number of calls still affected; -1 for all
     writes_only: bool = False
 
-    def take(self, is_write: bool) -> FaultMode:
+    def next_mode(self, is_write: bool) -> FaultMode:
         """Return the mode for one call and count it."""
-        spared = self.writes_only and not is_write
-        if self.mode is FaultMode.UP or self.count == 0 or spared:
+        is_exempt = self.writes_only and not is_write
+        if self.mode is FaultMode.UP or self.count == 0 or is_exempt:
             return FaultMode.UP
         if self.count > 0:
             self.count -= 1
         return self.mode
 
 
-class _Bucket:
-    """Token bucket of a rate limit."""
+class _TokenBucket:
+    """Token bucket with a capacity of one second of its rate, in calls per second."""
 
     def __init__(self, rate: float, timers: TimerService):
         self._rate = rate
@@ -64,8 +66,8 @@
         self._tokens = rate
         self._updated = timers.now()
 
-    def take(self) -> bool:
-        """Take a token if there is one."""
+    def try_consume(self) -> bool:
+        """Consume a token; return False if there is none."""
         now = self._timers.now()
         self._tokens = min(self._rate, self._tokens + (now - self._updated) * self._rate)
         self._updated = now
@@ -76,49 +78,49 @@
 
 
 class DocumentRows(Mapping):
-    """Value and revision of each document that is held by its row, as they are now."""
+    """Live view of the documents stored in rows: value and version by key."""
 
     def __init__(self, store: TableStoreStandIn):
         self._store = store
 
     def __getitem__(self, key: str) -> tuple[Any, int]:
-        value, version = self._store.rows(DOCUMENT_TABLE)[key]
+        value, version = self._store.get_rows(DOCUMENT_TABLE)[key]
         return orjson.loads(value).get(VALUE_FIELD), version
 
     def __iter__(self) -> Iterator[str]:
-        return iter(self._store.rows(DOCUMENT_TABLE))
+        return iter(self._store.get_rows(DOCUMENT_TABLE))
 
     def __len__(self) -> int:
-        return len(self._store.rows(DOCUMENT_TABLE))
+        return len(self._store.get_rows(DOCUMENT_TABLE))
 
     def put(self, key: str, value: Any) -> None:
         """Write a document."""
         self._store.put(DOCUMENT_TABLE, key, {VALUE_FIELD: value})
 
 
-class _LostAnswer(Exchange):
-    """Breaks the connection in place of an answer."""
+class _AbortingExchange(Exchange):
+    """Exchange that aborts the connection in place of a response."""
 
     def __init__(self, exchange: Exchange):
         self._exchange = exchange
 
     def respond(self, status: int, headers: tuple[tuple[str, str], ...], body: bytes) -> None:
-        """Lose a whole answer."""
+        """Abort in place of a complete response."""
         self._exchange.abort()
 
     def begin(self, status: int, headers: tuple[tuple[str, str], ...]) -> None:
-        """Lose the head of an answer."""
+        """Abort in place of the response head."""
         self._exchange.abort()
 
     def send(self, data: bytes) -> bool:
-        """Lose a part of an answer."""
+        """Discard a part of the response body."""
         return False
 
     def finish(self) -> None:
-        """Lose the end of an answer."""
+        """Ignore the end of the response: the connection is already aborted."""
 
     def abort(self) -> None:
-        """Break the connection."""
+        """Abort the connection."""
         self._exchange.abort()
 
 
@@ -128,7 +130,7 @@
     Parameters
     ----------
     list_lag : float
-        Seconds by which the VM list lags behind.
+        Seconds until the VM list shows a change.
     """
 
     def __init__(self, timers: TimerService, list_lag: float = 0.0):
@@ -140,10 +142,10 @@
         self.listed_vms: dict[str, dict[str, Any]] = {}
         self.notices: dict[str, float] = {}
         self.faults = {name: _Fault() for name in SERVICES}
-        self._write_bucket = _Bucket(WRITES_PER_SECOND, timers)
-        self._read_bucket = _Bucket(READS_PER_SECOND, timers)
+        self._write_bucket = _TokenBucket(WRITES_PER_SECOND, timers)
+        self._read_bucket = _TokenBucket(READS_PER_SECOND, timers)
 
-    def fail(
+    def inject_fault(
         self,
         service: str,
         mode: FaultMode,
@@ -151,16 +153,16 @@
         count: int = -1,
         writes_only: bool = False,
     ) -> None:
-        """Switch a fault on, or off with ``UP``."""
+        """Set the fault of a service for `count` calls (-1 for all); ``UP`` clears it."""
         self.faults[service] = _Fault(mode, delay, count, writes_only)
 
     def handle(self, req: InboundRequest, exchange: Exchange) -> None:
-        """Take one call."""
-        service = _service_of(req.path)
+        """Handle one call of a service, or a control call of a test."""
+        service = _get_service(req.path)
         if service == "faults":
             data = orjson.loads(req.body)
             mode = FaultMode(data["mode"])
-            self.fail(
+            self.inject_fault(
                 data["service"],
                 mode,
                 data.get("delay", 0.0),
@@ -169,64 +171,66 @@
             )
             _respond(exchange, {})
         elif service == "control":
-            self._control(req, exchange)
+            self._handle_control(req, exchange)
         elif service in self.faults:
-            self._with_fault(service, req, exchange)
+            self._serve_with_fault(service, req, exchange)
         else:
             _respond(exchange, {"error": f"no such service {service!r}"}, 404)
 
-    def _with_fault(self, service: str, req: InboundRequest, exchange: Exchange) -> None:
+    def _serve_with_fault(self, service: str, req: InboundRequest, exchange: Exchange) -> None:
         fault = self.faults[service]
         is_write = req.path == TRANSACTION_PATH or req.method in ("PUT", "DELETE")
-        mode = fault.take(is_write)
+        mode = fault.next_mode(is_write)
         if mode is FaultMode.DOWN:
             _respond(exchange, {"error": "out of service"}, 503)
         elif mode is FaultMode.SILENT:
             return
         elif mode is FaultMode.LOSE_ANSWER:
-            self._serve(service, req, _LostAnswer(exchange))
+            self._serve(service, req, _AbortingExchange(exchange))
         elif mode is FaultMode.SLOW:
             self._timers.once(fault.delay, lambda: self._serve(service, req, exchange))
         else:
             self._serve(service, req, exchange)
 
     def _serve(self, service: str, req: InboundRequest, exchange: Exchange) -> None:
-        """Carry out a call and answer it."""
+        """Execute a call and send its response."""
         if service == "vms":
             self._serve_list(req, exchange)
         elif service == "cloud":
-            _respond(exchange, {"notices": self._notices_of(req.query["zone"])})
-        elif service == "table" and not self._within_rate(req):
+            _respond(exchange, {"notices": self._get_notices(req.query["zone"])})
+        elif service == "table" and not self._is_within_rate(req):
             _respond(exchange, {"error": "rate limit"}, 429)
         else:
             self.store.handle(req, exchange)
 
-    def _within_rate(self, req: InboundRequest) -> bool:
+    def _is_within_rate(self, req: InboundRequest) -> bool:
         is_write = req.path == TRANSACTION_PATH
-        return (self._write_bucket if is_write else self._read_bucket).take()
+        return (self._write_bucket if is_write else self._read_bucket).try_consume()
 
     # VM list and notices
 
     def add_vm(self, record: dict[str, Any], at_once: bool = True) -> None:
-        """Add a VM; the list shows it at once or after its lag."""
+        """Add a VM, which the list shows at once or after the list lag."""
         self.vms[record["vm_id"]] = dict(record)
-        self._show(record["vm_id"], 0.0 if at_once else self.list_lag)
+        self._update_list(record["vm_id"], 0.0 if at_once else self.list_lag)
 
     def remove_vm(self, vm_id: str) -> None:
-        """Remove a VM; the list shows it until its lag has passed."""
+        """Remove a VM, which the list still shows for the list lag."""
         self.vms.pop(vm_id, None)
         self.notices.pop(vm_id, None)
-        self._show(vm_id, self.list_lag)
+        self._update_list(vm_id, self.list_lag)
 
     def reclaim(self, vm_id: str, notice: float) -> None:
-        """Give notice that a VM will be reclaimed."""
+        """Announce that a VM will be reclaimed in `notice` seconds."""
         if vm_id not in self.vms:
             return
         self.vms[vm_id]["state"] = "leaving"
         self.notices[vm_id] = self._timers.now() + notice
-        self._show(vm_id, self.list_lag)
+        self._update_list(vm_id, self.list_lag)
+
+    def _update_list(self, vm_id: str, lag: float) -> None:
+        """Copy the record of a VM to the list after `lag` seconds."""
 
-    def _show(self, vm_id: str, lag: float) -> None:
         def update() -> None:
             record = self.vms.get(vm_id)
             if record is None:
@@ -240,7 +244,7 @@
             self._timers.once(lag, update)
 
     def _serve_list(self, req: InboundRequest, exchange: Exchange) -> None:
-        """Answer with the list, or that it is still the one that the reader has."""
+        """Respond with the list, or with status 304 if the client's copy is current."""
         body = orjson.dumps({"vms": list(self.listed_vms.values())})
         tag = hashlib.blake2b(body, digest_size=8).hexdigest()
         if req.header("if-none-match") == tag:
@@ -248,7 +252,8 @@
             return
         exchange.respond(200, (*JSON_HEADERS, ("ETag", tag)), body)
 
-    def _notices_of(self, zone: str) -> dict[str, float]:
+    def _get_notices(self, zone: str) -> dict[str, float]:
+        """Return the seconds until reclaim of each VM of a zone that has a notice."""
         now = self._timers.now()
         return {
             vm_id: max(0.0, due - now)
@@ -258,7 +263,7 @@
 
     # Control calls for scripts and tests
 
-    def _control(self, req: InboundRequest, exchange: Exchange) -> None:
+    def _handle_control(self, req: InboundRequest, exchange: Exchange) -> None:
         data = orjson.loads(req.body or b"{}")
         action = req.path.split("/")[2]
         if action == "add":
@@ -266,15 +271,16 @@
         elif action == "remove":
             self.remove_vm(data["vm_id"])
         elif action == "reclaim":
-            self._reclaim_many(data)
+            self._reclaim_matching(data)
         else:
             _respond(exchange, {"error": f"no such action {action!r}"}, 404)
             return
         _respond(exchange, {})
 
-    def _reclaim_many(self, data: dict[str, Any]) -> None:
-        wanted = [data["vm_id"]] if "vm_id" in data else list(self.vms)
-        for vm_id in wanted:
+    def _reclaim_matching(self, data: dict[str, Any]) -> None:
+        """Reclaim one VM, all VMs of a zone, or all VMs."""
+        vm_ids = [data["vm_id"]] if "vm_id" in data else list(self.vms)
+        for vm_id in vm_ids:
             in_zone = "zone" not in data or self.vms[vm_id]["zone"] == data["zone"]
             if in_zone:
                 self.reclaim(vm_id, data.get("notice", 30.0))
@@ -284,8 +290,8 @@
     exchange.respond(status, JSON_HEADERS, orjson.dumps(data))
 
 
-def _service_of(path: str) -> str:
-    """Return the service that a path belongs to."""
+def _get_service(path: str) -> str:
+    """Return the name of the service that handles a path."""
     if path.startswith("/api/rows-"):
         return "table"
     if path.startswith("/api/blob-"):
--- a/flamingofront/standins/programs.py
+++ b/flamingofront/standins/programs.py
@@ -1,4 +1,4 @@
-"""The stand-ins as programs, for development on one machine."""
+"""Commands that run the stand-ins, for development on one machine."""
 
 import base64
 import http.client
@@ -24,35 +24,37 @@
 
 __all__ = ["endpoint_main", "engine_main", "plain_main", "platform_main", "store_main"]
 
-REGISTER_SECONDS = 10.0
+REGISTER_TIMEOUT_SECONDS = 10.0
 
 Handler = Callable[[InboundRequest, Exchange], None]
 
 
 def _serve(name: str, bind: str, make_handler: Callable[[Runtime], Handler]) -> None:
-    """Serve until the process is stopped."""
+    """Serve on an address until the process is stopped; exit with code 2 if it is malformed."""
     try:
         address = parse_address(bind)
     except ValueError as exc:
         print(f"{name}: --bind: got {bind!r}, {exc}", file=sys.stderr)
         sys.exit(2)
 
-    def fault(exc: BaseException) -> None:
+    def print_exception(exc: BaseException) -> None:
         print(f"{name}: {exc!r}", file=sys.stderr)
 
-    runtime = Runtime(fault)
+    runtime = Runtime(print_exception)
     handler = make_handler(runtime)
-    server = HTTPServer((address.host, address.port), handler, runtime.timers, on_fault=fault)
+    server = HTTPServer(
+        (address.host, address.port), handler, runtime.timers, on_fault=print_exception
+    )
     server.register(runtime)
     print(f"{name} listening on {address.host}:{server.port}", flush=True)
     runtime.run()
 
 
 def platform(*, bind: str = "127.0.0.1:8100", list_lag: float = 1.0) -> None:
-    """Serve the platform's services.
+    """Serve the platform's table store, object store, VM list and reclaim notices.
 
     :param bind: IP:PORT to listen on
-    :param list_lag: seconds by which the VM list lags behind
+    :param list_lag: seconds until the VM list shows a change
     """
     _serve(
         "platform", bind, lambda runtime: PlatformStandIn(runtime.timers, list_lag=list_lag).handle
@@ -71,9 +73,9 @@
 
     :param bind: IP:PORT to listen on
     :param engine_id: VM id of the engine
-    :param model: model that it holds
-    :param step_seconds: time of one decoding step
-    :param check_fencing: refuse orders with an old fencing number
+    :param model: name of the loaded model
+    :param step_seconds: duration of one decoding step
+    :param check_fencing: reject orders with an outdated fencing token
     """
     options = EngineOptions(step_seconds=step_seconds, check_fencing=check_fencing)
     _serve(
@@ -90,7 +92,7 @@
 
     :param bind: IP:PORT to listen on
     :param endpoint_id: VM id of the endpoint
-    :param work_seconds: time that a call takes
+    :param work_seconds: duration of a call
     """
     _serve(
         "plain",
@@ -100,10 +102,10 @@
 
 
 def store(*, bind: str = "127.0.0.1:8225", config: str = "") -> None:
-    """Serve the users' platform: its table store and the cloud's duty calls.
+    """Serve the users' platform: its table store, object store and cloud API.
 
     :param bind: IP:PORT to listen on
-    :param config: JSON file with the configuration that the operator has written
+    :param config: JSON file with the operator's configuration document
     """
 
     def make_handler(runtime: Runtime) -> Handler:
@@ -130,21 +132,21 @@
     retry_after: str = "3",
     log_arrivals: bool = False,
 ) -> None:
-    """Serve forwarded requests, and register in the store.
+    """Serve forwarded requests as an endpoint that registers itself in the store.
 
     :param bind: IP:PORT to listen on
     :param store: IP:PORT of the store
-    :param endpoint_id: id of this start of the endpoint
-    :param service: service that it belongs to
+    :param endpoint_id: id of this process of the endpoint
+    :param service: name of the service
     :param zone: availability zone
-    :param slots: requests that it runs at once
+    :param slots: requests that run concurrently
     :param gap: seconds between the events of a stream
-    :param rate_limit: requests a second that it says it takes from all entry processes
-    :param leaving: say in each answer that it leaves, whatever its row says
-    :param reject: part of the requests that it refuses with a time to stay away
-    :param retry_after: that time, in seconds
-    :param log_arrivals: print a line with the time of each request that arrives, and whether it is
-        turned away
+    :param rate_limit: advertised limit in requests per second from all entry processes together
+    :param leaving: state in each response that the endpoint is draining, whatever its row says
+    :param reject: fraction of the requests that are rejected with a Retry-After header
+    :param retry_after: value of the Retry-After header in seconds
+    :param log_arrivals: print a line for each request with its arrival time and whether it was
+        rejected
     """
     row = {
         "service": service,
@@ -156,7 +158,7 @@
         "cold_left_ms": 0,
         "sequence": 1,
     }
-    _register(store, endpoint_id, row)
+    _register_endpoint(store, endpoint_id, row)
 
     def make_handler(runtime: Runtime) -> Handler:
         standin = ForwardEndpointStandIn(endpoint_id, runtime.timers, 8, gap)
@@ -165,11 +167,11 @@
         rng = random.Random(endpoint_id)
 
         def handle(req: InboundRequest, exchange: Exchange) -> None:
-            refused = rng.random() < reject
-            standin.fail(ForwardFault.REJECT if refused else ForwardFault.NONE)
+            is_rejected = rng.random() < reject
+            standin.inject_fault(ForwardFault.REJECT if is_rejected else ForwardFault.NONE)
             if log_arrivals:
-                word = "refused" if refused else "taken"
-                print(f"arrival {runtime.timers.now():.3f} {word}", flush=True)
+                result = "refused" if is_rejected else "taken"
+                print(f"arrival {runtime.timers.now():.3f} {result}", flush=True)
             standin.handle(req, exchange)
 
         return handle
@@ -177,17 +179,20 @@
     _serve("endpoint", bind, make_handler)
 
 
-def _register(store: str, endpoint_id: str, row: dict) -> None:
-    """Write the endpoint's row."""
+def _register_endpoint(store: str, endpoint_id: str, row: dict) -> None:
+    """Write the endpoint's row to the table store; exit with code 1 if the store rejects it."""
     value = base64.b64encode(orjson.dumps(row)).decode()
     write = {"table": "servers", "part": "", "key": endpoint_id, "value": value}
     body = {"expected_rev": [], "writes": [write], "remove": []}
-    conn = http.client.HTTPConnection(store, timeout=REGISTER_SECONDS)
+    conn = http.client.HTTPConnection(store, timeout=REGISTER_TIMEOUT_SECONDS)
     conn.request("POST", "/api/rows-tx", orjson.dumps(body))
     status = conn.getresponse().status
     conn.close()
     if status != HTTPStatus.OK:
-        print(f"endpoint: the store answered {status}", file=sys.stderr)
+        print(
+            f"endpoint: registration failed: the store responded with status {status}",
+            file=sys.stderr,
+        )
         sys.exit(1)
 
 
--- a/flamingofront/standins/table_store.py
+++ b/flamingofront/standins/table_store.py
@@ -1,4 +1,4 @@
-"""Stand-in for the users' platform: table store with a feed, object store, cloud's duty calls."""
+"""Stand-in for the users' platform: table store with a change feed, object store and cloud API."""
 
 import base64
 from collections import deque
@@ -17,16 +17,16 @@
 
 __all__ = ["LeaderCall", "LostWrite", "StoreFault", "TableStoreStandIn"]
 
-HISTORY_ROWS = 10_000
-# Writes that can be undone: a copy is some seconds old.
-KEPT_WRITES = 20_000
-RANGE_ROWS = 500
+MAX_HISTORY_ROWS = 10_000
+# Writes that can be undone, enough for a snapshot that is some seconds old.
+MAX_UNDO_WRITES = 20_000
+MAX_RANGE_ROWS = 500
 OBJECT_PATHS = ("/api/blob-put/", "/api/blob-get/", "/api/blob-drop/")
 Respond = Callable[[int, dict[str, Any]], None]
 
 
 class StoreFault(StrEnum):
-    """What the store does instead of answering."""
+    """How calls to the store fail."""
 
     NONE = "none"
     BUSY = "busy"
@@ -37,7 +37,7 @@
 
 @dataclass(frozen=True)
 class LeaderCall:
-    """One accepted call of the holder of a duty."""
+    """One call of the leader lease holder to the cloud API, as recorded on arrival."""
 
     at: float
     holder: str
@@ -47,8 +47,8 @@
 
 
 @dataclass(frozen=True)
-class _Undo:
-    """A write, and what its row was before."""
+class _UndoRecord:
+    """A write that can be undone; `before` is the previous value and version of its row."""
 
     at: float
     row: tuple[str, str, str]
@@ -58,7 +58,7 @@
 
 @dataclass(frozen=True)
 class LostWrite:
-    """A row as it was before the store came back from a copy that does not have it so."""
+    """A row whose value changed when the store was restored, with its value before the restore."""
 
     table: str
     part: str
@@ -67,7 +67,9 @@
 
 
 @dataclass
-class _Waiting:
+class _FeedWait:
+    """A feed call that waits for the first change after version `after`."""
+
     table: str
     after: int
     exchange: Exchange
@@ -76,22 +78,24 @@
 
 @dataclass
 class TableStoreStandIn:
-    """Rows with versions, conditional transactions and a feed.
+    """Versioned rows with conditional transactions and a change feed, objects and a cloud API.
 
     Parameters
     ----------
     fault : StoreFault
-        Fault of the store.
-    refused : set of str
-        Callers that the store turns away, by the source that `handler_for` was made with.
+        Fault that applies to all calls to the store.
+    cloud_fault : StoreFault
+        Fault that applies to all calls to the cloud API.
+    rejected_sources : set of str
+        Callers whose calls are rejected, named by the `source` given to `make_handler`.
     out_of_stock : bool
-        True if orders for more reclaimable endpoints are refused.
+        True to reject requests for more than one reclaimable endpoint.
     """
 
     timers: TimerService
     fault: StoreFault = StoreFault.NONE
     cloud_fault: StoreFault = StoreFault.NONE
-    refused: set[str] = field(default_factory=set)
+    rejected_sources: set[str] = field(default_factory=set)
     out_of_stock: bool = False
     leader_calls: list[LeaderCall] = field(default_factory=list)
     calls: int = 0
@@ -99,53 +103,56 @@
     def __post_init__(self):
         self.version = 0
         self._rows: dict[tuple[str, str, str], tuple[bytes, int]] = {}
-        self._history: deque[tuple[int, str, str, str, bytes | None]] = deque(maxlen=HISTORY_ROWS)
-        self._lost_before = 0
-        self._waiting: list[_Waiting] = []
-        self._undo: deque[_Undo] = deque(maxlen=KEPT_WRITES)
-        # Rises each time the store comes back from a copy; its answers tell it.
+        self._history: deque[tuple[int, str, str, str, bytes | None]] = deque(
+            maxlen=MAX_HISTORY_ROWS
+        )
+        self._oldest_feed_version = 0
+        self._waiting: list[_FeedWait] = []
+        self._undo: deque[_UndoRecord] = deque(maxlen=MAX_UNDO_WRITES)
+        # Incremented each time the store is restored from a snapshot; sent with each response.
         self.era = 0
         self.objects: dict[str, bytes] = {}
 
-    # What the operator and the endpoints do
+    # Direct access for tests, in the place of the operator and the endpoints
 
     def put(self, table: str, key: str, value: dict[str, Any], part: str = "") -> int:
         """Write a row and return its version."""
         self.version += 1
         self._write(table, part, key, orjson.dumps(value))
-        self._wake()
+        self._answer_feeds()
         return self.version
 
     def drop(self, table: str, key: str, part: str = "") -> None:
         """Delete a row."""
         self.version += 1
         self._write(table, part, key, None)
-        self._wake()
+        self._answer_feeds()
 
-    def rows(self, table: str, part: str = "") -> dict[str, tuple[bytes, int]]:
-        """Return value and version of each row, by key."""
+    def get_rows(self, table: str, part: str = "") -> dict[str, tuple[bytes, int]]:
+        """Return the value and version of each row of a partition, by key."""
         return {
             key: row
             for (name, where, key), row in self._rows.items()
             if (name, where) == (table, part)
         }
 
-    def value(self, table: str, key: str, part: str = "") -> dict[str, Any] | None:
-        """Return a row's value."""
+    def get_value(self, table: str, key: str, part: str = "") -> dict[str, Any] | None:
+        """Return the decoded value of a row, or None if it does not exist."""
         row = self._rows.get((table, part, key))
         return orjson.loads(row[0]) if row is not None else None
 
-    def forget_history(self) -> None:
-        """Drop the history: feeds that begin before now are told so."""
-        self._lost_before = self.version
+    def discard_history(self) -> None:
+        """Discard the change history, so that feeds from an earlier version are rejected."""
+        self._oldest_feed_version = self.version
         self._history.clear()
 
     def restore(self, seconds: float) -> tuple[LostWrite, ...]:
-        """Come back from a copy of some seconds ago, and return what that took away.
+        """Restore the store from a snapshot some seconds old, and return the rows that changed.
 
         Notes
         -----
-        Versions go back and are given out again. Calls that wait are cut.
+        Versions return to those of the snapshot, so they are assigned a second time. Waiting feed
+        calls are aborted.
         """
         lost: dict[tuple[str, str, str], LostWrite] = {}
         since = self.timers.now() - seconds
@@ -160,7 +167,7 @@
                 self._rows[undo.row] = undo.before
             self.version = undo.version_before
         self._history = deque(
-            (each for each in self._history if each[0] <= self.version), maxlen=HISTORY_ROWS
+            (each for each in self._history if each[0] <= self.version), maxlen=MAX_HISTORY_ROWS
         )
         self.era += 1
         waiting, self._waiting = self._waiting, []
@@ -170,32 +177,34 @@
         return tuple(lost.values())
 
     def rewrite_row(self, lost: LostWrite) -> None:
-        """Write a row that a copy has taken away again, as the operator and endpoints do."""
+        """Write again a row that a restore has lost, as its operator or endpoint would."""
         self.version += 1
         self._write(lost.table, lost.part, lost.key, lost.value)
-        self._wake()
+        self._answer_feeds()
 
     def _write(self, table: str, part: str, key: str, value: bytes | None) -> None:
         row = (table, part, key)
-        self._undo.append(_Undo(self.timers.now(), row, self._rows.get(row), self.version - 1))
+        self._undo.append(
+            _UndoRecord(self.timers.now(), row, self._rows.get(row), self.version - 1)
+        )
         if value is None:
             self._rows.pop((table, part, key), None)
         else:
             self._rows[table, part, key] = (value, self.version)
         self._history.append((self.version, table, part, key, value))
 
-    # Calls
+    # Handling of calls
 
-    def handler_for(self, source: str) -> Callable[[InboundRequest, Exchange], None]:
-        """Return a handler for the calls of one VM."""
+    def make_handler(self, source: str) -> Callable[[InboundRequest, Exchange], None]:
+        """Return a handler for the calls of one VM, named by `source`."""
         return lambda req, exchange: self.handle(req, exchange, source)
 
     def handle(self, req: InboundRequest, exchange: Exchange, source: str = "") -> None:
-        """Take one call."""
+        """Handle one call to the store or the cloud API."""
         self.calls += 1
         is_cloud = req.path in ("/usage", "/scale")
         fault = self.cloud_fault if is_cloud else self.fault
-        if source in self.refused:
+        if source in self.rejected_sources:
             fault = StoreFault.BUSY
         if fault is StoreFault.SILENT:
             return
@@ -203,20 +212,20 @@
             exchange.abort()
             return
         if fault is StoreFault.BUSY:
-            exchange.respond(503, self._era_fields(), b"")
+            exchange.respond(503, self._make_era_headers(), b"")
             return
-        lose = fault is StoreFault.LOSE_ANSWERS and req.method != "GET"
-        self._serve(req, exchange, _lost if lose else self._responder(exchange))
+        is_lost = fault is StoreFault.LOSE_ANSWERS and req.method != "GET"
+        self._serve(req, exchange, _discard_response if is_lost else self._make_responder(exchange))
 
     def _serve(self, req: InboundRequest, exchange: Exchange, respond: Respond) -> None:
         if req.path == "/api/rows-tx":
             self._transact(orjson.loads(req.body), respond)
         elif req.path == "/api/rows-get":
-            self._read(req, respond)
+            self._read_rows(req, respond)
         elif req.path == "/api/rows-feed":
-            self._feed(req, exchange, respond)
+            self._serve_feed(req, exchange, respond)
         elif req.path in ("/usage", "/scale"):
-            self._duty(req, respond)
+            self._record_leader_call(req, respond)
         elif req.path.startswith(OBJECT_PATHS):
             self._serve_object(req, exchange)
         else:
@@ -233,18 +242,19 @@
             del self.objects[name]
         exchange.respond(200, (), self.objects.get(name, b"") if req.method == "GET" else b"")
 
-    def _stamp(self) -> dict[str, Any]:
+    def _make_stamp(self) -> dict[str, Any]:
+        """Return the fields that each response carries: the store's version and time."""
         return {"ver": self.version, "now_ms": int(self.timers.now() * 1000)}
 
     def _transact(self, body: dict[str, Any], respond: Respond) -> None:
-        wrong = []
+        conflicts = []
         for each in body["expected_rev"]:
             key = (each["table"], each["part"], each["key"])
             if self._rows.get(key, (b"", 0))[1] != each["ver"]:
-                wrong.append(key)
-        if wrong:
-            rows = [self._row(*key) for key in wrong if key in self._rows]
-            respond(412, {"rows": rows, **self._stamp()})
+                conflicts.append(key)
+        if conflicts:
+            rows = [self._encode_row(*key) for key in conflicts if key in self._rows]
+            respond(412, {"rows": rows, **self._make_stamp()})
             return
         self.version += 1
         for each in body["writes"]:
@@ -252,15 +262,15 @@
             self._write(each["table"], each["part"], each["key"], value)
         for each in body["remove"]:
             self._write(each["table"], each["part"], each["key"], None)
-        respond(200, self._stamp())
-        self._wake()
+        respond(200, self._make_stamp())
+        self._answer_feeds()
 
-    def _row(self, table: str, part: str, key: str) -> dict[str, Any]:
+    def _encode_row(self, table: str, part: str, key: str) -> dict[str, Any]:
         value, version = self._rows[table, part, key]
         data = base64.b64encode(value).decode()
         return {"table": table, "part": part, "key": key, "value": data, "ver": version}
 
-    def _read(self, req: InboundRequest, respond: Respond) -> None:
+    def _read_rows(self, req: InboundRequest, respond: Respond) -> None:
         table, part = req.query["table"], req.query.get("part", "")
         first, end = req.query.get("from", ""), req.query.get("to", "")
         keys = sorted(
@@ -268,47 +278,48 @@
             for key in self._rows
             if key[:2] == (table, part) and first <= key[2] and (not end or key[2] < end)
         )
-        limit = min(RANGE_ROWS, int(req.query.get("limit", RANGE_ROWS)))
-        rows = [self._row(*key) for key in keys[:limit]]
-        respond(200, {"rows": rows, "truncated": len(keys) > limit, **self._stamp()})
+        limit = min(MAX_RANGE_ROWS, int(req.query.get("limit", MAX_RANGE_ROWS)))
+        rows = [self._encode_row(*key) for key in keys[:limit]]
+        respond(200, {"rows": rows, "truncated": len(keys) > limit, **self._make_stamp()})
 
-    def _feed(self, req: InboundRequest, exchange: Exchange, respond: Respond) -> None:
+    def _serve_feed(self, req: InboundRequest, exchange: Exchange, respond: Respond) -> None:
         after = int(req.query["after_rev"])
-        if after < self._lost_before or after > self.version:
-            respond(410, self._stamp())
+        if after < self._oldest_feed_version or after > self.version:
+            respond(410, self._make_stamp())
             return
-        waiting = _Waiting(req.query["table"], after, exchange)
-        if not self._answer(waiting):
+        waiting = _FeedWait(req.query["table"], after, exchange)
+        if not self._answer_feed(waiting):
             self._waiting.append(waiting)
             seconds = int(req.query["wait_ms"]) / 1000
-            self.timers.once(seconds, lambda: self._answer(waiting, must=True))
+            self.timers.once(seconds, lambda: self._answer_feed(waiting, is_timeout=True))
 
-    def _answer(self, waiting: _Waiting, must: bool = False) -> bool:
+    def _answer_feed(self, waiting: _FeedWait, is_timeout: bool = False) -> bool:
+        """Respond to a feed call if it has changes or its wait has ended; return True if done."""
         if waiting.done:
             return True
         rows = [
-            self._change(*each)
+            self._encode_change(*each)
             for each in self._history
             if each[0] > waiting.after and each[1] == waiting.table
         ]
-        if not rows and not must:
+        if not rows and not is_timeout:
             return False
         waiting.done = True
         if self.fault is not StoreFault.SILENT:
-            self._responder(waiting.exchange)(200, {"rows": rows, **self._stamp()})
+            self._make_responder(waiting.exchange)(200, {"rows": rows, **self._make_stamp()})
         return True
 
     @staticmethod
-    def _change(version: int, table: str, part: str, key: str, value: bytes | None) -> dict:
+    def _encode_change(version: int, table: str, part: str, key: str, value: bytes | None) -> dict:
         row = {"table": table, "part": part, "key": key, "ver": version}
         if value is None:
             return {**row, "tombstone": True}
         return {**row, "value": base64.b64encode(value).decode()}
 
-    def _wake(self) -> None:
-        self._waiting = [each for each in self._waiting if not self._answer(each)]
+    def _answer_feeds(self) -> None:
+        self._waiting = [each for each in self._waiting if not self._answer_feed(each)]
 
-    def _duty(self, req: InboundRequest, respond: Respond) -> None:
+    def _record_leader_call(self, req: InboundRequest, respond: Respond) -> None:
         body = orjson.loads(req.body)
         self.leader_calls.append(
             LeaderCall(
@@ -319,19 +330,19 @@
                 body,
             )
         )
-        refused = self.out_of_stock and body.get("spot") and body["desired"] > 1
-        respond(409 if refused else 200, {})
+        is_rejected = self.out_of_stock and body.get("spot") and body["desired"] > 1
+        respond(409 if is_rejected else 200, {})
 
-    def _era_fields(self) -> tuple[tuple[str, str], ...]:
+    def _make_era_headers(self) -> tuple[tuple[str, str], ...]:
         return (("Store-Era", str(self.era)),)
 
-    def _responder(self, exchange: Exchange) -> Respond:
+    def _make_responder(self, exchange: Exchange) -> Respond:
         def respond(status: int, body: dict[str, Any]) -> None:
-            fields = (*JSON_HEADERS, *self._era_fields())
+            fields = (*JSON_HEADERS, *self._make_era_headers())
             exchange.respond(status, fields, orjson.dumps(body))
 
         return respond
 
 
-def _lost(status: int, body: dict[str, Any]) -> None:
-    """Lose the answer of a call that was carried out."""
+def _discard_response(status: int, body: dict[str, Any]) -> None:
+    """Send no response to a call that was executed."""
--- a/flamingofront/tests/test_crashing_requests.py
+++ b/flamingofront/tests/test_crashing_requests.py
@@ -318,7 +318,7 @@
     def test_endpoints_that_fail_answers_without_ending_are_no_evidence(self, fault):
         world = crashing_world()
         for each in world.endpoints.values():
-            each.fail(fault)
+            each.inject_fault(fault)
         callers = []
         for _ in range(40):
             callers.append(world.ask_one("/stream/again/x", b"the same prompt"))
@@ -402,7 +402,7 @@
             if each.message == "request released from quarantine"
         ]
         assert len(released) == 7 and "answered" in released[0]["reason"]
-        rows = world.store.rows(HOLD_TABLE)
+        rows = world.store.get_rows(HOLD_TABLE)
         assert not [each for each in rows if each.startswith(EVIDENCE_PREFIX)]
         (kept,) = [decode_hold(key, row[0]) for key, row in rows.items()]
         assert kept.lifted
--- a/flamingofront/tests/test_operating.py
+++ b/flamingofront/tests/test_operating.py
@@ -42,7 +42,7 @@
         world.front("front-1", first_start=False)
         world.run_until(lambda: world.fronts["front-1"].ready)
         for endpoint in world.endpoints.values():
-            endpoint.fail(ForwardFault.HANG)
+            endpoint.inject_fault(ForwardFault.HANG)
         for _ in range(4):
             world.ask("front-1", "/stream/once/x", body=b"the same")
             world.run(0.02)
