--- a/bench/proofs.py
+++ b/bench/proofs.py
@@ -18,7 +18,7 @@
     yield "notice, list 20 s late", last_new_work(world, "engine-a1", 15.0)
     world = demo_world(THREE_ZONES)
     world.platform.vms["engine-a1"]["state"] = "leaving"
-    world.platform._show("engine-a1", 0.0)
+    world.platform._update_list("engine-a1", 0.0)
     yield "sign in the VM list only", last_new_work(world, "engine-a1", 15.0)
     world = demo_world(THREE_ZONES)
     world.start_operation(["drain endpoint engine-a1"], "entry-b1")
--- a/flamingofront/process/tests/test_documents.py
+++ b/flamingofront/process/tests/test_documents.py
@@ -15,7 +15,7 @@
 from flamingofront.process.store import position
 from flamingofront.process.tasks import TaskRunner
 from flamingofront.standins.platform import FaultMode
-from flamingofront.standins.table_store import RANGE_ROWS
+from flamingofront.standins.table_store import MAX_RANGE_ROWS
 from flamingofront.tests.network import FakeTransport
 from flamingofront.tests.world import World
 
@@ -91,9 +91,9 @@
         assert [each.key for each in store.run(store.documents.scan("a/"))] == ["a/", "a/1", "a/~"]
 
     def test_scan_goes_on_where_the_store_stops(self, store):
-        for number in range(RANGE_ROWS + 3):
+        for number in range(MAX_RANGE_ROWS + 3):
             store.platform.rows.put(f"many/{number:04d}", {})
-        assert len(store.run(store.documents.scan("many/"))) == RANGE_ROWS + 3
+        assert len(store.run(store.documents.scan("many/"))) == MAX_RANGE_ROWS + 3
 
 
 class TestLargeDocuments:
--- a/flamingofront/process/tests/test_leaving.py
+++ b/flamingofront/process/tests/test_leaving.py
@@ -37,7 +37,7 @@
     def test_sign_in_the_vm_list(self):
         world = demo_world(ZONES)
         world.platform.vms["engine-a1"]["state"] = "leaving"
-        world.platform._show("engine-a1", 0.0)
+        world.platform._update_list("engine-a1", 0.0)
         assert last_new_work(world, "engine-a1", 15.0) < FEW_SECONDS
 
     def test_order_to_drain(self):
--- a/flamingofront/standins/engine.py
+++ b/flamingofront/standins/engine.py
@@ -138,7 +138,13 @@
 
 @dataclass
 class EngineCounts:
-    """Counters of the engine, in tokens, requests and rejected orders."""
+    """Tokens generated and prefilled, executions by request id, and orders rejected as stale.
+
+    Parameters
+    ----------
+    resumed_prefilled : int
+        Part of `prefilled` that belongs to resumed requests and to further attempts.
+    """
 
     generated: int = 0
     prefilled: int = 0
--- a/flamingofront/standins/table_store.py
+++ b/flamingofront/standins/table_store.py
@@ -18,7 +18,7 @@
 __all__ = ["LeaderCall", "LostWrite", "StoreFault", "TableStoreStandIn"]
 
 MAX_HISTORY_ROWS = 10_000
-# Writes that can be undone, enough for a snapshot that is some seconds old.
+# Writes that can be undone, enough to restore a snapshot some seconds old.
 MAX_UNDO_WRITES = 20_000
 MAX_RANGE_ROWS = 500
 OBJECT_PATHS = ("/api/blob-put/", "/api/blob-get/", "/api/blob-drop/")
