--- a/bench/mutations.py
+++ b/bench/mutations.py
@@ -159,7 +159,7 @@
     Mutation(
         "8 one request at a time on a connection",
         "connection/server.py",
-        "        if self._answering:\n            self._hold(data)\n            return\n",
+        "        if self._responding:\n            self._buffer_data(data)\n            return\n",
         "",
         "connection/tests/test_server.py",
     ),
--- a/flamingofront/connection/tests/test_client.py
+++ b/flamingofront/connection/tests/test_client.py
@@ -7,7 +7,7 @@
 import pytest
 
 from flamingofront.connection.client import USER_TIMEOUT_MS, HTTPClient
-from flamingofront.connection.interfaces import Reach
+from flamingofront.connection.interfaces import ConnectResult
 from flamingofront.connection.runtime import Runtime
 from flamingofront.messages import (
     CallFailed,
@@ -290,10 +290,10 @@
         return ask
 
     def test_address_where_a_process_listens(self, probe):
-        assert probe(Endpoint().address) == [Reach.CONNECTED]
+        assert probe(Endpoint().address) == [ConnectResult.CONNECTED]
 
     def test_address_where_none_listens(self, probe):
-        assert probe(unused_address()) == [Reach.REFUSED]
+        assert probe(unused_address()) == [ConnectResult.REFUSED]
 
     def test_call_to_an_address_where_none_listens_is_refused(self, client):
         assert client.call(unused_address()) == [CallFailed("refused", False)]
--- a/flamingofront/forward_daemon.py
+++ b/flamingofront/forward_daemon.py
@@ -23,7 +23,7 @@
 from flamingofront.process.forwarding.knowledge import SharedTables
 from flamingofront.process.forwarding.node import Dependencies, ForwardingNode
 from flamingofront.process.forwarding.settings import DeploymentSettings
-from flamingofront.process.forwarding.shutdown import GracefulStop
+from flamingofront.process.forwarding.shutdown import GracefulShutdown
 from flamingofront.process.logs import Log, NonBlockingStream, set_up_logs
 from flamingofront.process.settings import Address
 from flamingofront.version.forwarding import ForwardingConfiguration
@@ -78,12 +78,12 @@
             control = self._make_server(settings.control_bind, self.node.handle_control, "control")
             servers["control"] = control
         self._ports = {name: server.port for name, server in servers.items()}
-        self._stop = GracefulStop(
+        self._stop = GracefulShutdown(
             self.node,
             self.callers,
             settings.stop_grace,
             self.runtime.stop,
-            self.callers.refuse_unread,
+            self.callers.reject_incomplete,
         )
 
     def _make_dependencies(self) -> Dependencies:
@@ -101,7 +101,7 @@
         )
 
     def _receive_datagram(self, data: bytes, ip: str) -> None:
-        self.node.peers.received(data, ip)
+        self.node.peers.receive_datagram(data, ip)
 
     def _make_server(self, bind: Address, handler, channel: str) -> HTTPServer:
         return HTTPServer(
--- a/flamingofront/platform/objects.py
+++ b/flamingofront/platform/objects.py
@@ -4,7 +4,7 @@
 
 from flamingofront.messages import OutboundCall
 from flamingofront.platform.store import STATUS_OK
-from flamingofront.process.calls import ask
+from flamingofront.process.calls import send_call
 from flamingofront.process.store import ObjectStore
 from flamingofront.process.tasks import Task
 
@@ -33,18 +33,18 @@
 
     def put(self, name: str, data: bytes) -> Task:
         """Store an object, replacing any object of the same name."""
-        yield from ask(self._make_call("PUT", PUT_PATH, name, data), True, (STATUS_OK,))
+        yield from send_call(self._make_call("PUT", PUT_PATH, name, data), True, (STATUS_OK,))
 
     def get(self, name: str) -> Task:
         """Return the bytes of an object, or None if it does not exist."""
         call = self._make_call("GET", GET_PATH, name)
-        reply = yield from ask(call, False, (STATUS_OK, STATUS_NOT_FOUND))
+        reply = yield from send_call(call, False, (STATUS_OK, STATUS_NOT_FOUND))
         return reply.body if reply.status == STATUS_OK else None
 
     def drop(self, name: str) -> Task:
         """Delete an object; it is not an error if the object does not exist."""
         call = self._make_call("DELETE", DELETE_PATH, name)
-        yield from ask(call, True, (STATUS_OK, STATUS_NOT_FOUND))
+        yield from send_call(call, True, (STATUS_OK, STATUS_NOT_FOUND))
 
     def _make_call(self, method: str, path: str, name: str, data: bytes = b"") -> OutboundCall:
         return OutboundCall(
--- a/flamingofront/platform/requests.py
+++ b/flamingofront/platform/requests.py
@@ -2,7 +2,7 @@
 
 import re
 
-from flamingofront.connection.server import RenderedError, error_body
+from flamingofront.connection.server import RenderedError, encode_error
 from flamingofront.decisions.lateness import Urgency
 from flamingofront.errors import ERROR_RESPONSES, ErrorKind, Executed, RequestError
 from flamingofront.messages import InboundRequest, ResponseHead
@@ -165,7 +165,7 @@
         if exc.retry_after is not None and status in NOT_RUN_STATUSES:
             # The platform accepts fractional seconds.
             fields += (("Retry-After", f"{exc.retry_after:.3f}"),)
-        return status, fields, error_body(exc)
+        return status, fields, encode_error(exc)
 
 
 def _remove_headers(fields: Fields, names: frozenset[str]) -> Fields:
--- a/flamingofront/platform/store.py
+++ b/flamingofront/platform/store.py
@@ -9,7 +9,7 @@
 
 from flamingofront.errors import PlatformError
 from flamingofront.messages import BufferedResponse, OutboundCall
-from flamingofront.process.calls import ask
+from flamingofront.process.calls import send_call
 from flamingofront.process.store import (
     HistoryLostError,
     RowChanges,
@@ -19,8 +19,8 @@
     StoredRow,
     TableStore,
     TransactionOutcome,
-    position,
-    version_of,
+    get_era_version,
+    make_revision,
 )
 from flamingofront.process.tasks import Task
 
@@ -59,12 +59,12 @@
         bounds = {"from": first, "to": end, "limit": limit}
         query.update({name: value for name, value in bounds.items() if value})
         call = self._make_get_call("/api/rows-get", query, self._timeout)
-        reply = yield from ask(call, False, (STATUS_OK,))
+        reply = yield from send_call(call, False, (STATUS_OK,))
         doc, era = _decode_body(reply), _parse_era(reply)
-        version = position(era, doc["ver"])
+        version = make_revision(era, doc["ver"])
         return RowRange(_decode_rows(doc, era), version, bool(doc.get("truncated", False)))
 
-    def changes(self, table: str, after: int, wait: float) -> Task:
+    def read_changes(self, table: str, after: int, wait: float) -> Task:
         """Return the rows changed since a feed position, after a wait for the first change.
 
         Raises
@@ -72,13 +72,13 @@
         HistoryLostError
             If the store no longer keeps the changes since then.
         """
-        query = {"table": table, "after_rev": version_of(after), "wait_ms": int(wait * 1000)}
+        query = {"table": table, "after_rev": get_era_version(after), "wait_ms": int(wait * 1000)}
         call = self._make_get_call("/api/rows-feed", query, wait + self._timeout)
-        reply = yield from ask(call, False, (STATUS_OK, STATUS_HISTORY_LOST))
+        reply = yield from send_call(call, False, (STATUS_OK, STATUS_HISTORY_LOST))
         if reply.status == STATUS_HISTORY_LOST:
             raise HistoryLostError(f"changes of table {table} since {after} are no longer stored")
         doc, era = _decode_body(reply), _parse_era(reply)
-        return RowChanges(_decode_rows(doc, era), position(era, doc["ver"]))
+        return RowChanges(_decode_rows(doc, era), make_revision(era, doc["ver"]))
 
     def transact(
         self, part: str, conditions: Sequence[RowCondition], writes: Sequence[RowWrite]
@@ -91,7 +91,7 @@
                     "table": each.table,
                     "part": part,
                     "key": each.key,
-                    "ver": version_of(each.version),
+                    "ver": get_era_version(each.version),
                 }
                 for each in conditions
             ],
@@ -119,9 +119,9 @@
             JSON_HEADERS,
             self._timeout,
         )
-        reply = yield from ask(call, True, (STATUS_OK, STATUS_CONDITION_FAILED))
+        reply = yield from send_call(call, True, (STATUS_OK, STATUS_CONDITION_FAILED))
         doc, era = _decode_body(reply), _parse_era(reply)
-        version = position(era, doc.get("ver", 0))
+        version = make_revision(era, doc.get("ver", 0))
         return TransactionOutcome(reply.status == STATUS_OK, version, _decode_rows(doc, era))
 
     def _make_get_call(self, path: str, query: dict[str, Any], timeout: float) -> OutboundCall:
@@ -160,5 +160,5 @@
     # A deleted row has a tombstone mark and no value.
     deleted = data.get("tombstone") or data.get("value") is None
     value = None if deleted else base64.b64decode(data["value"])
-    version = position(era, data["ver"])
+    version = make_revision(era, data["ver"])
     return StoredRow(data["table"], data.get("part", ""), data["key"], value, version)
--- a/flamingofront/process/calls.py
+++ b/flamingofront/process/calls.py
@@ -4,13 +4,13 @@
 from flamingofront.messages import CallFailed, OutboundCall
 from flamingofront.process.tasks import Task
 
-__all__ = ["ask"]
+__all__ = ["send_call"]
 
 # Answers that promise that nothing was done.
 REFUSED_STATUSES = (429, 503)
 
 
-def ask(call: OutboundCall, is_write: bool, allowed: tuple[int, ...]) -> Task:
+def send_call(call: OutboundCall, is_write: bool, allowed: tuple[int, ...]) -> Task:
     """Send a call and return its response.
 
     Raises
--- a/flamingofront/process/forwarding/tests/test_restored_store.py
+++ b/flamingofront/process/forwarding/tests/test_restored_store.py
@@ -20,8 +20,8 @@
     usage,
 )
 from flamingofront.process.forwarding.tests.test_rollouts import Rollout
-from flamingofront.process.holds import HOLD_TABLE
-from flamingofront.process.store import RowCondition, RowWrite, position, version_of
+from flamingofront.process.holds import QUARANTINE_TABLE
+from flamingofront.process.store import RowCondition, RowWrite, get_era_version, make_revision
 from flamingofront.standins.forward_endpoint import ForwardFault
 from flamingofront.standins.table_store import StoreFault
 from flamingofront.tests.crashing_world import CONTACT_SECONDS, crashing_world
@@ -57,7 +57,7 @@
         world.run(3.0)
         for node in world.fronts.values():
             assert node.configuration.version == 7
-            assert "plain-9" in {each.endpoint_id for each in node.knowledge.endpoints.rows()}
+            assert "plain-9" in {each.endpoint_id for each in node.store_view.endpoints.rows()}
 
     def test_configuration_does_not_go_back(self):
         world = ready_world(fronts=3)
@@ -109,7 +109,7 @@
         repeat(world, "/write/x", seconds=3.0)
         restore(world, 12.0)
         world.run(CONTACT_SECONDS)
-        assert len(world.store.get_rows(HOLD_TABLE)) == 1
+        assert len(world.store.get_rows(QUARANTINE_TABLE)) == 1
         ends = len(world.ends_under(POISON))
         for name in list(world.fronts):
             world.kill(name)
@@ -142,9 +142,9 @@
         world.store.restore(0.8)
         world.heal()
         other = world.fronts["front-2"].store
-        while world.store.get_rows("own").get("key", (b"", 0))[1] < version_of(first.version):
+        while world.store.get_rows("own").get("key", (b"", 0))[1] < get_era_version(first.version):
             known = world.store.get_rows("own").get("key", (b"", 0))[1]
-            condition = RowCondition("own", "key", position(1, known) if known else 0)
+            condition = RowCondition("own", "key", make_revision(1, known) if known else 0)
             task = other.transact("", (condition,), (RowWrite("own", "key", b"other"),))
             world.fronts["front-2"].tasks.start(task, outcomes.append)
             world.run(0.1)
@@ -184,11 +184,11 @@
             world.finish(world.ask(f"front-{1 + number % 3}", "/read/x"))
             world.run(0.2)
         first = holder(world)
-        fencing = world.fronts[first].lease.holding().fencing
+        fencing = world.fronts[first].lease.valid_lease().fencing
         restore(world, 6.0, out=0.3)
         world.run(2.0)
         assert holder(world) == first
-        assert world.fronts[first].lease.holding().fencing == fencing
+        assert world.fronts[first].lease.valid_lease().fencing == fencing
         world.run(12.0)
         windows = sorted(usage(world))
         assert windows == list(range(windows[0], windows[-1] + 1))
--- a/flamingofront/process/tests/test_configuration.py
+++ b/flamingofront/process/tests/test_configuration.py
@@ -21,7 +21,7 @@
     }
 
 
-def seconds_until_in_force(world, revision, names=None):
+def seconds_until_active(world, revision, names=None):
     names = names or list(world.nodes)
     return world.run_until(lambda: all(revisions(world)[each] >= revision for each in names), 60.0)
 
@@ -31,7 +31,7 @@
         world = demo_world(ZONES, entries_per_zone=2)
         outcome = world.operate("change workspace desk weight=2", "entry-a1")
         # A round of digests takes a second; only pushes are faster.
-        assert seconds_until_in_force(world, outcome["revision"]) < 0.2
+        assert seconds_until_active(world, outcome["revision"]) < 0.2
 
     @pytest.mark.parametrize("mode", [FaultMode.DOWN, FaultMode.SILENT])
     def test_everywhere_although_the_store_is_out_right_after_acceptance(self, mode):
@@ -40,14 +40,14 @@
         world.run_until(lambda: caller.done)
         for service in ("table", "vms", "cloud"):
             world.platform.inject_fault(service, mode)
-        assert seconds_until_in_force(world, caller.data["revision"]) < SECONDS
+        assert seconds_until_active(world, caller.data["revision"]) < SECONDS
 
     def test_everywhere_although_the_answer_of_the_write_was_lost(self):
         world = demo_world(ZONES)
         world.platform.inject_fault("table", FaultMode.LOSE_ANSWER, count=1, writes_only=True)
         outcome = world.operate("change workspace desk weight=2", "entry-a1")
         assert outcome["state"] == "accepted"
-        assert seconds_until_in_force(world, outcome["revision"]) < SECONDS
+        assert seconds_until_active(world, outcome["revision"]) < SECONDS
 
     def test_everywhere_although_the_accepting_process_dies(self):
         world = demo_world(ZONES)
@@ -56,12 +56,12 @@
         world.run_until(lambda: world.platform.rows["config/head"][0]["revision"] == 2)
         world.kill("entry-a1")
         assert set(revisions(world).values()) == {1}
-        assert seconds_until_in_force(world, 2, ["entry-b1", "entry-c1", "entry-d1"]) < SECONDS
+        assert seconds_until_active(world, 2, ["entry-b1", "entry-c1", "entry-d1"]) < SECONDS
 
     def test_new_process_during_an_outage_has_the_revision_before_it_is_ready(self):
         world = demo_world(ZONES)
         outcome = world.operate("change workspace desk weight=2", "entry-a1")
-        seconds_until_in_force(world, outcome["revision"])
+        seconds_until_active(world, outcome["revision"])
         for service in ("table", "vms", "cloud"):
             world.platform.inject_fault(service, FaultMode.DOWN)
         world.kill("entry-b1")
@@ -93,7 +93,7 @@
         world.finish(caller)
         assert caller.status == 200
         world.heal()
-        assert seconds_until_in_force(world, outcome["revision"]) < SECONDS
+        assert seconds_until_active(world, outcome["revision"]) < SECONDS
 
     def test_cut_off_zone_tells_its_operator_that_nothing_was_changed(self):
         world = demo_world(ZONES)
@@ -141,7 +141,7 @@
         gossip = world.nodes["entry-a1"].gossip
         old = gossip.configuration
         world.operate("change workspace desk weight=2")
-        assert gossip.take_push(Push(configuration=old)) is None
+        assert gossip.apply_push(Push(configuration=old)) is None
         assert gossip.configuration.revision == old.revision + 1
 
 
--- a/flamingofront/process/tests/test_leases.py
+++ b/flamingofront/process/tests/test_leases.py
@@ -52,7 +52,7 @@
         self.keepers.append(keeper)
 
     def holders(self):
-        return [each for each in self.keepers if each.current() is not None]
+        return [each for each in self.keepers if each.valid_lease() is not None]
 
 
 class TestLease:
@@ -66,14 +66,14 @@
         pair.world.run(5.0)
         (first,) = pair.holders()
         name = f"keeper-{pair.keepers.index(first)}"
-        old = first.current().fencing
+        old = first.valid_lease().fencing
         pair.world.pause(name)
         pair.world.run(DURATION + WAIT_EXTRA + 6.0)
         # The clock went on while the holder slept; it must know at the moment it looks.
-        assert first.current() is None
+        assert first.valid_lease() is None
         (second,) = pair.holders()
         assert second is not first
-        assert second.current().fencing > old
+        assert second.valid_lease().fencing > old
         pair.world.resume(name)
         pair.world.run(10.0)
         assert pair.holders() == [second]
@@ -137,7 +137,7 @@
         holders = self.group.holders()
         assert len(holders) <= 1
         for holder in holders:
-            fencing = holder.current().fencing
+            fencing = holder.valid_lease().fencing
             assert fencing >= self.highest
             self.highest = fencing
 
@@ -174,8 +174,8 @@
 
         world = demo_world(entries_per_zone=2, check_fencing=check_fencing)
         world.run(10.0)
-        holder = next(n for n, each in world.nodes.items() if each.lease.current())
-        old = world.nodes[holder].lease.current().fencing
+        holder = next(n for n, each in world.nodes.items() if each.lease.valid_lease())
+        old = world.nodes[holder].lease.valid_lease().fencing
         world.pause(holder)
         self.put_wrong_model(world, "engine-a1")
         world.run_until(lambda: world.engines["engine-a1"].model == "demo", 40.0)
--- a/flamingofront/request/active.py
+++ b/flamingofront/request/active.py
@@ -7,7 +7,7 @@
 from flamingofront.connection.interfaces import CallEvent, CallHandle
 from flamingofront.decisions.admission import Ticket
 from flamingofront.decisions.choice import Candidate
-from flamingofront.decisions.quarantine_facts import Standing
+from flamingofront.decisions.quarantine_facts import QuarantineStatus
 from flamingofront.decisions.rollout import VersionRule
 from flamingofront.errors import ErrorKind, Executed, RequestError
 from flamingofront.messages import (
@@ -121,7 +121,7 @@
         """True if a reset must tell whether the endpoint had the request."""
         if not self.record.may_repeat:
             return True
-        return self.hub.guard.quarantine_status(self.fingerprint) is not Standing.CLEAR
+        return self.hub.guard.quarantine_status(self.fingerprint) is not QuarantineStatus.CLEAR
 
     @abstractmethod
     def _call(self, order: StartAttempt, chosen: Candidate) -> OutboundCall:
@@ -242,9 +242,9 @@
     def _start_attempt(self, order: StartAttempt) -> None:
         """Start an attempt, unless the request has crashed the endpoints that ran it."""
         standing = self.hub.guard.quarantine_status(self.fingerprint)
-        if standing is Standing.HELD:
+        if standing is QuarantineStatus.QUARANTINED:
             self.held_back()
-        elif standing is Standing.TRIAL_DUE:
+        elif standing is QuarantineStatus.TRIAL_DUE:
             self.hub.guard.claim_trial(
                 self.fingerprint, lambda granted: self._trial_claimed(order, granted)
             )
@@ -264,7 +264,10 @@
     def is_held(self) -> bool:
         """True if it is not run any more; its own trial is."""
         standing = self.hub.guard.quarantine_status(self.fingerprint)
-        return not self.is_trial and standing in (Standing.HELD, Standing.TRIAL_DUE)
+        return not self.is_trial and standing in (
+            QuarantineStatus.QUARANTINED,
+            QuarantineStatus.TRIAL_DUE,
+        )
 
     def held_back(self) -> None:
         """End the request at once, also while an endpoint has it: it crashes what runs it."""
--- a/flamingofront/request/attempts.py
+++ b/flamingofront/request/attempts.py
@@ -196,7 +196,7 @@
         if not self.facts.repeatable and executed is not Executed.NO:
             return self._fail(ErrorKind.OUTCOME_UNKNOWN, detail)
         if self._failures >= MAX_FAILURES_WITHOUT_PROGRESS:
-            return self._fail(ErrorKind.ENDPOINT_FAILED, detail, self._backoff.longest)
+            return self._fail(ErrorKind.ENDPOINT_FAILED, detail, self._backoff.max_seconds)
         if not sent and self.facts.max_attempts is not None:
             self.attempts -= 1
             return self._wait_or_fail(now, 0.0, ErrorKind.ENDPOINT_FAILED)
@@ -204,7 +204,7 @@
             return self._fail(self._last_kind(), detail)
         delay = self._budget.reserve(now)
         if self._failures > 1:
-            delay = max(delay, self._backoff.delay(self._failures - 2, self._rng))
+            delay = max(delay, self._backoff.compute_delay(self._failures - 2, self._rng))
         return self._wait_or_fail(now, delay, ErrorKind.RETRY_BUDGET_EXHAUSTED)
 
     def _settle_ran(self, executed: Executed) -> None:
--- a/flamingofront/request/forward_gateway.py
+++ b/flamingofront/request/forward_gateway.py
@@ -138,7 +138,7 @@
     def _verify(self, req: InboundRequest, exchange: Exchange) -> None:
         """Let a request wait until it is known whether a newer configuration knows its route."""
         waits = _Waits()
-        exchange.on_gone = waits.caller_left
+        exchange.on_disconnect = waits.caller_left
         self.unknown_gate.verify(
             lambda is_current: waits.is_gone or self._verified(req, exchange, is_current)
         )
@@ -174,7 +174,7 @@
         if not cfg.version:
             raise RequestError(ErrorKind.NOT_READY, retry_after=NOT_READY_RETRY_SECONDS)
         caller = self._protocol.decode(req)
-        route = cfg.route_for(caller.host, caller.path)
+        route = cfg.find_route(caller.host, caller.path)
         if route is None:
             raise RequestError(ErrorKind.UNKNOWN_SERVICE, f"no route for {caller.path[:80]!r}")
         workspace = self._workspace(caller, route)
@@ -189,7 +189,7 @@
         # Before the question: its reply could come after the end of this process.
         self._check_stop(record)
         asked_at = self._hub.now()
-        exchange.on_gone = offer.caller_left
+        exchange.on_disconnect = offer.caller_left
         self.quota_gate.decide(
             workspace, units, lambda decision: self._decided(offer, decision, asked_at)
         )
@@ -213,7 +213,7 @@
         self._check_stop(offer.record)
         request = self._hub.accept(offer.record, _share(offer.route, offer.workspace))
         if offer.workspace is not None:
-            self._quota.spend(offer.workspace, offer.units, self._hub.now())
+            self._quota.consume(offer.workspace, offer.units, self._hub.now())
         request.on_running = self._on_running
         request.rule_of = self._version_rule
         request.on_end = lambda ended: self._ended(ended, offer)
@@ -226,7 +226,7 @@
 
     def _workspace(self, caller: CallerRequest, route: ForwardedRoute) -> ForwardedWorkspace | None:
         cfg = self.configuration
-        workspace = cfg.workspace_of(caller.key) if caller.key else None
+        workspace = cfg.find_workspace_by_key(caller.key) if caller.key else None
         if workspace is None and route.needs_key and cfg.workspaces:
             raise RequestError(ErrorKind.UNKNOWN_WORKSPACE, "the API key is not known")
         return workspace
@@ -235,7 +235,7 @@
         if decision.wait <= 0:
             return
         workspace = offer.workspace
-        state = decision.state or self._quota.state(workspace, self._hub.now())
+        state = decision.state or self._quota.get_state(workspace, self._hub.now())
         log_fields = {
             "workspace": workspace.name,
             "units": offer.units,
@@ -270,7 +270,7 @@
             left = min(left, caller.deadline - spent)
         if left <= 0:
             raise RequestError(ErrorKind.DEADLINE_EXCEEDED, "no time is left of the deadline")
-        name = route.backend_for(caller.request_id)
+        name = route.select_backend(caller.request_id)
         slots = self._hub.directory.advertised_slots(name)
         work = ForwardWork(
             method=req.method,
@@ -279,7 +279,7 @@
             fields=caller.fields,
             body=req.body,
             stream=route.kind is RequestKind.STREAM,
-            repeatable=route.may_repeat,
+            repeatable=route.can_repeat,
             resumable=route.resumable,
             max_attempts=route.max_attempts,
             caller_id=caller.request_id,
@@ -292,7 +292,7 @@
             request_id=f"{caller.request_id}#{next(self._numbers)}",
             workspace=work.workspace,
             route=route.name,
-            service=self.configuration.service_for(route, name, slots),
+            service=self.configuration.build_service(route, name, slots),
             work=work,
             deadline_left=left,
         )
--- a/flamingofront/request/forwarded_request.py
+++ b/flamingofront/request/forwarded_request.py
@@ -6,7 +6,7 @@
 from flamingofront.decisions.admission import Ticket
 from flamingofront.decisions.choice import Candidate
 from flamingofront.decisions.engine_rates import ServiceRates
-from flamingofront.decisions.lateness import Expectation, postponement, urgency
+from flamingofront.decisions.lateness import LatencyEstimate, classify_urgency, compute_yield_delay
 from flamingofront.decisions.rollout import VersionRule
 from flamingofront.decisions.stopping import StreamTimes
 from flamingofront.errors import ErrorKind, Executed, RequestError
@@ -84,7 +84,7 @@
     @property
     def _rates(self) -> ServiceRates:
         """What is learned of the service's endpoints."""
-        return self.hub.rates.of(self.record.service.name)
+        return self.hub.rates.for_service(self.record.service.name)
 
     def version_rule(self) -> VersionRule | None:
         """Return which versions the next attempt may go to; None if that makes no difference."""
@@ -107,12 +107,12 @@
         self._unread_at = chosen.endpoint_id
         self.hub.directory.add_backlog(self._unread_at, self._unread)
 
-    def _expected(self, chosen: Candidate) -> Expectation:
+    def _expected(self, chosen: Candidate) -> LatencyEstimate:
         """Return when the endpoint is expected to begin its answer."""
-        first = self._rates.now().first_event(self._ahead) * chosen.slowness
+        first = self._rates.estimate().first_event_seconds(self._ahead) * chosen.slowness
         objective = self.record.service.first_token_target
         left = objective - (self.hub.now() - self.accepted_at)
-        return Expectation(first, left, self.begun)
+        return LatencyEstimate(first, left, self.begun)
 
     def _postponement(self, chosen: Candidate) -> float:
         """Stand back while the request will be late in any case and others wait to be read."""
@@ -121,8 +121,8 @@
         if not self._asked_work:
             self._asked_work = True
             self.hub.record_load(self.record.service.name, new_tokens)
-        rates, now = self._rates.now(), self.hub.now()
-        wait = postponement(
+        rates, now = self._rates.estimate(), self.hub.now()
+        wait = compute_yield_delay(
             self._expected(chosen),
             rates.token_seconds * chosen.backlog_tokens * chosen.slowness,
             now - self.accepted_at,
@@ -135,7 +135,7 @@
                 endpoint=chosen.endpoint_id,
                 backlog=chosen.backlog_tokens,
                 prompt=self.work.prompt_tokens,
-                expected_ms=round(self._expected(chosen).first_event * 1000),
+                expected_ms=round(self._expected(chosen).first_event_seconds * 1000),
                 loads_age=self.hub.directory.load_report_age(now),
             )
         return wait * (0.5 + self.hub.rng.random())
@@ -182,13 +182,13 @@
         self._queue(chosen)
         left = self.machine.facts.deadline - self.hub.now()
         facts = AttemptFacts(
-            chosen.endpoint_id, left, self.relay.last_id, urgency(self._expected(chosen))
+            chosen.endpoint_id, left, self.relay.last_id, classify_urgency(self._expected(chosen))
         )
         work = self.work
         self.endpoints.append(chosen.endpoint_id)
         self.sent_at = self.hub.now()
         ahead = self._ahead if work.stream else 0
-        self._pace = AttemptLatency(self.sent_at, self._rates.now().first_event(ahead))
+        self._pace = AttemptLatency(self.sent_at, self._rates.estimate().first_event_seconds(ahead))
         self._passed_before = self.relay.count
         return OutboundCall(
             chosen.address,
@@ -221,7 +221,7 @@
         self._pace.record_start(self.hub.now())
         if self._unread:
             if self.work.stream and self.endpoint_id == self._unread_at:
-                self._rates.first_event(self._ahead, self.hub.now() - self.sent_at)
+                self._rates.record_first_event(self._ahead, self.hub.now() - self.sent_at)
             self._dequeue()
             self._note_cached()
         if self.first_at is None:
@@ -250,7 +250,7 @@
         if self.first_at is not None and count > 0:
             pause = (now - self._event_at) / count
             self.hub.directory.record_token_time(self.endpoint_id, pause)
-            self._rates.pause(pause)
+            self._rates.record_pause(pause)
         self._events_seen, self._event_at = self.relay.count, now
 
     def _tell_outcome(self, is_bad: bool) -> None:
@@ -267,17 +267,17 @@
         """Tell the directory how the endpoint did."""
         directory, now = self.hub.directory, self.hub.now()
         events = self.relay.count - self._passed_before
-        is_slow = self._pace.is_slow(now, events, self._rates.now())
+        is_slow = self._pace.is_slow(now, events, self._rates.estimate())
         self._tell_outcome(is_slow or answer.status >= FIRST_ERROR_STATUS)
         if answer.status >= FIRST_ERROR_STATUS:
             self.hub.record_endpoint_failure(self.record.service, self.endpoint_id, now)
             return
-        directory.health.succeeded(self.endpoint_id)
+        directory.health.record_success(self.endpoint_id)
         if not self.work.stream:
             directory.record_token_time(self.endpoint_id, now - self.sent_at)
-            self._rates.call(now - self.sent_at)
+            self._rates.record_call(now - self.sent_at)
         elif self.relay.count:
-            self._rates.ended(self.relay.count)
+            self._rates.record_event_count(self.relay.count)
             self._observe_times(now)
 
     def _observe_times(self, now: float) -> None:
@@ -285,7 +285,7 @@
         times = StreamTimes(
             self.first_at - self.accepted_at, now - self.first_at, self.work.output_tokens
         )
-        self.hub.completion.of(self.record.service.name).observe(times)
+        self.hub.completion.for_service(self.record.service.name).observe(times)
 
     def answered(self, attempt_id: str, answer: RelayedAnswer) -> None:
         """Give the endpoint's complete answer to the caller."""
--- a/flamingofront/request/inheritance.py
+++ b/flamingofront/request/inheritance.py
@@ -83,7 +83,7 @@
             try:
                 return (yield from take_job(self._documents, request_id, sender, self._vm_id))
             except PlatformError:
-                yield Sleep(_BACKOFF.delay(tries, self._hub.rng))
+                yield Sleep(_BACKOFF.compute_delay(tries, self._hub.rng))
                 tries += 1
 
     def _job_taken(self, request: ActiveRequest, taken: AdoptedJob | None) -> None:
@@ -117,7 +117,7 @@
                     yield from move_jobs(self._documents, vm_id, self._vm_id)
                 return (yield from owned_jobs(self._documents, self._vm_id))
             except PlatformError:
-                yield Sleep(_BACKOFF.delay(tries, self._hub.rng))
+                yield Sleep(_BACKOFF.compute_delay(tries, self._hub.rng))
                 tries += 1
 
     def _jobs_adopted(self, jobs: list[AdoptedJob]) -> None:
--- a/flamingofront/request/jobs.py
+++ b/flamingofront/request/jobs.py
@@ -12,7 +12,7 @@
 from flamingofront.messages import Sleep
 from flamingofront.process.backoff import Backoff
 from flamingofront.process.documents import Condition, DocumentStore, Write
-from flamingofront.process.expiry import expiry_write
+from flamingofront.process.expiry import build_expiry_write
 from flamingofront.process.tasks import Task
 from flamingofront.request.claims import repeat_until_done
 from flamingofront.request.records import RequestRecord
@@ -101,7 +101,7 @@
         except PlatformError as exc:
             maybe_applied = maybe_applied or exc.maybe_applied
             detail = str(exc)
-        yield Sleep(_BACKOFF.delay(tries, rng))
+        yield Sleep(_BACKOFF.compute_delay(tries, rng))
     raise PlatformError(detail, maybe_applied)
 
 
@@ -153,7 +153,7 @@
         stored = answer_to_json(answer)
         value = {**row.value, "state": JobState.DONE.value, "answer": stored, "until": until}
         drop_index = Write(_owner_key(owner, request_id), None)
-        end = expiry_write(row.key, until)
+        end = build_expiry_write(row.key, until)
         return (yield from documents.replace(row, value, drop_index, end))
 
     yield from repeat_until_done(step, rng)
--- a/flamingofront/request/keyed.py
+++ b/flamingofront/request/keyed.py
@@ -5,13 +5,13 @@
 from collections.abc import Callable
 
 from flamingofront.connection.interfaces import Exchange
-from flamingofront.connection.server import error_body
+from flamingofront.connection.server import encode_error
 from flamingofront.decisions.admission import WorkspaceShare
 from flamingofront.errors import ERROR_RESPONSES, ErrorKind, Executed, PlatformError, RequestError
 from flamingofront.messages import InboundRequest, Sleep
 from flamingofront.process.backoff import Backoff
 from flamingofront.process.documents import DocumentStore
-from flamingofront.process.expiry import KEPT_SECONDS
+from flamingofront.process.expiry import RETENTION_SECONDS
 from flamingofront.process.tasks import Task, TaskRunner
 from flamingofront.request.active import ActiveRequest
 from flamingofront.request.attachments import Attachment, respond_accepted, respond_error
@@ -263,7 +263,7 @@
             try:
                 return (yield from mark_running(self._documents, request_id, self._vm_id))
             except PlatformError:
-                yield Sleep(_BACKOFF.delay(tries, self._rng))
+                yield Sleep(_BACKOFF.compute_delay(tries, self._rng))
                 tries += 1
 
     def _marked(self, request: ActiveRequest, ours: bool) -> None:
@@ -281,7 +281,7 @@
 
     def _until(self) -> float:
         """Return when an answer that is stored now may be removed."""
-        return self._hub.timers.wall() + KEPT_SECONDS
+        return self._hub.timers.wall() + RETENTION_SECONDS
 
     def store_job_answer(
         self, request_id: str, answer: StoredAnswer | None, exc: RequestError | None
@@ -289,7 +289,7 @@
         """Store the answer, or the error, of a job."""
         if answer is None:
             status = ERROR_RESPONSES[exc.kind].status
-            answer = StoredAnswer(status, "application/json", error_body(exc, request_id))
+            answer = StoredAnswer(status, "application/json", encode_error(exc, request_id))
         self._storing.add(request_id)
         task = finish_job(
             self._documents, request_id, self._vm_id, answer, self._rng, self._until()
--- a/flamingofront/request/model_request.py
+++ b/flamingofront/request/model_request.py
@@ -119,7 +119,7 @@
         super()._emit(order)
 
     def _complete(self) -> None:
-        self.hub.directory.health.succeeded(self.endpoint_id)
+        self.hub.directory.health.record_success(self.endpoint_id)
         self.hub.guard.record_response(self.fingerprint)
         self.hub.directory.prefixes.add_blocks(self.endpoint_id, self.hashes())
         # The end of the response is still to come; reading it keeps the connection usable.
--- a/flamingofront/request/plain_request.py
+++ b/flamingofront/request/plain_request.py
@@ -57,7 +57,7 @@
     def _answered(self, attempt_id: str, reply: BufferedResponse) -> None:
         if not self.machine.answered(attempt_id):
             return
-        self.hub.directory.health.succeeded(self.endpoint_id)
+        self.hub.directory.health.record_success(self.endpoint_id)
         self.hub.guard.record_response(self.fingerprint)
         self.hub.metrics.observe("first_token_seconds", self.hub.now() - self.accepted_at)
         content_type = reply.headers.get("content-type", "application/octet-stream")
--- a/flamingofront/request/reattach.py
+++ b/flamingofront/request/reattach.py
@@ -248,7 +248,7 @@
             self._stream,
             relay,
         )
-        self._exchange.on_gone = handle.cancel
+        self._exchange.on_disconnect = handle.cancel
 
     def not_held(self, reachable: bool) -> None:
         """A peer doesn't hold the request or could not be asked."""
@@ -256,7 +256,7 @@
         self.next_holder()
 
     def _look_for_job(self) -> None:
-        self._exchange.on_gone = None
+        self._exchange.on_disconnect = None
         owner = self._owner
         owner._tasks.start(
             owner.fetch_job(self.request_id),
@@ -314,14 +314,14 @@
     def _take_line(self, data: dict) -> None:
         if "work" in data:
             work = data["work"]
-            gone = self._exchange.on_gone
+            gone = self._exchange.on_disconnect
             self._reader = self._search.reader(
                 ModelWork(work["model"], (), 1, work["chat"], work["stream"])
             )
-            self._exchange.on_gone = gone
+            self._exchange.on_disconnect = gone
         elif "running" in data:
             self._finished = True
-            self._exchange.on_gone = None
+            self._exchange.on_disconnect = None
             _respond_running(self._exchange, self._search.request_id, data["offset"])
         elif "tokens" in data:
             if not self._reader.tokens(data["offset"], tuple(data["tokens"])):
--- a/flamingofront/request/records.py
+++ b/flamingofront/request/records.py
@@ -72,7 +72,7 @@
         work = self.work
         if isinstance(work, ForwardWork):
             return work.repeatable
-        return isinstance(work, ModelWork) or self.service.may_repeat(work.method, work.path)
+        return isinstance(work, ModelWork) or self.service.can_repeat(work.method, work.path)
 
     @property
     def max_attempts(self) -> int | None:
--- a/flamingofront/request/stop_refusal.py
+++ b/flamingofront/request/stop_refusal.py
@@ -2,7 +2,7 @@
 
 import math
 
-from flamingofront.decisions.stopping import ends_in_time
+from flamingofront.decisions.stopping import can_complete
 from flamingofront.errors import ErrorKind, Executed, RequestError
 from flamingofront.request.forward_work import ForwardWork
 from flamingofront.request.host import RequestHost
@@ -28,7 +28,7 @@
     if math.isinf(left):
         return None
     bound = _bound(hub, record.service.name, record.work)
-    if ends_in_time(deadline_left, bound, left):
+    if can_complete(deadline_left, bound, left):
         return None
     return RequestError(
         ErrorKind.DRAINING,
@@ -46,4 +46,8 @@
 
 def _bound(hub: RequestHost, service: str, work: ForwardWork) -> float:
     """Return the longest seconds that a request takes, as far as its size tells."""
-    return hub.completion.of(service).seconds(work.output_tokens) if work.stream else math.inf
+    return (
+        hub.completion.for_service(service).estimate_max_seconds(work.output_tokens)
+        if work.stream
+        else math.inf
+    )
--- a/flamingofront/standins/engine.py
+++ b/flamingofront/standins/engine.py
@@ -220,7 +220,7 @@
         stream = self._make_stream(data, exchange)
         counts = self.counts.executions
         counts[stream.request] = counts.get(stream.request, 0) + 1
-        exchange.on_gone = lambda: self._cancel_stream(stream)
+        exchange.on_disconnect = lambda: self._cancel_stream(stream)
         self._waiting.append(stream)
         self._waiting.sort(key=lambda each: (each.priority, each.number))
         self._schedule_step()
@@ -319,7 +319,7 @@
     def _finish_stream(self, stream: _Stream) -> None:
         self._running.remove(stream)
         self._cache_context(stream.context)
-        stream.exchange.on_gone = None
+        stream.exchange.on_disconnect = None
         stream.exchange.finish()
 
     def _cancel_stream(self, stream: _Stream) -> None:
@@ -332,7 +332,7 @@
         """Abort all streams and stop responding, as after a crash."""
         self.dead = True
         for stream in self._running + self._waiting:
-            stream.exchange.on_gone = None
+            stream.exchange.on_disconnect = None
             stream.exchange.abort()
         self._running.clear()
         self._waiting.clear()
--- a/flamingofront/standins/forward_endpoint.py
+++ b/flamingofront/standins/forward_endpoint.py
@@ -92,7 +92,7 @@
             exchange.respond(503, fields, b"")
             return
         self.runs.append(req)
-        exchange.on_gone = self._count_abandoned
+        exchange.on_disconnect = self._count_abandoned
         if self.crashes_on(req):
             self._schedule_crash(req, exchange)
             return
@@ -106,7 +106,7 @@
             if self._timers.now() < starts_at:
                 crash.cancel()
 
-        exchange.on_gone = cancel_before_start
+        exchange.on_disconnect = cancel_before_start
 
     def _count_abandoned(self) -> None:
         self.abandoned += 1
--- a/flamingofront/tests/test_pages.py
+++ b/flamingofront/tests/test_pages.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-from flamingofront.connection.server import error_headers
+from flamingofront.connection.server import build_error_headers
 from flamingofront.errors import ERROR_RESPONSES, ErrorKind, Executed, RequestError
 from flamingofront.process.metrics import COUNTERS, GAUGES, HISTOGRAMS, PREFIX
 from flamingofront.process.operators import COLUMNS
@@ -33,7 +33,7 @@
 
     @pytest.mark.parametrize("kind", list(ErrorKind))
     def test_table_decides_whether_a_time_to_come_back_is_told(self, kind):
-        names = [name for name, _ in error_headers(RequestError(kind))]
+        names = [name for name, _ in build_error_headers(RequestError(kind))]
         assert ("Retry-After" in names) == ERROR_RESPONSES[kind].allows_retry
         assert RequestError(kind, retry_after=7.0).retry_after == (
             7.0 if ERROR_RESPONSES[kind].allows_retry else None
--- a/flamingofront/tests/world.py
+++ b/flamingofront/tests/world.py
@@ -21,7 +21,7 @@
 from flamingofront.standins.plain import PlainStandIn
 from flamingofront.standins.platform import PlatformStandIn
 from flamingofront.tests.network import LATENCY, Caller, FakeTransport, Host
-from flamingofront.version.files import statements_of
+from flamingofront.version.files import load_statements
 
 DEMO = """
 [services.demo]
@@ -234,7 +234,7 @@
 
     def configure(self, text: str = DEMO, node: str | None = None) -> dict:
         """Put a configuration file in force, wait until all nodes have it."""
-        outcome = self.operate(statements_of(text), node)
+        outcome = self.operate(load_statements(text), node)
         assert outcome["state"] == "accepted", outcome
         self.run_until(
             lambda: all(
--- a/flamingofront/version/tests/test_commit.py
+++ b/flamingofront/version/tests/test_commit.py
@@ -15,7 +15,7 @@
 from flamingofront.process.logs import Log
 from flamingofront.process.timers import ManualClock, TimerService
 from flamingofront.standins.platform import TRANSACTION_PATH, PlatformStandIn
-from flamingofront.version.commit import CommitState, commit, settle
+from flamingofront.version.commit import CommitState, commit, settle_operation
 from flamingofront.version.language import parse
 from flamingofront.version.model import Configuration, configuration_from_json
 
@@ -162,7 +162,7 @@
         late = task.send(None)
         while late.path != TRANSACTION_PATH:
             late = task.send(table.serve(late))
-        outcome = run_task(table, settle(documents(), "op", "ops", random.Random(1)))
+        outcome = run_task(table, settle_operation(documents(), "op", "ops", random.Random(1)))
         assert outcome.state is CommitState.ABANDONED
         assert table.serve(late).status == 412
         assert table.configuration().revision == 0
@@ -249,7 +249,7 @@
         ]
         if unknown:
             run = unknown[index % len(unknown)]
-            task = settle(documents(), run.operation, "ops", random.Random(1))
+            task = settle_operation(documents(), run.operation, "ops", random.Random(1))
             run.outcome = run_task(self.table, task)
 
     def took_effect(self, run):
