--- a/flamingofront/connection/client.py
+++ b/flamingofront/connection/client.py
@@ -388,7 +388,8 @@
         Notes
         -----
         The target may close an idle connection while a request is being sent on it. The reset then
-        does not tell if the request was executed. A call with `new_connection` set avoids this ambiguity.
+        does not tell if the request was executed. A call with `new_connection` set avoids this
+        ambiguity.
         """
         handle = _Call(call, listener)
         handle.timer = self.timers.once(call.timeout, lambda: self._on_timeout(handle))
--- a/flamingofront/process/tasks.py
+++ b/flamingofront/process/tasks.py
@@ -1,8 +1,8 @@
 """Tasks: generators that yield calls and sleeps, and their runner.
 
-A task yields an `OutboundCall` and is sent a `BufferedResponse` or `CallFailed`, or yields a `Sleep`
-and is sent None. Its logic needs neither a socket nor a clock, and a test can drive it step by
-step.
+A task yields an `OutboundCall` and is sent a `BufferedResponse` or `CallFailed`, or yields a
+`Sleep` and is sent None. Its logic needs neither a socket nor a clock, and a test can drive it step
+by step.
 """
 
 from collections.abc import Callable, Generator
