--- a/bench/known_failure_mutations.py
+++ b/bench/known_failure_mutations.py
@@ -37,7 +37,7 @@
     Mutation(
         "S what has no answer gets one before the exit",
         "process/forwarding/shutdown.py",
-        "            request.process_ends()",
+        "            request.fail_for_shutdown()",
         "            pass",
         STOPPING,
     ),
--- a/bench/platform_mutations.py
+++ b/bench/platform_mutations.py
@@ -33,7 +33,7 @@
     Mutation(
         "P answers of other requests are not passed on",
         "request/answer_reader.py",
-        "        if response.crossed:\n            self._fail_attempt",
+        "        if response.is_mismatched:\n            self._fail_attempt",
         "        if False:\n            self._fail_attempt",
         FORWARDING,
     ),
--- a/bench/proofs.py
+++ b/bench/proofs.py
@@ -4,7 +4,11 @@
 from flamingofront.process.tests.test_configuration import seconds_until_active
 from flamingofront.process.tests.test_leaving import measure_last_request
 from flamingofront.request.recovery import ResumeOnLoss
-from flamingofront.request.tests.test_reclaims import reclaim, recomputed, start_streams
+from flamingofront.request.tests.test_reclaims import (
+    count_recomputed_tokens,
+    reclaim,
+    start_streams,
+)
 from flamingofront.standins.platform import FaultMode
 from flamingofront.tests.world import demo_world
 
@@ -65,7 +69,7 @@
         callers = start_streams(world, 12)
         reclaim(world, ["engine-a1", "engine-a2"], notice)
         world.finish(*callers)
-        yield name, recomputed(world)
+        yield name, count_recomputed_tokens(world)
 
 
 def main():
--- a/flamingofront/platform/requests.py
+++ b/flamingofront/platform/requests.py
@@ -9,7 +9,7 @@
 from flamingofront.request.forward_work import (
     AttemptFacts,
     CallerRequest,
-    EndpointAnswer,
+    EndpointResponseHead,
     Fields,
     ForwardProtocol,
     ForwardWork,
@@ -119,7 +119,7 @@
             fields=_remove_headers(req.fields, NOT_FORWARDED | hop_names),
         )
 
-    def attempt_fields(self, work: ForwardWork, facts: AttemptFacts) -> Fields:
+    def encode_attempt_headers(self, work: ForwardWork, facts: AttemptFacts) -> Fields:
         """Return the headers that one attempt sends to an endpoint."""
         fields = work.fields
         if facts.last_event:
@@ -135,20 +135,20 @@
             fields += ((URGENCY_HEADER, str(int(facts.urgency))),)
         return fields
 
-    def judge(self, request_id: str, head: ResponseHead) -> EndpointAnswer:
+    def decode_response_head(self, request_id: str, head: ResponseHead) -> EndpointResponseHead:
         """Return the facts decoded from the status and headers of an endpoint's response."""
         wrong_endpoint = head.status == STATUS_WRONG_ENDPOINT
-        return EndpointAnswer(
+        return EndpointResponseHead(
             status=head.status,
             not_run=NOT_RUN_HEADER in head.headers or wrong_endpoint,
-            crossed=head.headers.get(REQUEST_ID_HEADER, request_id) != request_id,
+            is_mismatched=head.headers.get(REQUEST_ID_HEADER, request_id) != request_id,
             wrong_endpoint=wrong_endpoint,
             stream=head.headers.get("content-type", "").startswith("text/event-stream"),
             fields=_remove_headers(head.fields, HOP_FIELDS | _get_connection_options(head.fields)),
-            names_limit=RATE_LIMIT_HEADER in head.headers,
+            has_rate_limit_header=RATE_LIMIT_HEADER in head.headers,
             rate_limit=_parse_decimal(head.headers.get(RATE_LIMIT_HEADER, "")),
             leaving=head.headers.get(LEAVING_HEADER, "").strip() == "1",
-            pause=_parse_backoff(head),
+            backoff_seconds=_parse_backoff(head),
         )
 
     def render_error(self, exc: RequestError) -> RenderedError:
--- a/flamingofront/platform/tests/test_adapter.py
+++ b/flamingofront/platform/tests/test_adapter.py
@@ -268,5 +268,5 @@
         ],
     )
     def test_execution_and_request_id_of_responses(self, headers, not_run, crossed):
-        response = PlatformProtocol().judge("r", ResponseHead(503, headers))
+        response = PlatformProtocol().decode_response_head("r", ResponseHead(503, headers))
         assert (response.not_run, response.crossed) == (not_run, crossed)
--- a/flamingofront/process/forwarding/node.py
+++ b/flamingofront/process/forwarding/node.py
@@ -331,7 +331,7 @@
         self.exchange = PeerSync(self.store_view, self.tasks, self.timers.now, self._rng, self.log)
         self.exchange.remote_watchers = self._remote_relays
         self.exchange.zone_peers = self._zone_peers
-        self.gateway.unknown_gate = FreshnessCheck(
+        self.gateway.config_freshness = FreshnessCheck(
             self.store_view, self.tasks, self.timers, self.log
         )
         self.readers = ZoneWatchers(
@@ -477,7 +477,7 @@
         """Count a request in the usage window in which it started to run."""
         if not request.work.workspace:
             return
-        ago = self.timers.now() - request.began_at()
+        ago = self.timers.now() - request.estimate_execution_start()
         self.usage.count_started(request.work.workspace, self.peers.cluster_time() - ago)
 
     # Peers
--- a/flamingofront/process/node.py
+++ b/flamingofront/process/node.py
@@ -39,7 +39,7 @@
 from flamingofront.request.directory import EndpointDirectory
 from flamingofront.request.gateway import Gateway
 from flamingofront.request.hub import HubSettings, RequestHub
-from flamingofront.request.inheritance import Inheritance
+from flamingofront.request.inheritance import RequestAdopter
 from flamingofront.request.keyed import KeyedRequests
 from flamingofront.request.migration import StreamMigrator
 from flamingofront.request.reattach import Reattachment
@@ -187,7 +187,7 @@
             self.limits.compute_workspace_limit,
             self._get_rejection,
         )
-        self.inheritance = Inheritance(
+        self.inheritance = RequestAdopter(
             settings.vm_id,
             self.hub,
             self.documents,
@@ -346,7 +346,7 @@
     def start(self) -> None:
         """Start all periodic tasks."""
         self.watch.start()
-        self.inheritance.reclaim_own()
+        self.inheritance.adopt_own_jobs()
         self.timers.every(self.settings.gossip_period, self._run_gossip_round)
         self.timers.every(self.settings.load_period, self.endpoint_watch.poll)
         self.tasks.start(self.lease.run())
@@ -485,7 +485,7 @@
             if fact.role is Role.ENDPOINT:
                 self._handle_endpoint_fact(fact)
             elif fact.state is VmState.GONE and fact.vm_id != self.settings.vm_id:
-                self.inheritance.member_gone(fact.vm_id, self.gossip.peers())
+                self.inheritance.adopt_jobs_of(fact.vm_id, self.gossip.peers())
 
     def _handle_endpoint_fact(self, fact: Fact) -> None:
         if fact.state is VmState.LEAVING and self.directory.in_flight_at(fact.vm_id):
--- a/flamingofront/request/attempts.py
+++ b/flamingofront/request/attempts.py
@@ -24,9 +24,9 @@
 from flamingofront.process.backoff import Backoff
 from flamingofront.request.assembly import Assembler
 
-__all__ = ["Order", "Phase", "RequestFacts", "RequestMachine"]
+__all__ = ["Action", "Phase", "RequestFacts", "RequestMachine"]
 
-Order = StartAttempt | CancelAttempt | ScheduleRetry | Emit | Complete | Fail
+Action = StartAttempt | CancelAttempt | ScheduleRetry | Emit | Complete | Fail
 
 MAX_FAILURES_WITHOUT_PROGRESS = 12
 DEFAULT_BACKOFF = Backoff(0.05, 2.0)
@@ -53,7 +53,7 @@
         Time at which the caller no longer waits.
     max_attempts : int or None
         Endpoints that the request may be sent to; None if only the budget bounds them.
-    choose_until : float
+    choice_deadline : float
         Time after which a request is refused for which there is no endpoint.
     """
 
@@ -61,7 +61,7 @@
     repeatable: bool
     deadline: float
     max_attempts: int | None = None
-    choose_until: float = math.inf
+    choice_deadline: float = math.inf
 
 
 class RequestMachine:
@@ -102,7 +102,7 @@
         self._failed_endpoints: set[str] = set()
         self._ids = itertools.count(1)
 
-    def start(self) -> list[Order]:
+    def start(self) -> list[Action]:
         """Begin the first attempt, or the next one when a scheduled retry is due."""
         if self.phase is not Phase.WAITING:
             return []
@@ -121,21 +121,21 @@
         if attempt_id == self.attempt_id and self.ran is Executed.NO:
             self.ran = Executed.UNKNOWN
 
-    def frame(self, frame: Frame) -> list[Order]:
+    def frame(self, frame: Frame) -> list[Action]:
         """Take tokens from an endpoint."""
         added = self.assembler.accept(frame)
         if self.phase is not Phase.RUNNING:
             return []
-        orders: list[Order] = []
+        actions: list[Action] = []
         if added:
             self.ran = Executed.YES
             self._failures = 0
-            orders.append(Emit(self.assembler.offset - len(added), added))
+            actions.append(Emit(self.assembler.offset - len(added), added))
         if self.assembler.complete:
             self.ran = Executed.YES
             self._end()
-            orders.append(Complete(self.assembler.offset))
-        return orders
+            actions.append(Complete(self.assembler.offset))
+        return actions
 
     def answered(self, attempt_id: str) -> bool:
         """Take a whole answer of a plain service; False if it is not the current attempt's."""
@@ -145,17 +145,17 @@
         self._end()
         return True
 
-    def no_endpoint(self, attempt_id: str, now: float, retry_after: float) -> list[Order]:
+    def no_endpoint(self, attempt_id: str, now: float, retry_after: float) -> list[Action]:
         """No endpoint could be chosen: wait if the caller does, else refuse."""
         if attempt_id != self.attempt_id or self.phase is not Phase.RUNNING:
             return []
         self._failed_endpoints.clear()
         self.attempts -= 1
-        if now + retry_after >= self.facts.choose_until:
+        if now + retry_after >= self.facts.choice_deadline:
             return self._fail(ErrorKind.NO_ENDPOINT, retry_after=retry_after)
         return self._wait_or_fail(now, retry_after, ErrorKind.NO_ENDPOINT)
 
-    def postponed(self, attempt_id: str, now: float, delay: float) -> list[Order]:
+    def postponed(self, attempt_id: str, now: float, delay: float) -> list[Action]:
         """The attempt was not sent: other work goes first."""
         if attempt_id != self.attempt_id or self.phase is not Phase.RUNNING:
             return []
@@ -176,7 +176,7 @@
         now: float,
         detail: str = "",
         sent: bool = True,
-    ) -> list[Order]:
+    ) -> list[Action]:
         """Take the loss of an attempt.
 
         Parameters
@@ -218,7 +218,7 @@
         """Return the error of a request whose attempts are used up."""
         return ErrorKind.OVERLOADED if self.ran is Executed.NO else ErrorKind.ENDPOINT_FAILED
 
-    def _wait_or_fail(self, now: float, delay: float, kind: ErrorKind) -> list[Order]:
+    def _wait_or_fail(self, now: float, delay: float, kind: ErrorKind) -> list[Action]:
         if now + delay >= self.facts.deadline:
             return self._fail(kind, retry_after=delay if delay < math.inf else None)
         self.phase = Phase.WAITING
@@ -226,7 +226,7 @@
         self.assembler.assign(None)
         return [ScheduleRetry(delay)]
 
-    def replace(self, attempt_id: str) -> list[Order]:
+    def replace(self, attempt_id: str) -> list[Action]:
         """Stop the current attempt in favour of a new one elsewhere (planned migration)."""
         if attempt_id != self.attempt_id or self.phase is not Phase.RUNNING:
             return []
@@ -235,42 +235,42 @@
 
     def give_up(
         self, kind: ErrorKind, detail: str, retry_after: float | None = None
-    ) -> list[Order]:
+    ) -> list[Action]:
         """End the request with an error: no further attempt may be made."""
         if self.phase in (Phase.DONE, Phase.FROZEN):
             return []
         return self._stop_attempt() + self._fail(kind, detail, retry_after)
 
-    def deadline(self) -> list[Order]:
+    def deadline(self) -> list[Action]:
         """Give up because the caller's time is over."""
         if self.phase in (Phase.DONE, Phase.FROZEN):
             return []
         return self._stop_attempt() + self._fail(ErrorKind.DEADLINE_EXCEEDED)
 
-    def caller_gone(self) -> list[Order]:
+    def caller_gone(self) -> list[Action]:
         """Give up because nobody waits for the answer."""
         if self.phase in (Phase.DONE, Phase.FROZEN):
             return []
-        orders = self._stop_attempt()
+        actions = self._stop_attempt()
         self._end()
-        return orders
+        return actions
 
-    def freeze(self) -> list[Order]:
+    def freeze(self) -> list[Action]:
         """Stop the text for good, before its record is offered to another process."""
         if self.phase is Phase.DONE:
             return []
-        orders = self._stop_attempt()
+        actions = self._stop_attempt()
         self.phase = Phase.FROZEN
         self.assembler.freeze()
-        return orders
+        return actions
 
-    def _stop_attempt(self) -> list[Order]:
+    def _stop_attempt(self) -> list[Action]:
         running = self.phase is Phase.RUNNING and self.attempt_id is not None
         return [CancelAttempt(self.attempt_id)] if running else []
 
     def _fail(
         self, kind: ErrorKind, detail: str = "", retry_after: float | None = None
-    ) -> list[Order]:
+    ) -> list[Action]:
         self._end()
         return [Fail(kind, self.ran, detail, retry_after)]
 
--- a/flamingofront/request/forward_gateway.py
+++ b/flamingofront/request/forward_gateway.py
@@ -17,7 +17,7 @@
 from flamingofront.request.hub import RequestHub
 from flamingofront.request.quota_gate import LocalQuotaGate, QuotaDecision, QuotaGate
 from flamingofront.request.records import RequestRecord
-from flamingofront.request.stop_refusal import refusal_for_stop
+from flamingofront.request.stop_refusal import make_shutdown_rejection
 from flamingofront.request.unknown_gate import AssumedFreshness, ConfigFreshness
 from flamingofront.version.forwarding import (
     ForwardedRoute,
@@ -116,7 +116,7 @@
         self._protocol = protocol
         self._quota = quota
         self.quota_gate: QuotaGate = LocalQuotaGate(quota, hub.timers)
-        self.unknown_gate: ConfigFreshness = AssumedFreshness()
+        self.config_freshness: ConfigFreshness = AssumedFreshness()
         self._log = log
         self._on_running = on_running
         self._numbers = itertools.count(1)
@@ -126,7 +126,7 @@
         try:
             self._forward(req, exchange)
         except RequestError as exc:
-            if exc.kind in UNKNOWN_KINDS and not self.unknown_gate.is_current():
+            if exc.kind in UNKNOWN_KINDS and not self.config_freshness.is_current():
                 self._verify(req, exchange)
             else:
                 self._refuse(exc, req, exchange)
@@ -139,7 +139,7 @@
         """Let a request wait until it is known whether a newer configuration knows its route."""
         waits = _Waits()
         exchange.on_disconnect = waits.caller_left
-        self.unknown_gate.verify(
+        self.config_freshness.verify(
             lambda is_current: waits.is_gone or self._verified(req, exchange, is_current)
         )
 
@@ -214,8 +214,8 @@
         request = self._hub.accept(offer.record, _share(offer.route, offer.workspace))
         if offer.workspace is not None:
             self._quota.consume(offer.workspace, offer.units, self._hub.now())
-        request.on_running = self._on_running
-        request.rule_of = self._version_rule
+        request.on_response_start = self._on_running
+        request.version_rule_of = self._version_rule
         request.on_end = lambda ended: self._ended(ended, offer)
         caller_id = offer.record.work.caller_id
         request.attach(ForwardAttachment(offer.exchange, caller_id, self._protocol))
@@ -253,7 +253,7 @@
 
     def _check_stop(self, record: RequestRecord) -> None:
         """Refuse what would be broken off by the end of this process; another one can serve it."""
-        refusal = refusal_for_stop(self._hub, record, record.deadline_left)
+        refusal = make_shutdown_rejection(self._hub, record, record.deadline_left)
         if refusal is not None:
             raise refusal
 
@@ -299,9 +299,9 @@
 
     def _ended(self, request: ForwardedRequest, offer: "_Offer") -> None:
         now = self._hub.now()
-        if offer.workspace is not None and request.first_at is None:
+        if offer.workspace is not None and request.first_response_at is None:
             self._quota.refund(offer.workspace, offer.units, now)
-        first = request.first_at
+        first = request.first_response_at
         self._log.info(
             "request ended",
             request=request.request_id,
--- a/flamingofront/request/gateway.py
+++ b/flamingofront/request/gateway.py
@@ -260,7 +260,7 @@
 
     def _accept_job(self, record: RequestRecord, share: WorkspaceShare, exchange: Exchange) -> None:
         request = self._hub.accept(record, share)
-        request.hold_back()
+        request.defer_start()
 
         def created(outcome: PlatformError | None) -> None:
             if outcome is None:
@@ -284,14 +284,14 @@
             ErrorKind.STORE_UNAVAILABLE, str(fault), ran, retry_after=STORE_RETRY_SECONDS
         )
         if not request.done:
-            request.refuse(exc)
+            request.reject_unstarted(exc)
         respond_error(exchange, exc, request.request_id)
 
     def _come_back(self, req: InboundRequest, exchange: Exchange) -> None:
         workspace = self._workspace(req)
         request_id = req.path[len(REQUESTS_PREFIX) :]
         offset, stream = _position(req, request_id)
-        self._reattachment.handle(request_id, workspace.name, offset, stream, exchange)
+        self._reattachment.attach_caller(request_id, workspace.name, offset, stream, exchange)
 
 
 def _caught(task: Task) -> Task:
--- a/flamingofront/request/guard.py
+++ b/flamingofront/request/guard.py
@@ -188,7 +188,9 @@
         return frozenset(
             each.endpoint_id
             for each in self._active()
-            if each is not request and each.is_sent and self._must_separate(request, each)
+            if each is not request
+            and each.has_attempt_in_flight
+            and self._must_separate(request, each)
         )
 
     def _must_separate(self, request: "ActiveRequest", other: "ActiveRequest") -> bool:
@@ -381,7 +383,7 @@
         for request in self._active():
             has_started = request.machine.ran is Executed.YES
             if request.fingerprint == entry.fingerprint and not (has_started or request.is_trial):
-                request.held_back()
+                request.fail_quarantined()
 
     def _log_release(self, entry: QuarantineEntry, reason: str) -> None:
         self._metrics.count("requests_released_total", reason=reason)
--- a/flamingofront/request/jobs.py
+++ b/flamingofront/request/jobs.py
@@ -25,11 +25,11 @@
     "create_job",
     "fetch_job",
     "finish_job",
-    "is_lost",
+    "is_outcome_unknown",
     "mark_running",
     "move_jobs",
-    "owned_jobs",
-    "take_job",
+    "list_owned_jobs",
+    "move_job",
 ]
 
 JOB_PREFIX = "job/"
@@ -159,7 +159,7 @@
     yield from repeat_until_done(step, rng)
 
 
-def take_job(documents: DocumentStore, request_id: str, old_owner: str, new_owner: str) -> Task:
+def move_job(documents: DocumentStore, request_id: str, old_owner: str, new_owner: str) -> Task:
     """Move a job to another owner; return it as `AdoptedJob`, None if it is not the old owner's."""
     (row,) = yield from documents.read([_job_key(request_id)])
     if row.value is None or row.value["owner"] != old_owner:
@@ -182,10 +182,10 @@
     rows = yield from documents.scan(f"{OWNER_PREFIX}{old_owner}/")
     for row in rows:
         request_id = row.key.rsplit("/", 1)[1]
-        yield from take_job(documents, request_id, old_owner, new_owner)
+        yield from move_job(documents, request_id, old_owner, new_owner)
 
 
-def owned_jobs(documents: DocumentStore, owner: str) -> Task:
+def list_owned_jobs(documents: DocumentStore, owner: str) -> Task:
     """Return all unfinished jobs of an owner, those included whose move lost its answer."""
     index = yield from documents.scan(f"{OWNER_PREFIX}{owner}/")
     keys = [_job_key(row.key.rsplit("/", 1)[1]) for row in index]
@@ -200,6 +200,6 @@
     ]
 
 
-def is_lost(job: AdoptedJob) -> bool:
+def is_outcome_unknown(job: AdoptedJob) -> bool:
     """Tell whether an adopted job must not be sent again."""
     return job.maybe_ran and not job.record.may_repeat
--- a/flamingofront/request/keyed.py
+++ b/flamingofront/request/keyed.py
@@ -95,7 +95,7 @@
             attachment.detach()
         else:
             request.attach(attachment)
-        request.hold_back()
+        request.defer_start()
         self._claiming[key] = request.request_id
         digest = request_digest(req.method, req.path, req.body)
         task = self._claim(key, record, digest)
@@ -163,7 +163,7 @@
     def _refuse(self, request: ActiveRequest, exc: RequestError, exchange: Exchange) -> None:
         """Tell the caller; one of a job waits on the exchange, others on the request."""
         if not request.done:
-            request.refuse(exc)
+            request.reject_unstarted(exc)
         if request.record.job:
             respond_error(exchange, exc, request.request_id)
 
@@ -173,10 +173,10 @@
         """Give the answer that the first call with the key got."""
         if not request.record.job:
             if not request.done:
-                request.resolve(outcome.answer)
+                request.replay_answer(outcome.answer)
             return
         if not request.done:
-            request.drop()
+            request.cancel_unstarted()
         answer = outcome.answer
         headers = (("Content-Type", answer.content_type), ("X-Request-Id", outcome.request_id))
         exchange.respond(answer.status, headers, answer.body)
@@ -190,7 +190,7 @@
                 respond_accepted(exchange, request.request_id)
                 self.start_job(request)
             return
-        request.on_settled = lambda answer, exc: self._ended(key, request, answer, exc)
+        request.on_finished = lambda answer, exc: self._ended(key, request, answer, exc)
         if request.record.job:
             respond_accepted(exchange, request.request_id)
             self.start_job(request)
@@ -229,7 +229,7 @@
         self._claiming[key] = request.request_id
         task = move_claim(self._documents, key, request.request_id, self._vm_id, self._rng)
         self._tasks.start(task)
-        request.on_settled = lambda answer, exc: self._ended(key, request, answer, exc)
+        request.on_finished = lambda answer, exc: self._ended(key, request, answer, exc)
 
     def start_job(self, request: ActiveRequest) -> None:
         """Let a job start whose row stands, and store its answer when it is there.
@@ -244,15 +244,15 @@
             late = RequestError(ErrorKind.DEADLINE_EXCEEDED, ran=Executed.NO)
             self.store_job_answer(request.request_id, None, late)
             return
-        if request.on_settled is None:
-            request.on_settled = lambda answer, exc: self.store_job_answer(
+        if request.on_finished is None:
+            request.on_finished = lambda answer, exc: self.store_job_answer(
                 request.request_id, answer, exc
             )
         if request.record.may_repeat:
             request.allow_start()
             self._hub.start_ready_requests()
             return
-        request.hold_back()
+        request.defer_start()
         self._tasks.start(
             self._mark_running(request.request_id), lambda ours: self._marked(request, ours)
         )
@@ -270,7 +270,7 @@
         if request.done:
             return
         if not ours:
-            request.drop()
+            request.cancel_unstarted()
             return
         request.allow_start()
         self._hub.start_ready_requests()
--- a/flamingofront/request/reattach.py
+++ b/flamingofront/request/reattach.py
@@ -29,13 +29,13 @@
 from flamingofront.request.records import ModelWork
 from flamingofront.request.stored_answer import StoredAnswer
 
-__all__ = ["Reattachment", "origin_of"]
+__all__ = ["Reattachment", "parse_origin_vm"]
 
 RELAY_SILENCE_SECONDS = 30.0
 RETRY_SECONDS = 1.0
 
 
-def origin_of(request_id: str) -> str:
+def parse_origin_vm(request_id: str) -> str:
     """Return the VM that accepted a request, which its id begins with."""
     return request_id.rpartition("~")[0]
 
--- a/flamingofront/request/stop_refusal.py
+++ b/flamingofront/request/stop_refusal.py
@@ -8,13 +8,13 @@
 from flamingofront.request.host import RequestHost
 from flamingofront.request.records import RequestRecord
 
-__all__ = ["refusal_for_stop"]
+__all__ = ["make_shutdown_rejection"]
 
 # Another process takes the request at once.
 STOPPING_RETRY_SECONDS = 0.05
 
 
-def refusal_for_stop(
+def make_shutdown_rejection(
     hub: RequestHost, record: RequestRecord, deadline_left: float
 ) -> RequestError | None:
     """Return the error for a request that may outlast this process; None if it ends before.
