--- a/bench/mutations.py
+++ b/bench/mutations.py
@@ -33,7 +33,7 @@
     Mutation(
         "1 overlap is cut off",
         "request/assembly.py",
-        "self.tokens.extend(frame.tokens[known:])",
+        "self.tokens.extend(frame.tokens[overlap:])",
         "self.tokens.extend(frame.tokens)",
         "request/tests/test_assembly.py",
     ),
@@ -54,7 +54,7 @@
     Mutation(
         "2 claim before the first byte",
         "request/keyed.py",
-        "        request.hold_back()\n        self._claiming[key]",
+        "        request.defer_start()\n        self._claiming[key]",
         "        self._claiming[key]",
         "request/tests/test_at_most_once.py",
     ),
@@ -68,8 +68,8 @@
     Mutation(
         "3 adoption of jobs",
         "request/jobs.py",
-        "        yield from take_job(documents, request_id, old_owner, new_owner)\n\n\ndef owned",
-        "        yield from ()\n\n\ndef owned",
+        "        yield from move_job(documents, request_id, old_owner, new_owner)\n\n\ndef list",
+        "        yield from ()\n\n\ndef list",
         "request/tests/test_reclaims.py",
     ),
     Mutation(
@@ -103,7 +103,7 @@
     Mutation(
         "5 hand-over at the end of a drain",
         "process/drain.py",
-        "            if isinstance(request, ModelRequest) and request.can_move:\n",
+        "            if isinstance(request, ModelRequest) and request.can_hand_over:\n",
         "            if False:\n",
         "process/tests/test_graceful_stop.py",
     ),
--- a/bench/platform_mutations.py
+++ b/bench/platform_mutations.py
@@ -33,7 +33,7 @@
     Mutation(
         "P answers of other requests are not passed on",
         "request/answer_reader.py",
-        "        if response.crossed:\n            self._fail_attempt",
+        "        if response.is_mismatched:\n            self._fail_attempt",
         "        if False:\n            self._fail_attempt",
         FORWARDING,
     ),
@@ -315,7 +315,7 @@
     Mutation(
         "P what would outlast a stop is refused",
         "request/forward_gateway.py",
-        "        if refusal is not None:\n            raise refusal\n",
+        "        if rejection is not None:\n            raise rejection\n",
         "",
         "process/forwarding/tests/test_stopping.py",
     ),
--- a/bench/quarantine_mutations.py
+++ b/bench/quarantine_mutations.py
@@ -101,7 +101,7 @@
     Mutation(
         "Q what is under way is stopped",
         "request/guard.py",
-        "                request.held_back()",
+        "                request.fail_quarantined()",
         "                pass",
         WORLD,
     ),
@@ -157,7 +157,7 @@
     Mutation(
         "Q a request that is found out while it waits is not sent",
         "request/intent_gate.py",
-        "if request.is_held:",
+        "if request.is_quarantined:",
         "if False:",
         PRODUCT,
     ),
--- a/bench/restart_mutations.py
+++ b/bench/restart_mutations.py
@@ -20,7 +20,7 @@
     Mutation(
         "R what ran at an earlier start is given up",
         "request/hub.py",
-        "                request.endpoint_restarted(at)",
+        "                request.fail_if_restarted(at)",
         "                pass",
         ENDPOINTS,
     ),
@@ -125,8 +125,8 @@
     Mutation(
         "R slow answers count as bad",
         "request/forwarded_request.py",
-        "self._tell_outcome(is_slow or answer.status >= FIRST_ERROR_STATUS)",
-        "self._tell_outcome(answer.status >= FIRST_ERROR_STATUS)",
+        "self._report_outcome(is_slow or answer.status >= FIRST_ERROR_STATUS)",
+        "self._report_outcome(answer.status >= FIRST_ERROR_STATUS)",
         ROLLOUTS,
     ),
     Mutation(
--- a/flamingofront/decisions/tests/test_quota.py
+++ b/flamingofront/decisions/tests/test_quota.py
@@ -259,7 +259,7 @@
         world = ready_world(fronts=2, tenants=[tenant])
         refused = []
         front = world.fronts["front-1"]
-        front.gateway.refused = lambda exc, req=None: refused.append(exc)
+        front.gateway.record_rejection = lambda exc, req=None: refused.append(exc)
         callers = [world.ask("front-1", "/read/x") for _ in range(12)]
         world.finish(*callers)
         assert refused and {each.kind for each in refused} == {ErrorKind.LIMIT_EXCEEDED}
@@ -279,7 +279,7 @@
         world.run_until(lambda: all(each.ready for each in world.fronts.values()))
         refused = []
         for front in world.fronts.values():
-            front.gateway.refused = lambda exc, req=None: refused.append(exc.inputs)
+            front.gateway.record_rejection = lambda exc, req=None: refused.append(exc.inputs)
         for _ in range(30):
             world.ask("front-1", "/read/x")
             world.run(0.05)
--- a/flamingofront/forward_daemon.py
+++ b/flamingofront/forward_daemon.py
@@ -129,7 +129,7 @@
         self.node.fault(exc)
 
     def _refused(self, kind) -> None:
-        self.node.gateway.refused(RequestError(kind))
+        self.node.gateway.record_rejection(RequestError(kind))
 
     def _stop_signal(self) -> None:
         self._stop.begin()
--- a/flamingofront/platform/requests.py
+++ b/flamingofront/platform/requests.py
@@ -9,7 +9,7 @@
 from flamingofront.request.forward_work import (
     AttemptFacts,
     CallerRequest,
-    EndpointAnswer,
+    EndpointResponseHead,
     Fields,
     ForwardProtocol,
     ForwardWork,
@@ -127,20 +127,20 @@
             fields += ((URGENCY, str(int(facts.urgency))),)
         return fields
 
-    def judge(self, request_id: str, head: ResponseHead) -> EndpointAnswer:
+    def decode_response_head(self, request_id: str, head: ResponseHead) -> EndpointResponseHead:
         """Return what the head of an endpoint's answer says."""
         wrong_endpoint = head.status == STATUS_WRONG_ENDPOINT
-        return EndpointAnswer(
+        return EndpointResponseHead(
             status=head.status,
             not_run=NOT_RUN in head.headers or wrong_endpoint,
-            crossed=head.headers.get(REQUEST_ID, request_id) != request_id,
+            is_mismatched=head.headers.get(REQUEST_ID, request_id) != request_id,
             wrong_endpoint=wrong_endpoint,
             stream=head.headers.get("content-type", "").startswith("text/event-stream"),
             fields=_without(head.fields, HOP_FIELDS | _connection_options(head.fields)),
-            names_limit=RATE_LIMIT in head.headers,
+            has_rate_limit_header=RATE_LIMIT in head.headers,
             rate_limit=_decimal(head.headers.get(RATE_LIMIT, "")),
             leaving=head.headers.get(LEAVING, "").strip() == "1",
-            pause=_pause(head),
+            backoff_seconds=_pause(head),
         )
 
     def render_error(self, exc: RequestError) -> RenderedError:
--- a/flamingofront/platform/tests/test_adapter.py
+++ b/flamingofront/platform/tests/test_adapter.py
@@ -261,5 +261,5 @@
         ],
     )
     def test_answers_are_judged(self, headers, not_run, crossed):
-        answer = PlatformProtocol().judge("r", ResponseHead(503, headers))
-        assert (answer.not_run, answer.crossed) == (not_run, crossed)
+        answer = PlatformProtocol().decode_response_head("r", ResponseHead(503, headers))
+        assert (answer.not_run, answer.is_mismatched) == (not_run, crossed)
--- a/flamingofront/process/forwarding/node.py
+++ b/flamingofront/process/forwarding/node.py
@@ -321,7 +321,7 @@
         )
         self.exchange.distant = self._distant
         self.exchange.near = self._near
-        self.gateway.unknown_gate = ConfigurationCheck(
+        self.gateway.config_freshness = ConfigurationCheck(
             self.knowledge, self.tasks, self.timers, self.log
         )
         self.readers = StoreReaders(
@@ -462,7 +462,7 @@
         """Count a request in the window in which an endpoint began it."""
         if not request.work.workspace:
             return
-        ago = self.timers.now() - request.began_at()
+        ago = self.timers.now() - request.estimate_execution_start()
         self.usage.began(request.work.workspace, self.peers.true_time() - ago)
 
     # Peers
--- a/flamingofront/process/forwarding/shutdown.py
+++ b/flamingofront/process/forwarding/shutdown.py
@@ -90,7 +90,7 @@
         """Answer what would lose its connection without an answer: only begun streams are left."""
         unanswered = len(self._node.hub.active)
         for request in list(self._node.hub.active.values()):
-            request.process_ends()
+            request.fail_for_shutdown()
         unread = self._refuse_unread(RequestError(ErrorKind.DRAINING))
         self._node.log.info(
             "last answers",
--- a/flamingofront/process/forwarding/tests/test_stopping.py
+++ b/flamingofront/process/forwarding/tests/test_stopping.py
@@ -239,7 +239,7 @@
         caller = stopping.ask(events=4)
         request = next(iter(stopping.front.hub.active.values()))
         assert not request.done
-        request.carry(request.machine.postponed(request.machine.attempt_id, 0.0, 2.5))
+        request.execute(request.machine.postpone(request.machine.attempt_id, 0.0, 2.5))
         stopping.world.run_until(lambda: stopping.left_at_exit)
         assert caller.done and not caller.broken and caller.status == 503
 
--- a/flamingofront/process/node.py
+++ b/flamingofront/process/node.py
@@ -39,7 +39,7 @@
 from flamingofront.request.directory import EndpointDirectory
 from flamingofront.request.gateway import Gateway
 from flamingofront.request.hub import HubSettings, RequestHub
-from flamingofront.request.inheritance import Inheritance
+from flamingofront.request.inheritance import RequestAdopter
 from flamingofront.request.keyed import KeyedRequests
 from flamingofront.request.migration import StreamMigrator
 from flamingofront.request.reattach import Reattachment
@@ -178,7 +178,7 @@
             self.limits.workspace_limit,
             self._refusal,
         )
-        self.inheritance = Inheritance(
+        self.inheritance = RequestAdopter(
             settings.vm_id, self.hub, self.documents, self.tasks, self.keyed, self.limits.share_of
         )
         self.migrations = StreamMigrator(self.hub, self.tasks, self.members.address_of)
@@ -330,7 +330,7 @@
     def start(self) -> None:
         """Begin all periodic work."""
         self.watch.start()
-        self.inheritance.reclaim_own()
+        self.inheritance.adopt_own_jobs()
         self.timers.every(self.settings.gossip_period, self._gossip_round)
         self.timers.every(self.settings.load_period, self.endpoint_watch.poll)
         self.tasks.start(self.lease.run())
@@ -469,7 +469,7 @@
             if fact.role is Role.ENDPOINT:
                 self._endpoint_changed(fact)
             elif fact.state is VmState.GONE and fact.vm_id != self.settings.vm_id:
-                self.inheritance.member_gone(fact.vm_id, self.gossip.peers())
+                self.inheritance.adopt_jobs_of(fact.vm_id, self.gossip.peers())
 
     def _endpoint_changed(self, fact: Fact) -> None:
         if fact.state is VmState.LEAVING and self.directory.in_flight_at(fact.vm_id):
--- a/flamingofront/process/peers.py
+++ b/flamingofront/process/peers.py
@@ -20,7 +20,7 @@
 from flamingofront.process.rendezvous import rank
 from flamingofront.process.tasks import Task, TaskRunner
 from flamingofront.process.timers import TimerService
-from flamingofront.request.reattach import origin_of
+from flamingofront.request.reattach import parse_origin_vm
 
 __all__ = ["PeerLinks"]
 
@@ -121,7 +121,7 @@
         peers = {each.vm_id: each for each in self._gossip.peers()}
         ordered = rank(request_id, peers)
         ordered.sort(key=lambda vm_id: peers[vm_id].state is not VmState.LIVE)
-        origin = origin_of(request_id)
+        origin = parse_origin_vm(request_id)
         if origin in peers:
             ordered.remove(origin)
             at = 0 if peers[origin].state is VmState.LIVE else 2
--- a/flamingofront/request/active.py
+++ b/flamingofront/request/active.py
@@ -1,4 +1,4 @@
-"""One accepted request in this process: carries out the orders of its state machine."""
+"""An accepted request in this process; executes the actions of its state machine."""
 
 from abc import ABC, abstractmethod
 from collections.abc import Callable
@@ -22,7 +22,7 @@
 )
 from flamingofront.process.timers import Timer
 from flamingofront.request.attachments import Attachment
-from flamingofront.request.attempts import Order, Phase, RequestFacts, RequestMachine
+from flamingofront.request.attempts import Action, Phase, RequestFacts, RequestMachine
 from flamingofront.request.directory import SharedPrefix
 from flamingofront.request.fingerprint import compute_fingerprint
 from flamingofront.request.guard import quarantine_error
@@ -32,28 +32,38 @@
 from flamingofront.request.records import RequestRecord
 from flamingofront.request.stored_answer import StoredAnswer
 
-__all__ = ["NOT_CONNECTED", "ActiveRequest"]
+__all__ = ["NO_CONNECTION_REASONS", "ActiveRequest"]
 
-# Reasons for which a call failed that never had a connection.
-NOT_CONNECTED = frozenset({"connect", "refused"})
-# A kept connection that is reset so soon after it was used again had been closed before: the way
-# there and back, also to another region. Without this, four of 53,500 harmless requests were held
-# on days on which endpoints ended for other reasons; requests crash them after 40 ms and more.
-STALE_SECONDS = 0.03
+# Failure reasons of calls for which no connection was established.
+NO_CONNECTION_REASONS = frozenset({"connect", "refused"})
+# A reused connection that is reset within one round trip, also to another region, had been closed
+# before the request arrived. Without this rule, 4 of 53,500 harmless requests were quarantined when
+# endpoints crashed for other reasons. Requests that crash an endpoint take 40 ms or more.
+STALE_CONNECTION_SECONDS = 0.03
 
 
 class ActiveRequest(ABC):
-    """What is common to model and plain requests.
+    """Base class of accepted requests.
 
     Parameters
     ----------
+    hub : RequestHost
+        Components of the process that its requests share.
     record : RequestRecord
         The request as it was accepted or handed over.
     ticket : Ticket
-        Its place in the admission.
+        The request's entry in the admission queue.
+
+    Attributes
+    ----------
+    retains_answer : bool
+        True if the answer is kept for callers that reattach.
+    on_finished : callable or None
+        Called once with the final answer or error, one of which is None.
+    is_trial : bool
+        True if this is the trial request that tests whether a quarantined request is harmless.
     """
 
-    # True if callers may come back for the answer.
     retains_answer = True
 
     def __init__(self, hub: RequestHost, record: RequestRecord, ticket: Ticket):
@@ -65,9 +75,9 @@
         self.answer: StoredAnswer | None = None
         self.endpoint_id = ""
         self.endpoint_address = ""
-        self._launched_at = 0.0
+        self._sent_at = 0.0
         self.fingerprint = compute_fingerprint(record)
-        self.on_settled: Callable[[StoredAnswer | None, RequestError | None], None] | None = None
+        self.on_finished: Callable[[StoredAnswer | None, RequestError | None], None] | None = None
         self.log = hub.log.bind(
             request=record.request_id, workspace=record.workspace, work=self.fingerprint
         )
@@ -89,11 +99,10 @@
         self._retry_timer: Timer | None = None
         self._deadline_timer = hub.timers.once(record.deadline_left, self._on_deadline)
         self._grace_timer: Timer | None = None
-        self._held_back = False
-        self._is_due = False
+        self._is_start_deferred = False
+        self._is_start_due = False
         self._permit_claims = PermitClaims(self)
         self._attempt_intents = AttemptIntents(self)
-        # True for the one attempt that may show that a request which is held back is harmless.
         self.is_trial = False
 
     @property
@@ -103,224 +112,236 @@
 
     @property
     def done(self) -> bool:
-        """True if the request has its final answer or went elsewhere."""
+        """True if the request is answered, cancelled or handed over."""
         return self.machine.phase in (Phase.DONE, Phase.FROZEN)
 
     @property
     def is_sent(self) -> bool:
-        """True while an endpoint works on it, as far as is known here."""
+        """True while an attempt is in flight."""
         return self._handle is not None
 
     @property
-    def can_move(self) -> bool:
-        """True if the request may be handed over now."""
-        return not self.done and not self._held_back
+    def can_hand_over(self) -> bool:
+        """True if the request can be handed over to another entry process now."""
+        return not self.done and not self._is_start_deferred
 
     @property
     def needs_fresh_connection(self) -> bool:
-        """True if a reset must tell whether the endpoint had the request."""
+        """True if calls must not reuse a connection.
+
+        Notes
+        -----
+        After a reset of a reused connection it is unknown whether the endpoint received the
+        request. This matters for requests that must not run twice or are suspected of crashes.
+        """
         if not self.record.may_repeat:
             return True
         return self.hub.guard.quarantine_status(self.fingerprint) is not Standing.CLEAR
 
     @abstractmethod
-    def _call(self, order: StartAttempt, chosen: Candidate) -> OutboundCall:
-        """Return the call that starts an attempt."""
+    def _build_call(self, action: StartAttempt, chosen: Candidate) -> OutboundCall:
+        """Return the HTTP call of an attempt."""
 
     @abstractmethod
-    def _listener(self, attempt_id: str, chosen: Candidate) -> Callable[[CallEvent], None]:
-        """Return what takes the events of an attempt."""
+    def _make_listener(self, attempt_id: str, chosen: Candidate) -> Callable[[CallEvent], None]:
+        """Return the callback that receives the call events of an attempt."""
 
     @abstractmethod
-    def hashes(self) -> tuple[str, ...]:
-        """Return the prefix blocks of the request."""
+    def prefix_blocks(self) -> tuple[str, ...]:
+        """Return the ids of the prompt's prefix blocks, for cache-aware placement."""
 
     def shared_prefix(self) -> SharedPrefix | None:
-        """Return the part of the prompt that other requests have too, if that is known."""
+        """Return the prompt prefix that is shared with other requests; None if unknown."""
         return None
 
     def version_rule(self) -> VersionRule | None:
-        """Return which versions the next attempt may go to; None if that makes no difference."""
+        """Return the endpoint versions that the next attempt may use; None for any version."""
         return None
 
-    def hold_back(self) -> None:
-        """Don't start before `allow_start`: something must be written first."""
-        self._held_back = True
+    def defer_start(self) -> None:
+        """Defer the start until `allow_start`, after the store has confirmed a write."""
+        self._is_start_deferred = True
 
     def allow_start(self) -> None:
-        """Start now if admission has let the request through meanwhile."""
-        self._held_back = False
-        if self._is_due:
-            self.carry(self.machine.start())
+        """Lift the deferral and start the request if it is already admitted."""
+        self._is_start_deferred = False
+        if self._is_start_due:
+            self.execute(self.machine.start())
 
-    def begin(self) -> None:
-        """Start the first attempt, unless it is held back."""
-        self._is_due = True
-        if not self._held_back:
-            self.carry(self.machine.start())
+    def start_first_attempt(self) -> None:
+        """Start the first attempt, unless the start is deferred."""
+        self._is_start_due = True
+        if not self._is_start_deferred:
+            self.execute(self.machine.start())
 
     def attach(self, attachment: Attachment) -> None:
-        """Add a reader."""
+        """Add a consumer of the answer."""
         if self._grace_timer is not None:
             self._grace_timer.cancel()
             self._grace_timer = None
-        attachment.on_gone = self._reader_gone
+        attachment.on_disconnect = self._on_disconnect
         self.attachments.append(attachment)
 
-    def expect_reader(self, seconds: float) -> None:
-        """End the request if no reader comes within some seconds."""
+    def start_reattach_timer(self, seconds: float) -> None:
+        """Cancel the request unless a consumer attaches within some seconds."""
         if self.record.job or self.attachments:
             return
-        self._grace_timer = self.hub.timers.once(seconds, self._nobody_waits)
+        self._grace_timer = self.hub.timers.once(seconds, self._cancel_if_unattached)
 
-    def _reader_gone(self, attachment: Attachment) -> None:
+    def _on_disconnect(self, attachment: Attachment) -> None:
         self.attachments.remove(attachment)
         if self.attachments or self.record.job or self.record.key or self.done:
             return
         if attachment.wants_tokens:
-            self.expect_reader(self.hub.settings.reattach_grace)
+            self.start_reattach_timer(self.hub.settings.reattach_grace)
         else:
-            self._nobody_waits()
+            self._cancel_if_unattached()
 
-    def _nobody_waits(self) -> None:
+    def _cancel_if_unattached(self) -> None:
         if self.attachments or self.done:
             return
         self.hub.metrics.count("refusals_total", kind="caller_gone")
-        self._sync_wrote()
-        self.carry(self.machine.caller_gone())
-        self._end()
+        self._record_written_bytes()
+        self.execute(self.machine.handle_disconnect())
+        self._clean_up()
         self.hub.remove_request(self)
 
     def _on_deadline(self) -> None:
-        self._sync_wrote()
-        self.carry(self.machine.deadline())
-
-    def refuse(self, exc: RequestError) -> None:
-        """End a request that never started with an error."""
-        self.machine.caller_gone()
-        self._settle(None, exc)
-
-    def resolve(self, answer: StoredAnswer) -> None:
-        """End a request that never started with the answer of an earlier one."""
-        self.machine.caller_gone()
-        readers, self.attachments = self.attachments, []
-        for each in readers:
+        self._record_written_bytes()
+        self.execute(self.machine.expire())
+
+    def reject_unstarted(self, exc: RequestError) -> None:
+        """Finish a request that never started with an error."""
+        self.machine.handle_disconnect()
+        self._finish(None, exc)
+
+    def replay_answer(self, answer: StoredAnswer) -> None:
+        """Finish a request that never started with the answer of an earlier one."""
+        self.machine.handle_disconnect()
+        detached, self.attachments = self.attachments, []
+        for each in detached:
             each.detach()
-            each.repeat(answer)
-        self.drop()
+            each.replay(answer)
+        self.cancel_unstarted()
 
-    def drop(self) -> None:
-        """End a request that never started; its reader is answered elsewhere."""
-        self.machine.caller_gone()
-        self._end()
+    def cancel_unstarted(self) -> None:
+        """Remove a request that never started; its caller is answered by other code."""
+        self.machine.handle_disconnect()
+        self._clean_up()
         self.hub.remove_request(self)
 
-    def _sync_wrote(self) -> None:
+    def _record_written_bytes(self) -> None:
         if self._handle is not None and self._handle.wrote and self.machine.attempt_id:
-            self.machine.wrote(self.machine.attempt_id)
-
-    def carry(self, orders: list[Order]) -> None:
-        """Carry out the orders of the machine."""
-        for order in orders:
-            if isinstance(order, StartAttempt):
-                self._start_attempt(order)
-            elif isinstance(order, Emit):
-                self._emit(order)
-            elif isinstance(order, ScheduleRetry):
-                self._retry_timer = self.hub.timers.once(order.delay, self._retry)
-            elif isinstance(order, CancelAttempt):
-                self._release()
-            elif isinstance(order, Complete):
-                self._complete()
-            elif isinstance(order, Fail):
-                self._fail(order)
-
-    def _retry(self) -> None:
+            self.machine.record_write(self.machine.attempt_id)
+
+    def execute(self, actions: list[Action]) -> None:
+        """Execute the actions of the state machine."""
+        for action in actions:
+            if isinstance(action, StartAttempt):
+                self._start_attempt(action)
+            elif isinstance(action, Emit):
+                self._send_tokens(action)
+            elif isinstance(action, ScheduleRetry):
+                self._retry_timer = self.hub.timers.once(action.delay, self._start_retry)
+            elif isinstance(action, CancelAttempt):
+                self._end_call()
+            elif isinstance(action, Complete):
+                self._complete_answer()
+            elif isinstance(action, Fail):
+                self._fail_request(action)
+
+    def _start_retry(self) -> None:
         self._retry_timer = None
-        self.carry(self.machine.start())
-
-    def _start_attempt(self, order: StartAttempt) -> None:
-        """Start an attempt, unless the request has crashed the endpoints that ran it."""
-        standing = self.hub.guard.quarantine_status(self.fingerprint)
-        if standing is Standing.HELD:
-            self.held_back()
-        elif standing is Standing.TRIAL_DUE:
+        self.execute(self.machine.start())
+
+    def _start_attempt(self, action: StartAttempt) -> None:
+        """Start an attempt, unless the request is quarantined for crashing endpoints."""
+        status = self.hub.guard.quarantine_status(self.fingerprint)
+        if status is Standing.HELD:
+            self.fail_quarantined()
+        elif status is Standing.TRIAL_DUE:
             self.hub.guard.claim_trial(
-                self.fingerprint, lambda granted: self._trial_claimed(order, granted)
+                self.fingerprint, lambda is_granted: self._on_trial_reply(action, is_granted)
             )
         else:
-            self.place(order)
+            self.dispatch_attempt(action)
 
-    def _trial_claimed(self, order: StartAttempt, granted: bool) -> None:
-        if self.done or self.machine.attempt_id != order.attempt_id:
+    def _on_trial_reply(self, action: StartAttempt, is_granted: bool) -> None:
+        if self.done or self.machine.attempt_id != action.attempt_id:
             return
-        if granted:
+        if is_granted:
             self.is_trial = True
-            self.place(order)
+            self.dispatch_attempt(action)
         else:
-            self.held_back()
+            self.fail_quarantined()
 
     @property
-    def is_held(self) -> bool:
-        """True if it is not run any more; its own trial is."""
-        standing = self.hub.guard.quarantine_status(self.fingerprint)
-        return not self.is_trial and standing in (Standing.HELD, Standing.TRIAL_DUE)
-
-    def held_back(self) -> None:
-        """End the request at once, also while an endpoint has it: it crashes what runs it."""
-        hold = self.hub.guard.quarantine_entry(self.fingerprint)
-        if hold is not None:
-            exc = quarantine_error(hold, self.hub.guard.wall())
-            self.carry(self.machine.give_up(exc.kind, exc.detail))
-
-    def place(self, order: StartAttempt) -> None:
+    def is_quarantined(self) -> bool:
+        """True if the request is quarantined and is not the trial request."""
+        status = self.hub.guard.quarantine_status(self.fingerprint)
+        return not self.is_trial and status in (Standing.HELD, Standing.TRIAL_DUE)
+
+    def fail_quarantined(self) -> None:
+        """Fail a quarantined request, cancelling an attempt in flight."""
+        entry = self.hub.guard.quarantine_entry(self.fingerprint)
+        if entry is not None:
+            exc = quarantine_error(entry, self.hub.guard.wall())
+            self.execute(self.machine.fail(exc.kind, exc.detail))
+
+    def dispatch_attempt(self, action: StartAttempt) -> None:
         """Choose an endpoint for an attempt and send it there."""
         chosen = self.hub.choose_endpoint(
-            self, order.exclude, self._permit_claims.is_exhausted(order)
+            self, action.exclude, self._permit_claims.is_exhausted(action)
         )
         if chosen is None:
-            self._no_endpoint(order)
+            self._defer_without_endpoint(action)
             return
-        delay = self._postponement(chosen)
+        delay = self._compute_postponement(chosen)
         if delay > 0:
             self.hub.metrics.count("retries_total", reason="postponed")
-            self.carry(self.machine.postponed(order.attempt_id, self.hub.now(), delay))
+            self.execute(self.machine.postpone(action.attempt_id, self.hub.now(), delay))
         elif self.hub.permits.is_required(chosen.endpoint_id):
-            self._permit_claims.claim_permit(order, chosen)
+            self._permit_claims.claim_permit(action, chosen)
         else:
-            self.launch(order, chosen)
+            self.record_and_send(action, chosen)
 
-    def _no_endpoint(self, order: StartAttempt) -> None:
-        """Wait for an endpoint, or refuse the request if that takes too long."""
+    def _defer_without_endpoint(self, action: StartAttempt) -> None:
+        """Schedule another choice of an endpoint, or reject the request if that takes too long."""
         delay = self.hub.choice_retry_delay(self.record.service.name, self.ticket.share.priority)
         self.hub.metrics.count("retries_total", reason="no_endpoint")
-        self.carry(self.machine.no_endpoint(order.attempt_id, self.hub.now(), delay))
+        self.execute(self.machine.defer_without_endpoint(action.attempt_id, self.hub.now(), delay))
 
-    def _postponement(self, chosen: Candidate) -> float:
-        """Return the seconds for which an attempt stands back for more urgent work; 0 for none."""
+    def _compute_postponement(self, chosen: Candidate) -> float:
+        """Return the seconds for which an attempt yields to more urgent requests; 0 for none."""
         return 0.0
 
-    def launch(self, order: StartAttempt, chosen: Candidate) -> None:
-        """Send an attempt to an endpoint, after a record of it where one is needed."""
+    def record_and_send(self, action: StartAttempt, chosen: Candidate) -> None:
+        """Send an attempt, after its write-ahead intent record if the request is suspect."""
         if self._attempt_intents.requires_record():
-            self._attempt_intents.record_attempt(order, chosen)
+            self._attempt_intents.record_attempt(action, chosen)
         else:
-            self.send(order, chosen)
+            self.send_attempt(action, chosen)
 
-    def send(self, order: StartAttempt, chosen: Candidate) -> None:
+    def send_attempt(self, action: StartAttempt, chosen: Candidate) -> None:
         """Send an attempt to an endpoint."""
         self.hub.metrics.count("attempts_total", service=self.record.service.name)
-        self.log.debug("attempt", attempt=order.attempt_id, endpoint=chosen.endpoint_id)
+        self.log.debug("attempt started", attempt=action.attempt_id, endpoint=chosen.endpoint_id)
         self.endpoint_id = chosen.endpoint_id
         self.endpoint_address = chosen.address
-        self._launched_at = self.hub.now()
+        self._sent_at = self.hub.now()
         self.hub.backoffs.record_send(chosen.endpoint_id)
         self.hub.directory.record_attempt_start(chosen.endpoint_id)
-        listener = self._listener(order.attempt_id, chosen)
-        self._handle = self.hub.transport.start(self._call(order, chosen), listener)
+        listener = self._make_listener(action.attempt_id, chosen)
+        self._handle = self.hub.transport.start(self._build_call(action, chosen), listener)
+
+    def _end_call(self, cancel: bool = True) -> None:
+        """Stop tracking the call in flight, if any.
 
-    def _release(self, cancel: bool = True) -> None:
-        """Note that the endpoint is free of the call in flight; give the call up if told so."""
+        Parameters
+        ----------
+        cancel : bool
+            False if the call has ended or its remaining data should still be read.
+        """
         handle, self._handle = self._handle, None
         if handle is None:
             return
@@ -329,118 +350,130 @@
             handle.cancel()
         self.hub.directory.record_attempt_end(self.endpoint_id)
 
-    def lost(self, attempt_id: str, executed: Ran, reason: str, sent: bool = True) -> None:
-        """An attempt ended without its answer; `sent` is False if nothing can have arrived."""
+    def fail_attempt(self, attempt_id: str, executed: Ran, reason: str, sent: bool = True) -> None:
+        """Handle an attempt that ended without a response.
+
+        Parameters
+        ----------
+        executed : Ran
+            Whether the endpoint ran the request.
+        sent : bool
+            False if no byte of the attempt can have reached the endpoint.
+        """
         if self.done or attempt_id != self.machine.attempt_id:
             return
         now = self.hub.now()
         if not sent or executed is Ran.NO:
             self._attempt_intents.withdraw()
-        self._release()
+        self._end_call()
         self.hub.record_attempt_loss(self.record.service, self.endpoint_id, executed, reason, now)
         self.log.info(
-            "attempt lost",
+            "attempt failed",
             attempt=attempt_id,
             endpoint=self.endpoint_id,
             reason=reason,
             ran=executed.value,
         )
-        self.carry(self.machine.lost(attempt_id, self.endpoint_id, executed, now, reason, sent))
+        self.execute(
+            self.machine.handle_attempt_failure(
+                attempt_id, self.endpoint_id, executed, now, reason, sent
+            )
+        )
 
-    def call_failed(self, attempt_id: str, event: CallFailed) -> None:
-        """Judge a call that ended without a response."""
-        if event.reason in NOT_CONNECTED:
+    def handle_call_failure(self, attempt_id: str, event: CallFailed) -> None:
+        """Handle a call that ended without a response."""
+        if event.reason in NO_CONNECTION_REASONS:
             refused = event.reason == "refused"
             self.hub.directory.record_connect_failure(self.endpoint_id, self.hub.now(), refused)
-        elif event.reason == "reset" and event.wrote and not self._was_stale(event):
-            self.connection_broke(attempt_id)
+        elif event.reason == "reset" and event.wrote and not self._is_stale_connection(event):
+            self.report_connection_loss(attempt_id)
         executed = Ran.UNKNOWN if event.wrote else Ran.NO
-        self.lost(attempt_id, executed, event.reason, sent=event.wrote)
+        self.fail_attempt(attempt_id, executed, event.reason, sent=event.wrote)
 
-    def _was_stale(self, event: CallFailed) -> bool:
-        """Tell whether an attempt went out on a connection whose endpoint had ended before."""
-        return event.reused and self.hub.now() - self._launched_at < STALE_SECONDS
+    def _is_stale_connection(self, event: CallFailed) -> bool:
+        """Return True if the attempt used a connection that was already closed by the endpoint."""
+        return event.reused and self.hub.now() - self._sent_at < STALE_CONNECTION_SECONDS
 
-    def connection_broke(self, attempt_id: str) -> None:
-        """Take note that the current attempt's connection ended before its answer did."""
+    def report_connection_loss(self, attempt_id: str) -> None:
+        """Report that the connection of the current attempt was lost before the response ended."""
         if not self.done and attempt_id == self.machine.attempt_id:
             self.hub.guard.crash_detector.record_connection_loss(
                 self.endpoint_id, self.endpoint_address, self.fingerprint
             )
 
-    def _emit(self, order: Emit) -> None:
+    def _send_tokens(self, action: Emit) -> None:
         for each in list(self.attachments):
-            if each.wants_tokens and not each.tokens(order.offset, order.tokens):
-                self._drop_slow(each)
+            if each.wants_tokens and not each.send_tokens(action.offset, action.tokens):
+                self._abort_slow_consumer(each)
 
-    def _drop_slow(self, attachment: Attachment) -> None:
-        """Cut off a reader that is too far behind; it may come back for the rest."""
+    def _abort_slow_consumer(self, attachment: Attachment) -> None:
+        """Disconnect a consumer that reads too slowly; it can reattach for the rest."""
         self.hub.metrics.count("refusals_total", kind=ErrorKind.SLOW_READER.value)
         attachment.abort()
-        self._reader_gone(attachment)
+        self._on_disconnect(attachment)
 
     @abstractmethod
-    def _complete(self) -> None:
-        """Make the final answer."""
+    def _complete_answer(self) -> None:
+        """Build the final answer and finish the request."""
 
-    def _fail(self, order: Fail) -> None:
-        ran = Ran.YES if order.kind is ErrorKind.CRASHES_ENDPOINTS else order.ran
-        exc = RequestError(order.kind, order.detail, ran, self._retry_after(order))
+    def _fail_request(self, action: Fail) -> None:
+        ran = Ran.YES if action.kind is ErrorKind.CRASHES_ENDPOINTS else action.ran
+        exc = RequestError(action.kind, action.detail, ran, self._retry_after(action))
         self.log.info(
             "request failed",
-            kind=order.kind.value,
-            ran=order.ran.value,
+            kind=action.kind.value,
+            ran=action.ran.value,
             retry_after=exc.retry_after,
         )
-        self._settle(None, exc)
+        self._finish(None, exc)
 
-    def _retry_after(self, order: Fail) -> float | None:
-        """Return when to come back: not before an endpoint takes the request, if none does now."""
+    def _retry_after(self, action: Fail) -> float | None:
+        """Return the seconds for Retry-After, at least until an endpoint accepts requests again."""
         service, priority = self.record.service.name, self.ticket.share.priority
         if self.hub.seconds_until_open(service, priority) <= 0:
-            return order.retry_after
-        return max(order.retry_after or 0.0, self.hub.choice_retry_delay(service, priority))
+            return action.retry_after
+        return max(action.retry_after or 0.0, self.hub.choice_retry_delay(service, priority))
 
-    def _settle(self, answer: StoredAnswer | None, exc: RequestError | None) -> None:
-        """Give the final answer to all readers, once."""
-        self._end()
+    def _finish(self, answer: StoredAnswer | None, exc: RequestError | None) -> None:
+        """Send the final answer or error to all consumers."""
+        self._clean_up()
         self.answer = answer
         if exc is not None:
             self.hub.metrics.count("refusals_total", kind=exc.kind.value)
-        readers, self.attachments = self.attachments, []
-        for each in readers:
+        detached, self.attachments = self.attachments, []
+        for each in detached:
             each.detach()
             if answer is not None:
-                each.complete(answer)
+                each.send_answer(answer)
             else:
-                each.failed(exc)
-        if self.on_settled is not None:
-            self.on_settled(answer, exc)
+                each.send_error(exc)
+        if self.on_finished is not None:
+            self.on_finished(answer, exc)
         self.hub.remove_request(self)
 
-    def _end(self) -> None:
-        self._release()
+    def _clean_up(self) -> None:
+        self._end_call()
         for timer in (self._deadline_timer, self._retry_timer, self._grace_timer):
             if timer is not None:
                 timer.cancel()
 
     def freeze(self) -> RequestRecord:
-        """Stop the text for good and return the record to hand over."""
-        self._sync_wrote()
-        self.carry(self.machine.freeze())
-        self._end()
+        """Stop extending the answer permanently and return the record to hand over."""
+        self._record_written_bytes()
+        self.execute(self.machine.freeze())
+        self._clean_up()
         return self.to_record()
 
-    def take_over(self, frozen: "ActiveRequest") -> None:
-        """Take the readers of the frozen request that this one continues."""
+    def adopt_attachments(self, frozen: "ActiveRequest") -> None:
+        """Take over the consumers of the frozen request that this one resumes."""
         self.accepted_at = frozen.accepted_at
-        self.on_settled = frozen.on_settled
-        readers, frozen.attachments = frozen.attachments, []
-        for each in readers:
+        self.on_finished = frozen.on_finished
+        detached, frozen.attachments = frozen.attachments, []
+        for each in detached:
             self.attach(each)
 
     def to_record(self) -> RequestRecord:
-        """Return the record as it stands now."""
+        """Return a record of the current progress, with the next hand-over number."""
         left = self.machine.facts.deadline - self.hub.now()
         return replace(
             self.record,
@@ -450,10 +483,10 @@
             deadline_left=max(0.0, left),
         )
 
-    def moved(self) -> None:
-        """Tell all readers that the request goes on at another entry VM."""
-        readers, self.attachments = self.attachments, []
-        for each in readers:
+    def notify_moved(self) -> None:
+        """Tell all consumers that the request continues at another entry VM."""
+        detached, self.attachments = self.attachments, []
+        for each in detached:
             each.detach()
-            each.moved(self.machine.assembler.offset)
+            each.send_moved(self.machine.assembler.offset)
         self.hub.remove_request(self)
--- a/flamingofront/request/assembly.py
+++ b/flamingofront/request/assembly.py
@@ -43,22 +43,22 @@
         self.frozen = False
         self.dropped: Counter[DropReason] = Counter()
         self._owner: str | None = None
-        self._ahead: dict[int, Frame] = {}
+        self._pending: dict[int, Frame] = {}
 
     @property
     def offset(self) -> int:
         """Number of tokens that are there."""
         return len(self.tokens)
 
-    def assign(self, attempt_id: str | None) -> None:
+    def set_owner(self, attempt_id: str | None) -> None:
         """Make one attempt the only one that may extend the text; None stops all."""
         self._owner = attempt_id
-        self._ahead.clear()
+        self._pending.clear()
 
     def freeze(self) -> None:
         """Stop the text for good; it goes on in another process."""
         self.frozen = True
-        self._ahead.clear()
+        self._pending.clear()
 
     def accept(self, frame: Frame) -> tuple[str, ...]:
         """Take a frame and return the tokens that it adds to the text.
@@ -68,26 +68,26 @@
         Frames may come twice, overlapping or out of order. One that begins behind the end of the
         text waits until the gap is filled.
         """
-        reason = self._reason_to_drop(frame)
+        reason = self._find_drop_reason(frame)
         if reason is not None:
             self.dropped[reason] += 1
             return ()
         if frame.offset > self.offset:
-            self._ahead[frame.offset] = self._longer(frame)
+            self._pending[frame.offset] = self._choose_longer(frame)
             return ()
         start = self.offset
         self._append(frame)
-        self._append_waiting()
+        self._append_pending()
         return tuple(self.tokens[start:])
 
-    def _longer(self, frame: Frame) -> Frame:
+    def _choose_longer(self, frame: Frame) -> Frame:
         """Return the frame that says more about its offset."""
-        known = self._ahead.get(frame.offset)
-        if known is None or (len(frame.tokens), frame.final) > (len(known.tokens), known.final):
+        cached = self._pending.get(frame.offset)
+        if cached is None or (len(frame.tokens), frame.final) > (len(cached.tokens), cached.final):
             return frame
-        return known
+        return cached
 
-    def _reason_to_drop(self, frame: Frame) -> DropReason | None:
+    def _find_drop_reason(self, frame: Frame) -> DropReason | None:
         if frame.request_id != self.request_id:
             return DropReason.OTHER_REQUEST
         if self.frozen:
@@ -99,23 +99,23 @@
         end = frame.offset + len(frame.tokens)
         if end < self.offset or (end == self.offset and not frame.final):
             return DropReason.DUPLICATE
-        if frame.offset > self.offset and len(self._ahead) >= MAX_AHEAD_FRAMES:
+        if frame.offset > self.offset and len(self._pending) >= MAX_AHEAD_FRAMES:
             return DropReason.TOO_FAR_AHEAD
         return None
 
     def _append(self, frame: Frame) -> None:
-        known = self.offset - frame.offset
-        if known > len(frame.tokens):
+        overlap = self.offset - frame.offset
+        if overlap > len(frame.tokens):
             return
-        self.tokens.extend(frame.tokens[known:])
+        self.tokens.extend(frame.tokens[overlap:])
         self.complete = self.complete or frame.final
 
-    def _append_waiting(self) -> None:
+    def _append_pending(self) -> None:
         while not self.complete:
-            fitting = [offset for offset in self._ahead if offset <= self.offset]
+            fitting = [offset for offset in self._pending if offset <= self.offset]
             if not fitting:
                 return
             for offset in sorted(fitting):
-                self._append(self._ahead.pop(offset))
+                self._append(self._pending.pop(offset))
                 if self.complete:
                     return
--- a/flamingofront/request/attachments.py
+++ b/flamingofront/request/attachments.py
@@ -65,12 +65,12 @@
     def __init__(self, exchange: Exchange, request_id: str):
         self._exchange = exchange
         self._request_id = request_id
-        self.on_gone: Callable[[Attachment], None] | None = None
-        exchange.on_gone = self._gone
+        self.on_disconnect: Callable[[Attachment], None] | None = None
+        exchange.on_gone = self._on_exchange_closed
 
-    def _gone(self) -> None:
-        if self.on_gone is not None:
-            self.on_gone(self)
+    def _on_exchange_closed(self) -> None:
+        if self.on_disconnect is not None:
+            self.on_disconnect(self)
 
     def abort(self) -> None:
         """Break the connection to the reader."""
@@ -79,27 +79,27 @@
 
     def detach(self) -> None:
         """Stop listening for the reader's departure."""
-        self.on_gone = None
+        self.on_disconnect = None
         self._exchange.on_gone = None
 
-    def tokens(self, start: int, tokens: tuple[str, ...]) -> bool:
+    def send_tokens(self, start: int, tokens: tuple[str, ...]) -> bool:
         """Pass on tokens that begin at offset `start`; False if the reader cannot keep up."""
         return True
 
     @abstractmethod
-    def complete(self, answer: StoredAnswer) -> None:
+    def send_answer(self, answer: StoredAnswer) -> None:
         """Pass on the end of the answer."""
 
-    def repeat(self, answer: StoredAnswer) -> None:
+    def replay(self, answer: StoredAnswer) -> None:
         """Pass on an answer that was given before, in one piece."""
         headers = (("Content-Type", answer.content_type), ("X-Request-Id", self._request_id))
         self._exchange.respond(answer.status, headers, answer.body)
 
-    def failed(self, exc: RequestError) -> None:
+    def send_error(self, exc: RequestError) -> None:
         """Tell that the request ended with an error."""
         respond_error(self._exchange, exc, self._request_id)
 
-    def moved(self, offset: int) -> None:
+    def send_moved(self, offset: int) -> None:
         """Tell that the request goes on at another entry VM."""
         exc = RequestError(ErrorKind.HANDED_OVER, retry_after=MOVED_RETRY_SECONDS)
         respond_error(self._exchange, exc, self._request_id)
@@ -108,9 +108,9 @@
 class WholeAttachment(Attachment):
     """A caller who gets the answer in one piece."""
 
-    def complete(self, answer: StoredAnswer) -> None:
+    def send_answer(self, answer: StoredAnswer) -> None:
         """Send the whole answer."""
-        self.repeat(answer)
+        self.replay(answer)
 
 
 class StreamAttachment(Attachment):
@@ -128,44 +128,44 @@
         super().__init__(exchange, request_id)
         self._work = work
         self._offset = offset
-        self._begun = False
+        self._has_started = False
 
-    def _begin(self) -> None:
-        if not self._begun:
-            self._begun = True
+    def _start_stream(self) -> None:
+        if not self._has_started:
+            self._has_started = True
             self._exchange.begin(200, (*STREAM_HEADERS, ("X-Request-Id", self._request_id)))
 
-    def tokens(self, start: int, tokens: tuple[str, ...]) -> bool:
+    def send_tokens(self, start: int, tokens: tuple[str, ...]) -> bool:
         """Send the tokens that the caller lacks as one event."""
-        lacking = tokens[max(0, self._offset - start) :]
-        if not lacking:
+        missing = tokens[max(0, self._offset - start) :]
+        if not missing:
             return True
-        self._begin()
-        self._offset += len(lacking)
+        self._start_stream()
+        self._offset += len(missing)
         work = self._work
         return self._exchange.send(
-            chunk_event(self._request_id, work.model, work.chat, self._offset, "".join(lacking))
+            chunk_event(self._request_id, work.model, work.chat, self._offset, "".join(missing))
         )
 
-    def complete(self, answer: StoredAnswer) -> None:
+    def send_answer(self, answer: StoredAnswer) -> None:
         """Send the last events."""
-        self._begin()
+        self._start_stream()
         work = self._work
         last = chunk_event(self._request_id, work.model, work.chat, self._offset, "", "stop")
         self._exchange.send(last + DONE_EVENT)
         self._exchange.finish()
 
-    def failed(self, exc: RequestError) -> None:
+    def send_error(self, exc: RequestError) -> None:
         """Answer with the error, or end the stream with an error event."""
-        if not self._begun:
-            super().failed(exc)
+        if not self._has_started:
+            super().send_error(exc)
             return
         self._exchange.send(error_event(error_body(exc, self._request_id)))
         self._exchange.finish()
 
-    def moved(self, offset: int) -> None:
+    def send_moved(self, offset: int) -> None:
         """Ask the caller to come back for the rest."""
-        self._begin()
+        self._start_stream()
         self._exchange.send(reattach_event(self._request_id, self._offset))
         self._exchange.finish()
 
@@ -180,34 +180,34 @@
         self._offset = offset
         head = {"work": {"model": work.model, "chat": work.chat, "stream": work.stream}}
         exchange.begin(200, RELAY_HEADERS)
-        self._line(head)
+        self._send_line(head)
 
-    def _line(self, data: dict) -> bool:
+    def _send_line(self, data: dict) -> bool:
         return self._exchange.send(orjson.dumps(data) + b"\n")
 
-    def tokens(self, start: int, tokens: tuple[str, ...]) -> bool:
+    def send_tokens(self, start: int, tokens: tuple[str, ...]) -> bool:
         """Send the tokens that the peer lacks as one line."""
-        lacking = tokens[max(0, self._offset - start) :]
-        if not lacking:
+        missing = tokens[max(0, self._offset - start) :]
+        if not missing:
             return True
-        sent = self._line({"offset": self._offset, "tokens": lacking})
-        self._offset += len(lacking)
+        sent = self._send_line({"offset": self._offset, "tokens": missing})
+        self._offset += len(missing)
         return sent
 
-    def complete(self, answer: StoredAnswer) -> None:
+    def send_answer(self, answer: StoredAnswer) -> None:
         """Send the last line with the whole answer."""
-        self._line({"done": True, "body": answer.body.decode(), "type": answer.content_type})
+        self._send_line({"done": True, "body": answer.body.decode(), "type": answer.content_type})
         self._exchange.finish()
 
-    def failed(self, exc: RequestError) -> None:
+    def send_error(self, exc: RequestError) -> None:
         """Send the error as the last line."""
         error = {"kind": exc.kind.value, "detail": exc.detail, "ran": exc.ran.value}
-        self._line({"error": error, "retry_after": exc.retry_after})
+        self._send_line({"error": error, "retry_after": exc.retry_after})
         self._exchange.finish()
 
-    def moved(self, offset: int) -> None:
+    def send_moved(self, offset: int) -> None:
         """Send that the request goes on elsewhere as the last line."""
-        self._line({"moved": True})
+        self._send_line({"moved": True})
         self._exchange.finish()
 
 
--- a/flamingofront/request/attempts.py
+++ b/flamingofront/request/attempts.py
@@ -1,7 +1,8 @@
-"""State machine of one accepted request: attempts, retry, resume, final answer.
+"""State machine of one accepted request: attempts, retries, resumption, final answer.
 
-Facts go in as method calls, orders come out as messages. The machine holds no socket, clock or
-random state of its own, so the same code runs in the daemon, under fuzzing and in the benchmarks.
+Events are passed in as method calls, which return actions to execute. The machine has no socket,
+clock or random state of its own, so the same code runs in the daemon, under fuzzing and in the
+benchmarks.
 """
 
 import itertools
@@ -24,16 +25,16 @@
 from flamingofront.process.backoff import Backoff
 from flamingofront.request.assembly import Assembler
 
-__all__ = ["Order", "Phase", "RequestFacts", "RequestMachine"]
+__all__ = ["Action", "Phase", "RequestFacts", "RequestMachine"]
 
-Order = StartAttempt | CancelAttempt | ScheduleRetry | Emit | Complete | Fail
+Action = StartAttempt | CancelAttempt | ScheduleRetry | Emit | Complete | Fail
 
 MAX_FAILURES_WITHOUT_PROGRESS = 12
 DEFAULT_BACKOFF = Backoff(0.05, 2.0)
 
 
 class Phase(StrEnum):
-    """Where a request stands."""
+    """State of a request; ``WAITING`` for the first attempt or a retry."""
 
     WAITING = "waiting"
     RUNNING = "running"
@@ -43,25 +44,25 @@
 
 @dataclass(frozen=True)
 class RequestFacts:
-    """What the machine must know about its request.
+    """Properties of a request that the state machine depends on.
 
     Parameters
     ----------
     repeatable : bool
-        False if the work may be executed at most once.
+        False if the request may be executed at most once.
     deadline : float
-        Time at which the caller no longer waits.
+        Time at which the request fails if it is unfinished.
     max_attempts : int or None
-        Endpoints that the request may be sent to; None if only the budget bounds them.
-    choose_until : float
-        Time after which a request is refused for which there is no endpoint.
+        Maximum number of attempts; None if only the retry budget limits them.
+    choice_deadline : float
+        Time after which the request is rejected if no endpoint is available.
     """
 
     request_id: str
     repeatable: bool
     deadline: float
     max_attempts: int | None = None
-    choose_until: float = math.inf
+    choice_deadline: float = math.inf
 
 
 class RequestMachine:
@@ -70,13 +71,18 @@
     Parameters
     ----------
     facts : RequestFacts
-        The request.
+        Properties of the request.
     budget : RetryBudget
-        Shared by all requests of the service.
+        Retry budget, shared by all requests of the service.
     tokens : tuple of str
-        Text that is there already, after a hand-over.
+        Tokens that were generated before a hand-over.
     ran : Ran
-        What is known about execution, after a hand-over.
+        Whether the request was executed before a hand-over.
+
+    Attributes
+    ----------
+    attempt_id : str or None
+        Id of the current attempt.
     """
 
     def __init__(
@@ -102,8 +108,8 @@
         self._failed_endpoints: set[str] = set()
         self._ids = itertools.count(1)
 
-    def start(self) -> list[Order]:
-        """Begin the first attempt, or the next one when a scheduled retry is due."""
+    def start(self) -> list[Action]:
+        """Start the first attempt, or the next one when a scheduled retry is due."""
         if self.phase is not Phase.WAITING:
             return []
         self.attempts += 1
@@ -112,63 +118,71 @@
             f"{self.facts.request_id}.{next(self._ids)}.{self._rng.randrange(1 << 32):08x}"
         )
         self.phase = Phase.RUNNING
-        self.assembler.assign(self.attempt_id)
+        self.assembler.set_owner(self.attempt_id)
         exclude = frozenset(self._failed_endpoints)
         return [StartAttempt(self.attempt_id, self.assembler.offset, exclude)]
 
-    def wrote(self, attempt_id: str) -> None:
-        """Note that bytes of an attempt may have reached its endpoint."""
+    def record_write(self, attempt_id: str) -> None:
+        """Record that bytes of an attempt may have reached its endpoint."""
         if attempt_id == self.attempt_id and self.ran is Ran.NO:
             self.ran = Ran.UNKNOWN
 
-    def frame(self, frame: Frame) -> list[Order]:
-        """Take tokens from an endpoint."""
+    def accept_frame(self, frame: Frame) -> list[Action]:
+        """Add the tokens of a frame to the answer; frames of other attempts are dropped."""
         added = self.assembler.accept(frame)
         if self.phase is not Phase.RUNNING:
             return []
-        orders: list[Order] = []
+        actions: list[Action] = []
         if added:
             self.ran = Ran.YES
             self._failures = 0
-            orders.append(Emit(self.assembler.offset - len(added), added))
+            actions.append(Emit(self.assembler.offset - len(added), added))
         if self.assembler.complete:
             self.ran = Ran.YES
-            self._end()
-            orders.append(Complete(self.assembler.offset))
-        return orders
+            self._finish()
+            actions.append(Complete(self.assembler.offset))
+        return actions
 
-    def answered(self, attempt_id: str) -> bool:
-        """Take a whole answer of a plain service; False if it is not the current attempt's."""
+    def accept_response(self, attempt_id: str) -> bool:
+        """Accept a complete response; return False if it is not for the current attempt."""
         if self.phase is not Phase.RUNNING or attempt_id != self.attempt_id:
             return False
         self.ran = Ran.YES
-        self._end()
+        self._finish()
         return True
 
-    def no_endpoint(self, attempt_id: str, now: float, retry_after: float) -> list[Order]:
-        """No endpoint could be chosen: wait if the caller does, else refuse."""
+    def defer_without_endpoint(
+        self, attempt_id: str, now: float, retry_after: float
+    ) -> list[Action]:
+        """Retry an attempt for which no endpoint was available, or fail the request.
+
+        Parameters
+        ----------
+        retry_after : float
+            Seconds until the next choice of an endpoint.
+        """
         if attempt_id != self.attempt_id or self.phase is not Phase.RUNNING:
             return []
         self._failed_endpoints.clear()
         self.attempts -= 1
-        if now + retry_after >= self.facts.choose_until:
+        if now + retry_after >= self.facts.choice_deadline:
             return self._fail(ErrorKind.NO_ENDPOINT, retry_after=retry_after)
-        return self._wait_or_fail(now, retry_after, ErrorKind.NO_ENDPOINT)
+        return self._retry_or_fail(now, retry_after, ErrorKind.NO_ENDPOINT)
 
-    def postponed(self, attempt_id: str, now: float, delay: float) -> list[Order]:
-        """The attempt was not sent: other work goes first."""
+    def postpone(self, attempt_id: str, now: float, delay: float) -> list[Action]:
+        """Delay the current attempt, which was not sent, in favour of more urgent requests."""
         if attempt_id != self.attempt_id or self.phase is not Phase.RUNNING:
             return []
         self.attempts -= 1
-        return self._wait_or_fail(now, delay, ErrorKind.OVERLOADED)
+        return self._retry_or_fail(now, delay, ErrorKind.OVERLOADED)
 
-    def progressed(self, attempt_id: str) -> None:
-        """Note that an endpoint has sent a part of the answer that was passed on."""
+    def record_progress(self, attempt_id: str) -> None:
+        """Record that a part of the response was forwarded to the caller."""
         if attempt_id == self.attempt_id:
             self.ran = Ran.YES
             self._failures = 0
 
-    def lost(
+    def handle_attempt_failure(
         self,
         attempt_id: str,
         endpoint_id: str,
@@ -176,21 +190,22 @@
         now: float,
         detail: str = "",
         sent: bool = True,
-    ) -> list[Order]:
-        """Take the loss of an attempt.
+    ) -> list[Action]:
+        """Retry after an attempt that ended without a response, or fail the request.
 
         Parameters
         ----------
         executed : Ran
-            ``NO`` only with evidence: never connected, nothing written, or a documented refusal.
+            ``NO`` only with evidence: never connected, nothing written, or an explicit rejection.
         sent : bool
-            False if nothing can have arrived; such an attempt counts against no limit.
+            False if no byte can have reached the endpoint; such an attempt does not count towards
+            `max_attempts`.
         """
         if attempt_id != self.attempt_id or self.phase is not Phase.RUNNING:
             return []
         self._failures += 1
         self._failed_endpoints.add(endpoint_id)
-        self._settle_ran(executed)
+        self._update_ran(executed)
         if now >= self.facts.deadline:
             return self._fail(ErrorKind.DEADLINE_EXCEEDED, detail)
         if not self.facts.repeatable and executed is not Ran.NO:
@@ -199,81 +214,79 @@
             return self._fail(ErrorKind.ENDPOINT_FAILED, detail, self._backoff.longest)
         if not sent and self.facts.max_attempts is not None:
             self.attempts -= 1
-            return self._wait_or_fail(now, 0.0, ErrorKind.ENDPOINT_FAILED)
+            return self._retry_or_fail(now, 0.0, ErrorKind.ENDPOINT_FAILED)
         if self.facts.max_attempts is not None and self.attempts >= self.facts.max_attempts:
-            return self._fail(self._last_kind(), detail)
+            return self._fail(self._exhausted_kind(), detail)
         delay = self._budget.reserve(now)
         if self._failures > 1:
             delay = max(delay, self._backoff.delay(self._failures - 2, self._rng))
-        return self._wait_or_fail(now, delay, ErrorKind.RETRY_BUDGET_EXHAUSTED)
+        return self._retry_or_fail(now, delay, ErrorKind.RETRY_BUDGET_EXHAUSTED)
 
-    def _settle_ran(self, executed: Ran) -> None:
-        """Keep the strongest evidence; a refused attempt proves nothing about earlier ones."""
+    def _update_ran(self, executed: Ran) -> None:
+        """Update whether the request ran; a rejected attempt says nothing about earlier ones."""
         if executed is Ran.NO and self.ran is not Ran.YES:
             self.ran = self._ran_before_attempt
         elif executed is not Ran.NO and self.ran is Ran.NO:
             self.ran = Ran.UNKNOWN
 
-    def _last_kind(self) -> ErrorKind:
-        """Return the error of a request whose attempts are used up."""
+    def _exhausted_kind(self) -> ErrorKind:
+        """Return the error kind for a request that has reached its maximum number of attempts."""
         return ErrorKind.OVERLOADED if self.ran is Ran.NO else ErrorKind.ENDPOINT_FAILED
 
-    def _wait_or_fail(self, now: float, delay: float, kind: ErrorKind) -> list[Order]:
+    def _retry_or_fail(self, now: float, delay: float, kind: ErrorKind) -> list[Action]:
         if now + delay >= self.facts.deadline:
             return self._fail(kind, retry_after=delay if delay < math.inf else None)
         self.phase = Phase.WAITING
         self.attempt_id = None
-        self.assembler.assign(None)
+        self.assembler.set_owner(None)
         return [ScheduleRetry(delay)]
 
-    def replace(self, attempt_id: str) -> list[Order]:
-        """Stop the current attempt in favour of a new one elsewhere (planned migration)."""
+    def replace_attempt(self, attempt_id: str) -> list[Action]:
+        """Cancel the current attempt and start another one, for a planned migration."""
         if attempt_id != self.attempt_id or self.phase is not Phase.RUNNING:
             return []
         self.phase = Phase.WAITING
         return [CancelAttempt(attempt_id), *self.start()]
 
-    def give_up(
-        self, kind: ErrorKind, detail: str, retry_after: float | None = None
-    ) -> list[Order]:
-        """End the request with an error: no further attempt may be made."""
+    def fail(self, kind: ErrorKind, detail: str, retry_after: float | None = None) -> list[Action]:
+        """Fail the request without further attempts."""
         if self.phase in (Phase.DONE, Phase.FROZEN):
             return []
         return self._stop_attempt() + self._fail(kind, detail, retry_after)
 
-    def deadline(self) -> list[Order]:
-        """Give up because the caller's time is over."""
+    def expire(self) -> list[Action]:
+        """Fail the request because its deadline has passed."""
         if self.phase in (Phase.DONE, Phase.FROZEN):
             return []
         return self._stop_attempt() + self._fail(ErrorKind.DEADLINE_EXCEEDED)
 
-    def caller_gone(self) -> list[Order]:
-        """Give up because nobody waits for the answer."""
+    def handle_disconnect(self) -> list[Action]:
+        """End the request without an answer because no caller is connected."""
         if self.phase in (Phase.DONE, Phase.FROZEN):
             return []
-        orders = self._stop_attempt()
-        self._end()
-        return orders
+        actions = self._stop_attempt()
+        self._finish()
+        return actions
 
-    def freeze(self) -> list[Order]:
-        """Stop the text for good, before its record is offered to another process."""
+    def freeze(self) -> list[Action]:
+        """Stop extending the answer permanently, before it is offered to another process."""
         if self.phase is Phase.DONE:
             return []
-        orders = self._stop_attempt()
+        actions = self._stop_attempt()
         self.phase = Phase.FROZEN
         self.assembler.freeze()
-        return orders
+        return actions
 
-    def _stop_attempt(self) -> list[Order]:
+    def _stop_attempt(self) -> list[Action]:
         running = self.phase is Phase.RUNNING and self.attempt_id is not None
         return [CancelAttempt(self.attempt_id)] if running else []
 
     def _fail(
         self, kind: ErrorKind, detail: str = "", retry_after: float | None = None
-    ) -> list[Order]:
-        self._end()
+    ) -> list[Action]:
+        self._finish()
         return [Fail(kind, self.ran, detail, retry_after)]
 
-    def _end(self) -> None:
+    def _finish(self) -> None:
         self.phase = Phase.DONE
-        self.assembler.assign(None)
+        self.assembler.set_owner(None)
--- a/flamingofront/request/claims.py
+++ b/flamingofront/request/claims.py
@@ -24,11 +24,11 @@
     "ClaimKey",
     "ClaimOutcome",
     "ClaimState",
-    "claim",
-    "finish_claim",
-    "move_claim",
+    "acquire_claim",
+    "store_claim_result",
+    "reassign_claim",
     "release_claim",
-    "repeat_until_done",
+    "retry_until_done",
     "request_digest",
 ]
 
@@ -45,7 +45,7 @@
 
 
 class ClaimDecision(StrEnum):
-    """What the caller of `claim` may do."""
+    """What the caller of `acquire_claim` may do."""
 
     GRANTED = "granted"
     ANSWERED = "answered"
@@ -72,13 +72,13 @@
 
 @dataclass(frozen=True)
 class ClaimOutcome:
-    """Result of `claim`.
+    """Result of `acquire_claim`.
 
     Parameters
     ----------
     owner : str
         VM that holds the key, if it is in progress.
-    maybe_left : bool
+    may_exist : bool
         True if a row of this request may stand although the claim was not granted.
     """
 
@@ -86,7 +86,7 @@
     owner: str = ""
     request_id: str = ""
     answer: StoredAnswer | None = None
-    maybe_left: bool = False
+    may_exist: bool = False
 
 
 def request_digest(method: str, path: str, body: bytes) -> str:
@@ -98,7 +98,7 @@
     return digest.hexdigest()
 
 
-def _judge(
+def _evaluate_row(
     row: Document, request_id: str, digest: str, is_gone: Callable[[str], bool]
 ) -> ClaimOutcome:
     """Return what a standing row means for this request."""
@@ -132,7 +132,7 @@
     return (yield from ask_owner(outcome.owner, outcome.request_id))
 
 
-def claim(
+def acquire_claim(
     documents: DocumentStore,
     key: ClaimKey,
     request_id: str,
@@ -174,31 +174,31 @@
     deadline = now() + budget
     backoff = Backoff(0.05, 0.5)
     tries = 0
-    maybe_left = False
+    may_exist = False
     while True:
         try:
             (row,) = yield from documents.read([key.row_key])
             if row.value is not None:
-                outcome = _judge(row, request_id, digest, is_gone)
+                outcome = _evaluate_row(row, request_id, digest, is_gone)
                 if not (yield from _may_take_over(outcome, ask_owner, repeatable)):
                     return outcome
             if (yield from documents.replace(row, value)):
                 return ClaimOutcome(ClaimDecision.GRANTED, owner, request_id)
         except PlatformError as exc:
-            maybe_left = maybe_left or exc.maybe_done
+            may_exist = may_exist or exc.maybe_done
         if now() >= deadline:
-            return ClaimOutcome(ClaimDecision.UNAVAILABLE, maybe_left=maybe_left)
+            return ClaimOutcome(ClaimDecision.UNAVAILABLE, may_exist=may_exist)
         yield Sleep(backoff.delay(tries, rng))
         tries += 1
 
 
-def repeat_until_done(step: Callable[[], Task], rng: random.Random) -> Task:
+def retry_until_done(write_once: Callable[[], Task], rng: random.Random) -> Task:
     """Repeat a step until the platform has answered it."""
     backoff = Backoff(0.1, 5.0)
     tries = 0
     while True:
         try:
-            done = yield from step()
+            done = yield from write_once()
         except PlatformError:
             done = False
         if done:
@@ -207,13 +207,13 @@
         tries += 1
 
 
-def finish_claim(
+def store_claim_result(
     documents: DocumentStore,
     key: ClaimKey,
     request_id: str,
     answer: StoredAnswer | None,
     rng: random.Random,
-    until: float,
+    expires_at: float,
 ) -> Task:
     """Store the answer with the claim, or that the outcome is unknown; repeat until it stands.
 
@@ -223,30 +223,30 @@
         Seconds since the epoch at which the claim is removed.
     """
 
-    def step() -> Task:
+    def write_once() -> Task:
         (row,) = yield from documents.read([key.row_key])
         if row.value is None or row.value["request_id"] != request_id:
             return True
         state = ClaimState.DONE if answer is not None else ClaimState.UNKNOWN
         stored = answer_to_json(answer) if answer is not None else None
-        value = {**row.value, "state": state.value, "answer": stored, "until": until}
-        return (yield from documents.replace(row, value, expiry_write(row.key, until)))
+        value = {**row.value, "state": state.value, "answer": stored, "until": expires_at}
+        return (yield from documents.replace(row, value, expiry_write(row.key, expires_at)))
 
-    yield from repeat_until_done(step, rng)
+    yield from retry_until_done(write_once, rng)
 
 
-def move_claim(
+def reassign_claim(
     documents: DocumentStore, key: ClaimKey, request_id: str, owner: str, rng: random.Random
 ) -> Task:
     """Become the owner of the claim of a request that was handed over; repeat until it stands."""
 
-    def step() -> Task:
+    def write_once() -> Task:
         (row,) = yield from documents.read([key.row_key])
         if row.value is None or row.value["request_id"] != request_id:
             return True
         return (yield from documents.replace(row, {**row.value, "owner": owner}))
 
-    yield from repeat_until_done(step, rng)
+    yield from retry_until_done(write_once, rng)
 
 
 def release_claim(
@@ -254,7 +254,7 @@
     key: ClaimKey,
     request_id: str,
     rng: random.Random,
-    settle: float = 0.0,
+    settle_seconds: float = 0.0,
 ) -> Task:
     """Remove the claim of a request that was certainly not run; repeat until it is gone.
 
@@ -264,12 +264,12 @@
         Seconds to wait first, for a write whose answer was lost and which may still arrive.
     """
 
-    def step() -> Task:
+    def write_once() -> Task:
         (row,) = yield from documents.read([key.row_key])
         if row.value is None or row.value["request_id"] != request_id:
             return True
         return (yield from documents.replace(row, None))
 
-    if settle:
-        yield Sleep(settle)
-    yield from repeat_until_done(step, rng)
+    if settle_seconds:
+        yield Sleep(settle_seconds)
+    yield from retry_until_done(write_once, rng)
--- a/flamingofront/request/forward_gateway.py
+++ b/flamingofront/request/forward_gateway.py
@@ -1,4 +1,4 @@
-"""The callers' interface of forwarded routes: from an HTTP request to an accepted request."""
+"""Gateway of forwarded routes: checks callers' HTTP requests and accepts or rejects them."""
 
 import itertools
 from collections.abc import Callable
@@ -17,7 +17,7 @@
 from flamingofront.request.hub import RequestHub
 from flamingofront.request.quota_gate import LocalQuotaGate, QuotaDecision, QuotaGate
 from flamingofront.request.records import RequestRecord
-from flamingofront.request.stop_refusal import refusal_for_stop
+from flamingofront.request.stop_refusal import make_shutdown_rejection
 from flamingofront.request.unknown_gate import AssumedFreshness, ConfigFreshness
 from flamingofront.version.forwarding import (
     ForwardedRoute,
@@ -28,38 +28,38 @@
 
 __all__ = ["ForwardGateway"]
 
-# The configuration is there some ten milliseconds after the first request can be.
+# The configuration is loaded some 10 ms after the first request can arrive.
 NOT_READY_RETRY_SECONDS = 0.1
-# Quotas count requests or tokens; the number in flight is bounded by the endpoints alone.
-NO_WORKSPACE_LIMIT = 1_000_000
+# Quotas limit requests or tokens per second; only the endpoints limit the number in flight.
+MAX_WORKSPACE_IN_FLIGHT = 1_000_000
 DEFAULT_PRIORITY = 5
-# When to ask again for what may be known by then: a look at the store, or word of a peer.
+# Time for the store or a peer to deliver a newer configuration.
 UNCONFIRMED_RETRY_SECONDS = 0.5
-# Refusals that are true only of the newest configuration.
+# Errors that are valid only if the local configuration is the newest one.
 UNKNOWN_KINDS = (ErrorKind.UNKNOWN_SERVICE, ErrorKind.UNKNOWN_WORKSPACE)
 
 
 @dataclass
-class _Waits:
-    """Whether the caller of a request that waits is still there."""
+class _CallerPresence:
+    """Whether the caller of a waiting request is still connected."""
 
-    is_gone: bool = False
+    is_disconnected: bool = False
 
-    def caller_left(self) -> None:
-        """Note that nobody waits for the answer any more."""
-        self.is_gone = True
+    def mark_disconnected(self) -> None:
+        """Record that the caller has disconnected."""
+        self.is_disconnected = True
 
 
 @dataclass
-class _Offer:
+class _PendingRequest:
     """A request that is not accepted yet.
 
     Parameters
     ----------
     units : float
-        What it counts against its workspace's quota.
+        Quota units of its workspace that it consumes, in requests or tokens.
     configuration : int
-        Version of the configuration that it was read with.
+        Version of the configuration that it was decoded with.
     """
 
     req: InboundRequest
@@ -69,36 +69,45 @@
     workspace: ForwardedWorkspace | None
     units: float
     configuration: int
-    is_gone: bool = False
+    is_disconnected: bool = False
 
-    def caller_left(self) -> None:
-        """Note that nobody waits for the answer any more."""
-        self.is_gone = True
+    def mark_disconnected(self) -> None:
+        """Record that the caller has disconnected."""
+        self.is_disconnected = True
 
-    def later(self, seconds: float) -> "_Offer":
-        """Return the request after some seconds in which it waited."""
+    def after_wait(self, seconds: float) -> "_PendingRequest":
+        """Return a copy whose deadline is reduced by the seconds that the request waited."""
         left = self.record.deadline_left - seconds
         if left <= 0:
-            raise RequestError(ErrorKind.DEADLINE_EXCEEDED, "no time is left of the deadline")
+            raise RequestError(ErrorKind.DEADLINE_EXCEEDED, "the deadline has passed")
         return replace(self, record=replace(self.record, deadline_left=left))
 
 
 class ForwardGateway:
-    """Turns callers' HTTP requests on forwarded routes into accepted requests or refusals.
+    """Accepts or rejects callers' HTTP requests on forwarded routes.
 
     Parameters
     ----------
+    hub : RequestHub
+        Runs the accepted requests.
+    protocol : ForwardProtocol
+        Header names and formats of forwarded requests.
     quota : QuotaPolicy
         Quotas of the workspaces over all entry processes.
-    on_running : callable
-        Gets each request when an endpoint begins to answer it.
+    log : Log
+        Log of rejections and finished requests.
+    on_response_start : callable
+        Called with each request when its endpoint starts to respond.
 
     Attributes
     ----------
     quota_gate : QuotaGate
-        Decides whether a request is within its quota; by the own copy if nothing else is set.
-    unknown_gate : ConfigFreshness
-        Tells whether what is not known here is unknown in the newest configuration.
+        Decides whether a request is within its quota; by local state by default.
+    config_freshness : ConfigFreshness
+        Checks whether the local configuration is the newest one.
+    version_rule : callable
+        Returns the endpoint versions that an attempt may use, by service name and whether it is
+        the first attempt; None for any version.
     """
 
     def __init__(
@@ -107,59 +116,59 @@
         protocol: ForwardProtocol,
         quota: QuotaPolicy,
         log: Log,
-        on_running: Callable[[ForwardedRequest], None] = lambda request: None,
+        on_response_start: Callable[[ForwardedRequest], None] = lambda request: None,
     ):
         self.configuration = ForwardingConfiguration()
-        # Returns, by service and whether it is a first attempt, which versions it may go to.
         self.version_rule: Callable[[str, bool], VersionRule | None] = lambda service, first: None
         self._hub = hub
         self._protocol = protocol
         self._quota = quota
         self.quota_gate: QuotaGate = LocalQuotaGate(quota, hub.timers)
-        self.unknown_gate: ConfigFreshness = AssumedFreshness()
+        self.config_freshness: ConfigFreshness = AssumedFreshness()
         self._log = log
-        self._on_running = on_running
+        self._on_response_start = on_response_start
         self._numbers = itertools.count(1)
 
     def handle(self, req: InboundRequest, exchange: Exchange) -> None:
-        """Take one request; every error is answered from the table."""
+        """Accept or reject a request; a `RequestError` is sent as an error response."""
         try:
-            self._forward(req, exchange)
+            self._accept_or_raise(req, exchange)
         except RequestError as exc:
-            if exc.kind in UNKNOWN_KINDS and not self.unknown_gate.is_current():
-                self._verify(req, exchange)
+            if exc.kind in UNKNOWN_KINDS and not self.config_freshness.is_current():
+                self._recheck_route(req, exchange)
             else:
-                self._refuse(exc, req, exchange)
+                self._reject(exc, req, exchange)
 
-    def _refuse(self, exc: RequestError, req: InboundRequest, exchange: Exchange) -> None:
-        self.refused(exc, req)
+    def _reject(self, exc: RequestError, req: InboundRequest, exchange: Exchange) -> None:
+        self.record_rejection(exc, req)
         exchange.respond(*self._protocol.render_error(exc))
 
-    def _verify(self, req: InboundRequest, exchange: Exchange) -> None:
-        """Let a request wait until it is known whether a newer configuration knows its route."""
-        waits = _Waits()
-        exchange.on_gone = waits.caller_left
-        self.unknown_gate.verify(
-            lambda is_current: waits.is_gone or self._verified(req, exchange, is_current)
+    def _recheck_route(self, req: InboundRequest, exchange: Exchange) -> None:
+        """Check for a newer configuration, then look up the route or workspace again."""
+        caller_presence = _CallerPresence()
+        exchange.on_gone = caller_presence.mark_disconnected
+        self.config_freshness.verify(
+            lambda is_current: caller_presence.is_disconnected
+            or self._on_config_checked(req, exchange, is_current)
         )
 
-    def _verified(self, req: InboundRequest, exchange: Exchange, is_current: bool) -> None:
+    def _on_config_checked(self, req: InboundRequest, exchange: Exchange, is_current: bool) -> None:
         try:
-            self._forward(req, exchange)
+            self._accept_or_raise(req, exchange)
         except RequestError as exc:
             if exc.kind in UNKNOWN_KINDS and not is_current:
                 exc = RequestError(
                     ErrorKind.NOT_READY,
-                    f"{exc.detail}, and a newer configuration may be in force",
+                    f"{exc.detail}; a newer configuration may be active",
                     retry_after=UNCONFIRMED_RETRY_SECONDS,
                 )
-            self._refuse(exc, req, exchange)
+            self._reject(exc, req, exchange)
 
-    def refused(self, exc: RequestError, req: InboundRequest | None = None) -> None:
-        """Count and log a refusal."""
+    def record_rejection(self, exc: RequestError, req: InboundRequest | None = None) -> None:
+        """Count and log a rejection."""
         self._hub.metrics.count("refusals_total", kind=exc.kind.value)
         self._log.info(
-            "refused",
+            "request rejected",
             request=self._protocol.request_id(req) if req is not None else "",
             kind=exc.kind.value,
             detail=exc.detail,
@@ -169,7 +178,7 @@
             **exc.inputs,
         )
 
-    def _forward(self, req: InboundRequest, exchange: Exchange) -> None:
+    def _accept_or_raise(self, req: InboundRequest, exchange: Exchange) -> None:
         cfg = self.configuration
         if not cfg.version:
             raise RequestError(ErrorKind.NOT_READY, retry_after=NOT_READY_RETRY_SECONDS)
@@ -177,68 +186,76 @@
         route = cfg.route_for(caller.host, caller.path)
         if route is None:
             raise RequestError(ErrorKind.UNKNOWN_SERVICE, f"no route for {caller.path[:80]!r}")
-        workspace = self._workspace(caller, route)
-        record = self._record(req, caller, route, workspace)
-        # Before the quota: a refusal for that would ask the caller to come back.
+        workspace = self._find_workspace(caller, route)
+        record = self._build_record(req, caller, route, workspace)
+        # Before the quota: a quota rejection would ask the caller to retry.
         self._hub.guard.reject_quarantined(record)
-        units = _units(caller, workspace)
-        offer = _Offer(req, exchange, record, route, workspace, units, cfg.version)
+        units = _quota_units(caller, workspace)
+        pending = _PendingRequest(req, exchange, record, route, workspace, units, cfg.version)
         if workspace is None:
-            self._accept(offer)
+            self._accept(pending)
             return
-        # Before the question: its reply could come after the end of this process.
-        self._check_stop(record)
-        asked_at = self._hub.now()
-        exchange.on_gone = offer.caller_left
+        # Before the arbiter request: its reply could arrive after this process exits.
+        self._check_shutdown(record)
+        requested_at = self._hub.now()
+        exchange.on_gone = pending.mark_disconnected
         self.quota_gate.decide(
-            workspace, units, lambda decision: self._decided(offer, decision, asked_at)
+            workspace,
+            units,
+            lambda decision: self._on_quota_decision(pending, decision, requested_at),
         )
 
-    def _decided(self, offer: "_Offer", decision: QuotaDecision, asked_at: float) -> None:
-        """Take a request in whose quota was decided on, or refuse it."""
+    def _on_quota_decision(
+        self, pending: "_PendingRequest", decision: QuotaDecision, requested_at: float
+    ) -> None:
+        """Accept or reject a request by its quota decision."""
         try:
-            self._refuse_over_quota(offer, decision)
-            if not offer.is_gone:
-                self._accept(offer.later(self._hub.now() - asked_at))
+            self._check_quota(pending, decision)
+            if not pending.is_disconnected:
+                self._accept(pending.after_wait(self._hub.now() - requested_at))
                 return
             self._hub.metrics.count("refusals_total", kind="caller_gone")
         except RequestError as exc:
-            self.refused(exc, offer.req)
-            offer.exchange.respond(*self._protocol.render_error(exc))
+            self.record_rejection(exc, pending.req)
+            pending.exchange.respond(*self._protocol.render_error(exc))
         if decision.wait <= 0:
-            self.quota_gate.unused(offer.workspace, offer.units, decision)
-
-    def _accept(self, offer: "_Offer") -> None:
-        """Take a request in, unless this process or its endpoints have no time for it."""
-        self._check_stop(offer.record)
-        request = self._hub.accept(offer.record, _share(offer.route, offer.workspace))
-        if offer.workspace is not None:
-            self._quota.spend(offer.workspace, offer.units, self._hub.now())
-        request.on_running = self._on_running
-        request.rule_of = self._version_rule
-        request.on_end = lambda ended: self._ended(ended, offer)
-        caller_id = offer.record.work.caller_id
-        request.attach(ForwardAttachment(offer.exchange, caller_id, self._protocol))
+            self.quota_gate.unused(pending.workspace, pending.units, decision)
+
+    def _accept(self, pending: "_PendingRequest") -> None:
+        """Accept a request, unless this process may shut down first or admission rejects it."""
+        self._check_shutdown(pending.record)
+        request = self._hub.accept(
+            pending.record, _admission_share(pending.route, pending.workspace)
+        )
+        if pending.workspace is not None:
+            self._quota.spend(pending.workspace, pending.units, self._hub.now())
+        request.on_response_start = self._on_response_start
+        request.version_rule_of = self._version_rule
+        request.on_end = lambda finished: self._on_request_end(finished, pending)
+        caller_id = pending.record.work.caller_id
+        request.attach(ForwardAttachment(pending.exchange, caller_id, self._protocol))
         self._hub.start_ready_requests()
 
     def _version_rule(self, request: ForwardedRequest) -> VersionRule | None:
         return self.version_rule(request.record.service.name, not request.endpoints)
 
-    def _workspace(self, caller: CallerRequest, route: ForwardedRoute) -> ForwardedWorkspace | None:
+    def _find_workspace(
+        self, caller: CallerRequest, route: ForwardedRoute
+    ) -> ForwardedWorkspace | None:
         cfg = self.configuration
         workspace = cfg.workspace_of(caller.key) if caller.key else None
         if workspace is None and route.needs_key and cfg.workspaces:
-            raise RequestError(ErrorKind.UNKNOWN_WORKSPACE, "the API key is not known")
+            raise RequestError(ErrorKind.UNKNOWN_WORKSPACE, "unknown API key")
         return workspace
 
-    def _refuse_over_quota(self, offer: "_Offer", decision: QuotaDecision) -> None:
+    def _check_quota(self, pending: "_PendingRequest", decision: QuotaDecision) -> None:
         if decision.wait <= 0:
             return
-        workspace = offer.workspace
+        workspace = pending.workspace
         state = decision.state or self._quota.state(workspace, self._hub.now())
         inputs = {
             "workspace": workspace.name,
-            "units": offer.units,
+            "units": pending.units,
             "rate": workspace.rate,
             "burst": workspace.burst,
             "arbiter": decision.arbiter,
@@ -246,18 +263,18 @@
         }
         raise RequestError(
             ErrorKind.LIMIT_EXCEEDED,
-            f"workspace {workspace.name} is over its quota of {workspace.rate:g} a second",
+            f"workspace {workspace.name} exceeds its quota of {workspace.rate:g} per second",
             retry_after=decision.wait,
             inputs=inputs,
         )
 
-    def _check_stop(self, record: RequestRecord) -> None:
-        """Refuse what would be broken off by the end of this process; another one can serve it."""
-        refusal = refusal_for_stop(self._hub, record, record.deadline_left)
-        if refusal is not None:
-            raise refusal
+    def _check_shutdown(self, record: RequestRecord) -> None:
+        """Raise if the request may outlast this process, so that another process serves it."""
+        rejection = make_shutdown_rejection(self._hub, record, record.deadline_left)
+        if rejection is not None:
+            raise rejection
 
-    def _record(
+    def _build_record(
         self,
         req: InboundRequest,
         caller: CallerRequest,
@@ -269,7 +286,7 @@
         if caller.deadline is not None:
             left = min(left, caller.deadline - spent)
         if left <= 0:
-            raise RequestError(ErrorKind.DEADLINE_EXCEEDED, "no time is left of the deadline")
+            raise RequestError(ErrorKind.DEADLINE_EXCEEDED, "the deadline has passed")
         name = route.backend_for(caller.request_id)
         slots = self._hub.directory.advertised_slots(name)
         work = ForwardWork(
@@ -297,19 +314,19 @@
             deadline_left=left,
         )
 
-    def _ended(self, request: ForwardedRequest, offer: "_Offer") -> None:
+    def _on_request_end(self, request: ForwardedRequest, pending: "_PendingRequest") -> None:
         now = self._hub.now()
-        if offer.workspace is not None and request.first_at is None:
-            self._quota.refund(offer.workspace, offer.units, now)
-        first = request.first_at
+        if pending.workspace is not None and request.first_response_at is None:
+            self._quota.refund(pending.workspace, pending.units, now)
+        first = request.first_response_at
         self._log.info(
             "request ended",
             request=request.request_id,
             work=request.fingerprint,
-            route=offer.route.name,
+            route=pending.route.name,
             service=request.record.service.name,
             workspace=request.record.workspace,
-            configuration=offer.configuration,
+            configuration=pending.configuration,
             status=request.status,
             failure=request.failure,
             ran=request.machine.ran.value,
@@ -321,8 +338,8 @@
         )
 
 
-def _units(caller: CallerRequest, workspace: ForwardedWorkspace | None) -> float:
-    """Return what a request counts against its workspace's quota."""
+def _quota_units(caller: CallerRequest, workspace: ForwardedWorkspace | None) -> float:
+    """Return the quota units that a request consumes, in requests or tokens."""
     if workspace is None or not workspace.counts_tokens:
         return 1.0
     if not caller.counts_tokens:
@@ -330,10 +347,10 @@
     return float(caller.prompt_tokens + caller.output_tokens)
 
 
-def _share(route: ForwardedRoute, workspace: ForwardedWorkspace | None) -> WorkspaceShare:
-    """Return how admission sees the request: the workspace's priority goes before the route's."""
+def _admission_share(route: ForwardedRoute, workspace: ForwardedWorkspace | None) -> WorkspaceShare:
+    """Return the admission share; a workspace's priority overrides the route's."""
     priority = route.priority
     if workspace is not None and workspace.priority is not None:
         priority = workspace.priority
     name = workspace.name if workspace is not None else ""
-    return WorkspaceShare(name, 1.0, priority, NO_WORKSPACE_LIMIT)
+    return WorkspaceShare(name, 1.0, priority, MAX_WORKSPACE_IN_FLIGHT)
--- a/flamingofront/request/forward_work.py
+++ b/flamingofront/request/forward_work.py
@@ -1,4 +1,4 @@
-"""A request that is forwarded as it came, and what the adapter must tell of it."""
+"""Data of forwarded requests, and the protocol that decodes and encodes their headers."""
 
 from abc import ABC, abstractmethod
 from dataclasses import dataclass
@@ -11,11 +11,11 @@
 __all__ = [
     "AttemptFacts",
     "CallerRequest",
-    "EndpointAnswer",
+    "EndpointResponseHead",
     "ForwardProtocol",
     "ForwardWork",
     "PromptPart",
-    "RelayedAnswer",
+    "EndpointResponse",
 ]
 
 Fields = tuple[tuple[str, str], ...]
@@ -23,7 +23,7 @@
 
 @dataclass(frozen=True)
 class PromptPart:
-    """Part of a prompt that an engine may hold in its cache; shared parts have the same id."""
+    """Part of a prompt that an engine may have cached; equal parts have the same id."""
 
     part_id: str
     tokens: int
@@ -31,12 +31,12 @@
 
 @dataclass(frozen=True)
 class CallerRequest:
-    """What a caller's headers say.
+    """Decoded headers of a caller's request.
 
     Parameters
     ----------
     request_id : str
-        Id that the caller gave to this attempt of its own.
+        Id that the caller gave to this attempt.
     deadline : float or None
         Seconds that the caller waits.
     key : str or None
@@ -44,11 +44,11 @@
     prompt : tuple of PromptPart
         Parts of the prompt in their order.
     output_tokens : int
-        Most tokens that the answer may have.
+        Maximum number of tokens of the response.
     counts_tokens : bool
-        True if the request names its tokens.
+        True if the request states its numbers of tokens.
     fields : tuple of (str, str)
-        Headers to forward: without those of one hop and those that only this system may set.
+        Headers to forward, without hop-by-hop headers and those that only this system may set.
     """
 
     request_id: str
@@ -65,18 +65,18 @@
 
 @dataclass(frozen=True)
 class ForwardWork:
-    """What an endpoint is asked for, and what may be done about it.
+    """The call that is forwarded to an endpoint, and its retry rules.
 
     Parameters
     ----------
     repeatable : bool
         True if the request may run more than once.
     resumable : bool
-        True if its stream may go on at another endpoint.
+        True if its stream can be resumed at another endpoint.
     max_attempts : int
-        Endpoints that it may be sent to.
+        Maximum number of attempts.
     caller_id : str
-        Id that the caller gave; not unique, as a caller may use one twice.
+        Id that the caller gave; not unique, as a caller may use an id twice.
     """
 
     method: str
@@ -97,18 +97,18 @@
 
 @dataclass(frozen=True)
 class AttemptFacts:
-    """What an endpoint is told of one attempt.
+    """Values of the headers of one attempt.
 
     Parameters
     ----------
     endpoint_id : str
-        Start of the endpoint that must run it, and no other.
+        Incarnation of the endpoint that must run it; any other rejects it.
     time_left : float
-        Seconds after which nobody waits any more.
+        Seconds until the request's deadline.
     last_event : str
-        Id of the last event that the caller has; empty at the begin of an answer.
+        Id of the last event that the caller has received; empty if none.
     urgency : Urgency
-        How soon a model engine takes the request among others.
+        Scheduling priority of the request at a model engine.
     """
 
     endpoint_id: str
@@ -118,46 +118,48 @@
 
 
 @dataclass(frozen=True)
-class EndpointAnswer:
-    """What the head of an endpoint's answer says.
+class EndpointResponseHead:
+    """Decoded status and headers of an endpoint's response.
 
     Parameters
     ----------
     not_run : bool
         True if the endpoint states that it did not run the request.
-    crossed : bool
-        True if the answer belongs to another request.
+    is_mismatched : bool
+        True if the response belongs to another request.
     wrong_endpoint : bool
-        True if another endpoint has the address now.
-    names_limit : bool
-        True if the endpoint speaks of a limit, be it readable or not.
+        True if another endpoint now uses the address.
+    stream : bool
+        True if the body is an event stream.
+    fields : tuple of (str, str)
+        Headers to forward to the caller.
+    has_rate_limit_header : bool
+        True if the response has a rate limit header, valid or not.
     rate_limit : float or None
-        Requests a second that it takes from all entry processes together; None if it names none
-        that can be read.
+        Requests per second that the endpoint accepts from all entry processes together; None
+        without a valid header.
     leaving : bool
-        True if the endpoint says that it leaves: it wants no further requests.
-    pause : float or None
-        Seconds for which it wants no requests of this process; None if it names no time that can be
-        read.
-    fields : tuple of (str, str)
-        Headers to pass on.
+        True if the endpoint announces its shutdown: it accepts no further requests.
+    backoff_seconds : float or None
+        Seconds for which the endpoint asks this process to send no requests; None without a valid
+        header.
     """
 
     status: int
     not_run: bool
-    crossed: bool
+    is_mismatched: bool
     wrong_endpoint: bool
     stream: bool
     fields: Fields
-    names_limit: bool = False
+    has_rate_limit_header: bool = False
     rate_limit: float | None = None
     leaving: bool = False
-    pause: float | None = None
+    backoff_seconds: float | None = None
 
 
 @dataclass(frozen=True)
-class RelayedAnswer:
-    """A complete answer of an endpoint."""
+class EndpointResponse:
+    """A complete response of an endpoint."""
 
     status: int
     fields: Fields
@@ -165,24 +167,24 @@
 
 
 class ForwardProtocol(ABC):
-    """Header names and formats of forwarded requests, on both sides."""
+    """Header names and formats of forwarded requests, for callers and endpoints."""
 
     @abstractmethod
     def request_id(self, req: InboundRequest) -> str:
-        """Return the caller's id of a request, empty if it has none."""
+        """Return the request id that the caller gave; empty if there is none."""
 
     @abstractmethod
     def decode(self, req: InboundRequest) -> CallerRequest:
-        """Return what a caller's headers say; raises `RequestError` if they are malformed."""
+        """Return the decoded headers of a caller; raises `RequestError` if they are malformed."""
 
     @abstractmethod
     def attempt_fields(self, work: ForwardWork, facts: AttemptFacts) -> Fields:
         """Return the headers of an attempt."""
 
     @abstractmethod
-    def judge(self, request_id: str, head: ResponseHead) -> EndpointAnswer:
-        """Return what the head of an endpoint's answer says."""
+    def decode_response_head(self, request_id: str, head: ResponseHead) -> EndpointResponseHead:
+        """Return the decoded head of an endpoint's response to a request."""
 
     @abstractmethod
     def render_error(self, exc: RequestError) -> RenderedError:
-        """Return status, headers and body of an error answer."""
+        """Return the status, headers and body of an error response."""
--- a/flamingofront/request/forwarded_request.py
+++ b/flamingofront/request/forwarded_request.py
@@ -1,4 +1,4 @@
-"""A forwarded request in flight: bytes pass unchanged, a stream as it arrives."""
+"""A forwarded request in flight: the body is relayed unchanged, a stream as it arrives."""
 
 from collections.abc import Callable
 
@@ -16,36 +16,67 @@
     OutboundCall,
     StartAttempt,
 )
-from flamingofront.request.active import NOT_CONNECTED, ActiveRequest
+from flamingofront.request.active import NO_CONNECTION_REASONS, ActiveRequest
 from flamingofront.request.answer_reader import FIRST_ERROR_STATUS, ResponseReader
 from flamingofront.request.attempt_pace import AttemptLatency
 from flamingofront.request.directory import SharedPrefix
 from flamingofront.request.event_stream import EventRelay
 from flamingofront.request.forward_work import (
     AttemptFacts,
-    EndpointAnswer,
+    EndpointResponse,
+    EndpointResponseHead,
     ForwardProtocol,
     ForwardWork,
-    RelayedAnswer,
 )
 from flamingofront.request.host import RequestHost
 from flamingofront.request.records import RequestRecord
-from flamingofront.request.stop_refusal import refusal_for_stop
+from flamingofront.request.stop_refusal import make_shutdown_rejection
 
 __all__ = ["ForwardedRequest"]
 
-# An endpoint in reach accepts within a few milliseconds; a lost first packet is sent again after a
-# second, too late for the tightest latency objective (0.3 s).
-CONNECT_SECONDS = 0.25
-# The request's own timer ends an attempt; the call's timer is only a second line.
+# A reachable endpoint accepts within a few milliseconds. A lost SYN is retransmitted after 1 s, too
+# late for the tightest latency objective (0.3 s).
+CONNECT_TIMEOUT_SECONDS = 0.25
+# The request's deadline timer cancels an attempt; the call timeout is only a safeguard.
 CALL_MARGIN_SECONDS = 1.0
-# How far the wall clock of an endpoint may be off from that of the entry VMs: a few milliseconds
-# are usual, and an attempt that is left alone is still ended by its connection.
+# Tolerated difference between the wall clocks of an endpoint and an entry VM, usually a few
+# milliseconds. An attempt within the margin still ends when its connection is reset.
 CLOCK_MARGIN_SECONDS = 0.25
 
 
 class ForwardedRequest(ActiveRequest):
-    """A request on a forwarded route."""
+    """A request on a forwarded route.
+
+    Parameters
+    ----------
+    hub : RequestHost
+        Components of the process that its requests share.
+    record : RequestRecord
+        The request as it was accepted or handed over.
+    ticket : Ticket
+        The request's entry in the admission queue.
+
+    Attributes
+    ----------
+    relay : EventRelay
+        Parser of the events that endpoints stream.
+    status : int
+        HTTP status sent to the caller; 0 if none, or if a stream was aborted.
+    endpoints : list of str
+        Endpoints that the request was sent to, in order.
+    sent_at : float
+        Time at which the current attempt was sent.
+    first_response_at : float or None
+        Time at which the response first started.
+    failure : str
+        Error kind of a failed request.
+    version_rule_of : callable
+        Returns the endpoint versions that the next attempt may use; None for any version.
+    on_response_start : callable
+        Called once when the response first starts.
+    on_end : callable
+        Called once when the request ends.
+    """
 
     retains_answer = False
 
@@ -55,113 +86,122 @@
         self.status = 0
         self.endpoints: list[str] = []
         self.sent_at = 0.0
-        self.first_at: float | None = None
+        self.first_response_at: float | None = None
         self.failure = ""
-        self.rule_of: Callable[[ForwardedRequest], VersionRule | None] = lambda request: None
-        self._pace = AttemptLatency()
-        self._passed_before = 0
-        self.on_running: Callable[[ForwardedRequest], None] = lambda request: None
+        self.version_rule_of: Callable[[ForwardedRequest], VersionRule | None] = (
+            lambda request: None
+        )
+        self._latency = AttemptLatency()
+        self._events_before_attempt = 0
+        self.on_response_start: Callable[[ForwardedRequest], None] = lambda request: None
         self.on_end: Callable[[ForwardedRequest], None] = lambda request: None
-        self._fallback: RelayedAnswer | None = None
-        self._unread = 0
-        self._unread_at = ""
-        self._ahead = 0
-        self._asked_work = False
-        self._stood_back = False
-        self._events_seen = 0
-        self._event_at = 0.0
+        self._fallback: EndpointResponse | None = None
+        self._backlog_tokens = 0
+        self._backlog_endpoint = ""
+        self._tokens_ahead = 0
+        self._is_load_recorded = False
+        self._was_postponed = False
+        self._event_count = 0
+        self._last_event_at = 0.0
 
     @property
     def work(self) -> ForwardWork:
-        """What the endpoint is asked for."""
+        """The call to forward and its retry rules."""
         return self.record.work
 
     @property
     def protocol(self) -> ForwardProtocol:
-        """Header names and formats."""
+        """Header names and formats of forwarded requests."""
         return self.hub.protocol
 
     @property
     def _rates(self) -> ServiceRates:
-        """What is learned of the service's endpoints."""
+        """Processing rates of the service's endpoints, learned from their responses."""
         return self.hub.rates.of(self.record.service.name)
 
     def version_rule(self) -> VersionRule | None:
-        """Return which versions the next attempt may go to; None if that makes no difference."""
-        return self.rule_of(self)
+        """Return the endpoint versions that the next attempt may use; None for any version."""
+        return self.version_rule_of(self)
 
-    def hashes(self) -> tuple[str, ...]:
-        """Return the ids of the prompt's parts."""
+    def prefix_blocks(self) -> tuple[str, ...]:
+        """Return the ids of the prompt parts."""
         return tuple(each.part_id for each in self.work.prompt)
 
     def shared_prefix(self) -> SharedPrefix | None:
-        """Return all parts of the prompt but the last, which is the request's own."""
+        """Return the prompt without its last part, which is specific to the request."""
         shared = self.work.prompt[:-1]
         if not shared:
             return None
         return SharedPrefix(shared[-1].part_id, sum(each.tokens for each in shared))
 
-    def _queue(self, chosen: Candidate) -> None:
-        """Count the prompt tokens that the endpoint has to read."""
-        self._unread = max(0, self.work.prompt_tokens - chosen.cached_tokens)
-        self._unread_at = chosen.endpoint_id
-        self.hub.directory.add_backlog(self._unread_at, self._unread)
+    def _add_backlog(self, chosen: Candidate) -> None:
+        """Add the uncached prompt tokens to the prefill backlog of the endpoint."""
+        self._backlog_tokens = max(0, self.work.prompt_tokens - chosen.cached_tokens)
+        self._backlog_endpoint = chosen.endpoint_id
+        self.hub.directory.add_backlog(self._backlog_endpoint, self._backlog_tokens)
 
-    def _expected(self, chosen: Candidate) -> Expectation:
-        """Return when the endpoint is expected to begin its answer."""
-        first = self._rates.now().first_event(self._ahead) * chosen.slowness
+    def _make_expectation(self, chosen: Candidate) -> Expectation:
+        """Return the expected time to first event and the time left of the latency objective."""
+        first = self._rates.now().first_event(self._tokens_ahead) * chosen.slowness
         objective = self.record.service.first_token_target
         left = objective - (self.hub.now() - self.accepted_at)
-        return Expectation(first, left, self.begun)
+        return Expectation(first, left, self.has_sent_events)
+
+    def _compute_postponement(self, chosen: Candidate) -> float:
+        """Return the seconds to postpone a request that cannot meet its latency objective.
 
-    def _postponement(self, chosen: Candidate) -> float:
-        """Stand back while the request will be late in any case and others wait to be read."""
+        Notes
+        -----
+        The request yields while the endpoint has other prompts to prefill. The delay is randomized.
+        """
         new_tokens = max(0, self.work.prompt_tokens - chosen.cached_tokens)
-        self._ahead = chosen.backlog_tokens + new_tokens
-        if not self._asked_work:
-            self._asked_work = True
+        self._tokens_ahead = chosen.backlog_tokens + new_tokens
+        if not self._is_load_recorded:
+            self._is_load_recorded = True
             self.hub.record_load(self.record.service.name, new_tokens)
         rates, now = self._rates.now(), self.hub.now()
         wait = postponement(
-            self._expected(chosen),
+            self._make_expectation(chosen),
             rates.token_seconds * chosen.backlog_tokens * chosen.slowness,
             now - self.accepted_at,
             self.record.deadline_left,
         )
-        if wait > 0 and not self._stood_back:
-            self._stood_back = True
+        if wait > 0 and not self._was_postponed:
+            self._was_postponed = True
             self.log.info(
-                "request stands back",
+                "request postponed",
                 endpoint=chosen.endpoint_id,
                 backlog=chosen.backlog_tokens,
                 prompt=self.work.prompt_tokens,
-                expected_ms=round(self._expected(chosen).first_event * 1000),
+                expected_ms=round(self._make_expectation(chosen).first_event * 1000),
                 loads_age=self.hub.directory.load_report_age(now),
             )
         return wait * (0.5 + self.hub.rng.random())
 
-    def _dequeue(self) -> None:
-        """The prompt was read, or the attempt is over."""
-        if self._unread:
-            self.hub.directory.remove_backlog(self._unread_at, self._unread)
-            self._unread = 0
+    def _clear_backlog(self) -> None:
+        """Remove the request's prompt tokens from the prefill backlog of its endpoint."""
+        if self._backlog_tokens:
+            self.hub.directory.remove_backlog(self._backlog_endpoint, self._backlog_tokens)
+            self._backlog_tokens = 0
 
-    def _release(self, cancel: bool = True) -> None:
-        self._dequeue()
-        super()._release(cancel)
+    def _end_call(self, cancel: bool = True) -> None:
+        self._clear_backlog()
+        super()._end_call(cancel)
 
-    def _note_cached(self) -> None:
-        """Note the prompt's parts as held by the endpoint that has read them."""
+    def _record_cached_prefix(self) -> None:
+        """Record that the endpoint's cache now holds the parts of the prompt."""
         sizes = tuple(each.tokens for each in self.work.prompt)
         capacity = self.hub.cache_tokens(self.record.service.name)
-        self.hub.directory.prefixes.add_blocks(self.endpoint_id, self.hashes(), sizes, capacity)
+        self.hub.directory.prefixes.add_blocks(
+            self.endpoint_id, self.prefix_blocks(), sizes, capacity
+        )
 
-    def _log_choice(self, order: StartAttempt, chosen: Candidate) -> None:
-        """Tell which endpoint was chosen, and by what."""
+    def _log_attempt(self, action: StartAttempt, chosen: Candidate) -> None:
+        """Log the chosen endpoint and the inputs of the choice."""
         directory = self.hub.directory
         self.log.info(
-            "attempt",
-            attempt=order.attempt_id,
+            "attempt started",
+            attempt=action.attempt_id,
             service=self.record.service.name,
             endpoint=chosen.endpoint_id,
             zone_of_endpoint=chosen.zone,
@@ -173,23 +213,23 @@
             slowness=round(chosen.slowness, 2),
             loads_age=directory.load_report_age(self.hub.now()),
             rate_limit=self.hub.limits.rate_of(chosen.endpoint_id),
-            excluded=sorted(order.exclude),
+            excluded=sorted(action.exclude),
             left_ms=round((self.machine.facts.deadline - self.hub.now()) * 1000),
         )
 
-    def _call(self, order: StartAttempt, chosen: Candidate) -> OutboundCall:
-        self._log_choice(order, chosen)
-        self._queue(chosen)
+    def _build_call(self, action: StartAttempt, chosen: Candidate) -> OutboundCall:
+        self._log_attempt(action, chosen)
+        self._add_backlog(chosen)
         left = self.machine.facts.deadline - self.hub.now()
         facts = AttemptFacts(
-            chosen.endpoint_id, left, self.relay.last_id, urgency(self._expected(chosen))
+            chosen.endpoint_id, left, self.relay.last_id, urgency(self._make_expectation(chosen))
         )
         work = self.work
         self.endpoints.append(chosen.endpoint_id)
         self.sent_at = self.hub.now()
-        ahead = self._ahead if work.stream else 0
-        self._pace = AttemptLatency(self.sent_at, self._rates.now().first_event(ahead))
-        self._passed_before = self.relay.count
+        ahead = self._tokens_ahead if work.stream else 0
+        self._latency = AttemptLatency(self.sent_at, self._rates.now().first_event(ahead))
+        self._events_before_attempt = self.relay.count
         return OutboundCall(
             chosen.address,
             work.method,
@@ -198,77 +238,87 @@
             self.protocol.attempt_fields(work, facts),
             timeout=left + CALL_MARGIN_SECONDS,
             stream=True,
-            # A reset on a kept connection leaves open whether the request ran.
+            # After a reset of a reused connection it is unknown whether the request ran.
             fresh=self.needs_fresh_connection,
             host=work.host,
-            connect_timeout=CONNECT_SECONDS,
+            connect_timeout=CONNECT_TIMEOUT_SECONDS,
         )
 
-    def _listener(self, attempt_id: str, chosen: Candidate) -> Callable[[CallEvent], None]:
+    def _make_listener(self, attempt_id: str, chosen: Candidate) -> Callable[[CallEvent], None]:
         return ResponseReader(self, attempt_id)
 
-    def began_at(self) -> float:
-        """Return when an endpoint began to run the request, as far as can be told from here.
+    def estimate_execution_start(self) -> float:
+        """Return the time at which an endpoint started to run the request.
 
         Notes
         -----
-        A stream begins with its first event; any other request at once when it is sent.
+        For a stream, the time of its first event; for any other request, the time of sending.
         """
-        return self.first_at if self.work.stream else self.sent_at
-
-    def running(self) -> None:
-        """Note that an endpoint has begun to answer."""
-        self._pace.record_start(self.hub.now())
-        if self._unread:
-            if self.work.stream and self.endpoint_id == self._unread_at:
-                self._rates.first_event(self._ahead, self.hub.now() - self.sent_at)
-            self._dequeue()
-            self._note_cached()
-        if self.first_at is None:
-            self.first_at = self.hub.now()
-            self.hub.metrics.observe("first_token_seconds", self.first_at - self.accepted_at)
-            self.on_running(self)
-
-    def pass_events(self, attempt_id: str, answer: EndpointAnswer, data: bytes) -> None:
-        """Pass whole events on to the caller."""
+        return self.first_response_at if self.work.stream else self.sent_at
+
+    def record_response_start(self) -> None:
+        """Record that the endpoint has started its response."""
+        self._latency.record_start(self.hub.now())
+        if self._backlog_tokens:
+            if self.work.stream and self.endpoint_id == self._backlog_endpoint:
+                self._rates.first_event(self._tokens_ahead, self.hub.now() - self.sent_at)
+            self._clear_backlog()
+            self._record_cached_prefix()
+        if self.first_response_at is None:
+            self.first_response_at = self.hub.now()
+            self.hub.metrics.observe(
+                "first_token_seconds", self.first_response_at - self.accepted_at
+            )
+            self.on_response_start(self)
+
+    def forward_events(self, attempt_id: str, answer: EndpointResponseHead, data: bytes) -> None:
+        """Forward complete events to the caller."""
         if self.machine.attempt_id != attempt_id:
             return
         self.hub.directory.record_contact(self.endpoint_id, self.hub.now())
-        self._observe_events()
-        self.running()
-        self.machine.progressed(attempt_id)
+        self._record_event_interval()
+        self.record_response_start()
+        self.machine.record_progress(attempt_id)
         self.status = answer.status
         for each in list(self.attachments):
-            each.begin(answer.status, answer.fields)
-            if not each.events(data):
-                self._drop_slow(each)
+            each.send_head(answer.status, answer.fields)
+            if not each.send_events(data):
+                self._abort_slow_consumer(each)
 
-    def _observe_events(self) -> None:
-        """Note the pause before events, so that a slow endpoint shows."""
+    def _record_event_interval(self) -> None:
+        """Record the mean interval between events, which shows a slow endpoint."""
         now = self.hub.now()
-        count = self.relay.count - self._events_seen
-        if self.first_at is not None and count > 0:
-            pause = (now - self._event_at) / count
-            self.hub.directory.record_token_time(self.endpoint_id, pause)
-            self._rates.pause(pause)
-        self._events_seen, self._event_at = self.relay.count, now
-
-    def _tell_outcome(self, is_bad: bool) -> None:
+        count = self.relay.count - self._event_count
+        if self.first_response_at is not None and count > 0:
+            interval = (now - self._last_event_at) / count
+            self.hub.directory.record_token_time(self.endpoint_id, interval)
+            self._rates.pause(interval)
+        self._event_count, self._last_event_at = self.relay.count, now
+
+    def _report_outcome(self, is_bad: bool) -> None:
         self.hub.on_outcome(self.record.service.name, self.endpoint_id, is_bad)
 
-    def lost(self, attempt_id: str, executed: Ran, reason: str, sent: bool = True) -> None:
-        """Take note of an attempt that ended without its answer."""
+    def fail_attempt(self, attempt_id: str, executed: Ran, reason: str, sent: bool = True) -> None:
+        """Handle an attempt that ended without a response.
+
+        Parameters
+        ----------
+        executed : Ran
+            Whether the endpoint ran the request.
+        sent : bool
+            False if no byte of the attempt can have reached the endpoint.
+        """
         is_current = not self.done and attempt_id == self.machine.attempt_id
         if is_current and sent and executed is not Ran.NO:
-            self._tell_outcome(is_bad=True)
-        super().lost(attempt_id, executed, reason, sent)
+            self._report_outcome(is_bad=True)
+        super().fail_attempt(attempt_id, executed, reason, sent)
 
-    def _judge_endpoint(self, answer: RelayedAnswer) -> None:
-        """Tell the directory how the endpoint did."""
+    def _record_endpoint_result(self, answer: EndpointResponse) -> None:
+        """Record the endpoint's health and processing rates from a complete response."""
         directory, now = self.hub.directory, self.hub.now()
-        events = self.relay.count - self._passed_before
-        is_slow = self._pace.is_slow(now, events, self._rates.now())
-        self._tell_outcome(is_slow or answer.status >= FIRST_ERROR_STATUS)
+        events = self.relay.count - self._events_before_attempt
+        is_slow = self._latency.is_slow(now, events, self._rates.now())
+        self._report_outcome(is_slow or answer.status >= FIRST_ERROR_STATUS)
         if answer.status >= FIRST_ERROR_STATUS:
             self.hub.record_endpoint_failure(self.record.service, self.endpoint_id, now)
             return
@@ -278,113 +328,115 @@
             self._rates.call(now - self.sent_at)
         elif self.relay.count:
             self._rates.ended(self.relay.count)
-            self._observe_times(now)
+            self._record_stream_times(now)
 
-    def _observe_times(self, now: float) -> None:
-        """Note how long a stream has taken, for what a process that stops still begins."""
+    def _record_stream_times(self, now: float) -> None:
+        """Record the duration of a stream, which bounds later streams during a shutdown."""
         times = StreamTimes(
-            self.first_at - self.accepted_at, now - self.first_at, self.work.output_tokens
+            self.first_response_at - self.accepted_at,
+            now - self.first_response_at,
+            self.work.output_tokens,
         )
         self.hub.completion.of(self.record.service.name).observe(times)
 
-    def answered(self, attempt_id: str, answer: RelayedAnswer) -> None:
-        """Give the endpoint's complete answer to the caller."""
-        if not self.machine.answered(attempt_id):
+    def complete_response(self, attempt_id: str, answer: EndpointResponse) -> None:
+        """Send the endpoint's complete response to the caller."""
+        if not self.machine.accept_response(attempt_id):
             return
         self.status = answer.status
         self.hub.guard.record_response(self.fingerprint)
-        self.running()
-        self._judge_endpoint(answer)
-        self._release(cancel=False)
-        self._settle(answer, None)
+        self.record_response_start()
+        self._record_endpoint_result(answer)
+        self._end_call(cancel=False)
+        self._finish(answer, None)
 
-    def endpoint_error(self, attempt_id: str, answer: RelayedAnswer) -> None:
-        """Try again after an endpoint's own error; if that is not possible, pass the error on."""
+    def handle_endpoint_error(self, attempt_id: str, answer: EndpointResponse) -> None:
+        """Retry after an error response of the endpoint if allowed, else forward the response."""
         if self.work.repeatable and self.machine.attempt_id == attempt_id:
             self._fallback = answer
-            self.running()
-            self.lost(attempt_id, Ran.UNKNOWN, f"status {answer.status}")
+            self.record_response_start()
+            self.fail_attempt(attempt_id, Ran.UNKNOWN, f"status {answer.status}")
         else:
-            self.answered(attempt_id, answer)
+            self.complete_response(attempt_id, answer)
 
-    def silent_since(self) -> float:
-        """Return when the endpoint last sent something, or else when it was asked."""
-        return max(self.sent_at, self._event_at)
+    def compute_last_activity(self) -> float:
+        """Return the time of the endpoint's last event, or of the attempt if that is later."""
+        return max(self.sent_at, self._last_event_at)
 
-    def zone_cut_off(self) -> None:
-        """Go on at another endpoint, if that is allowed: this one cannot be heard any more."""
-        if self.work.repeatable and self.machine.attempt_id and self._may_try_again():
-            # Nothing is known of the answer: it says nothing of the endpoint's version.
-            super().lost(self.machine.attempt_id, Ran.UNKNOWN, "zone cut off")
+    def fail_over(self) -> None:
+        """Retry at another endpoint, if allowed, because the current one is partitioned."""
+        if self.work.repeatable and self.machine.attempt_id and self._has_attempts_left():
+            # The outcome is unknown, so it must not count against the endpoint's version.
+            super().fail_attempt(self.machine.attempt_id, Ran.UNKNOWN, "zone cut off")
 
-    def endpoint_restarted(self, at: float) -> None:
-        """Give an attempt up that its endpoint has lost by starting again.
+    def fail_if_restarted(self, started_at: float) -> None:
+        """Fail the current attempt if it was sent before its endpoint restarted.
 
         Notes
         -----
-        Without this it would be waited for until the connection is reset, two seconds for a silent
-        one. Clocks of VMs differ, so an attempt that was sent close to the start is left alone.
+        Without this the attempt would wait until its connection is reset, 2 s for an unresponsive
+        one. Clocks of VMs differ, so an attempt that was sent close to the restart is left alone.
         """
-        if self.is_sent and self.sent_at < at - CLOCK_MARGIN_SECONDS:
+        if self.is_sent and self.sent_at < started_at - CLOCK_MARGIN_SECONDS:
             self.hub.guard.crash_detector.record_restart(
                 self.endpoint_id, frozenset((self.fingerprint,))
             )
-            self.lost(self.machine.attempt_id, Ran.UNKNOWN, "endpoint started again")
+            self.fail_attempt(self.machine.attempt_id, Ran.UNKNOWN, "endpoint started again")
 
-    def _may_try_again(self) -> bool:
+    def _has_attempts_left(self) -> bool:
         most = self.machine.facts.max_attempts
         return most is None or self.machine.attempts < most
 
-    def _complete(self) -> None:
-        raise AssertionError("a forwarded request is completed by its answer")
+    def _complete_answer(self) -> None:
+        raise AssertionError("a forwarded request is completed by its response")
 
-    def call_failed(self, attempt_id: str, event: CallFailed) -> None:
-        """Judge a call that ended without an answer; what was sent has most likely run."""
-        if event.wrote and event.reason not in NOT_CONNECTED and not self.work.stream:
-            self.running()
-        super().call_failed(attempt_id, event)
+    def handle_call_failure(self, attempt_id: str, event: CallFailed) -> None:
+        """Handle a call that ended without a response; a request that was sent has likely run."""
+        if event.wrote and event.reason not in NO_CONNECTION_REASONS and not self.work.stream:
+            self.record_response_start()
+        super().handle_call_failure(attempt_id, event)
 
-    def _start_attempt(self, order: StartAttempt) -> None:
-        """Start an attempt, unless it has waited so long that it may outlast this process."""
+    def _start_attempt(self, action: StartAttempt) -> None:
+        """Start an attempt, unless it might not finish before this process shuts down."""
         left = self.machine.facts.deadline - self.hub.now()
-        refusal = refusal_for_stop(self.hub, self.record, left)
-        if refusal is None or self.machine.ran is not Ran.NO:
-            super()._start_attempt(order)
+        rejection = make_shutdown_rejection(self.hub, self.record, left)
+        if rejection is None or self.machine.ran is not Ran.NO:
+            super()._start_attempt(action)
             return
-        self.log.info("refused for the stop", **refusal.inputs)
-        self.carry(self.machine.give_up(refusal.kind, refusal.detail, refusal.retry_after))
+        self.log.info("request rejected during shutdown", **rejection.inputs)
+        self.execute(self.machine.fail(rejection.kind, rejection.detail, rejection.retry_after))
 
-    def process_ends(self) -> None:
-        """Tell the caller that this process ends, unless a part of a stream was sent already."""
-        if self.done or self.begun:
+    def fail_for_shutdown(self) -> None:
+        """Fail the request because this process exits, unless a stream was partly sent."""
+        if self.done or self.has_sent_events:
             return
-        self._sync_wrote()
+        self._record_written_bytes()
         kind = ErrorKind.DRAINING
         if self.machine.ran is not Ran.NO:
-            # No 503: that would state that the request has not run.
+            # A 503 would state that the request has not run.
             repeatable = self.work.repeatable
             kind = ErrorKind.ENDPOINT_FAILED if repeatable else ErrorKind.OUTCOME_UNKNOWN
-        self.carry(self.machine.give_up(kind, "the process that held the request stops"))
+        self.execute(self.machine.fail(kind, "this process shut down before the request finished"))
 
     @property
-    def begun(self) -> bool:
-        """True once a part of a stream was sent to the caller."""
+    def has_sent_events(self) -> bool:
+        """True once events were sent to the caller."""
         return self.relay.count > 0
 
-    def _fail(self, order: Fail) -> None:
-        if self._fallback is not None and not self.begun:
+    def _fail_request(self, action: Fail) -> None:
+        if self._fallback is not None and not self.has_sent_events:
             self.status = self._fallback.status
-            self._settle(self._fallback, None)
+            self._finish(self._fallback, None)
             return
-        super()._fail(order)
+        super()._fail_request(action)
 
-    def _settle(self, answer, exc: RequestError | None) -> None:
+    def _finish(self, answer, exc: RequestError | None) -> None:
         if exc is not None:
             self.failure = exc.kind.value
-            self.status = 0 if self.begun else self.protocol.render_error(exc)[0]
-        super()._settle(answer, exc)
+            self.status = 0 if self.has_sent_events else self.protocol.render_error(exc)[0]
+        super()._finish(answer, exc)
 
-    def _end(self) -> None:
-        super()._end()
+    def _clean_up(self) -> None:
+        super()._clean_up()
         on_end, self.on_end = self.on_end, lambda request: None
         on_end(self)
--- a/flamingofront/request/gateway.py
+++ b/flamingofront/request/gateway.py
@@ -74,7 +74,7 @@
 
     Parameters
     ----------
-    is_open : callable
+    rejection_kind : callable
         Returns the error kind to refuse all new work with, None if the process takes work.
     """
 
@@ -89,7 +89,7 @@
         rng: random.Random,
         default_deadline: float,
         workspace_limit: Callable[[Workspace], int],
-        is_open: Callable[[], ErrorKind | None],
+        rejection_kind: Callable[[], ErrorKind | None],
     ):
         self.configuration = Configuration()
         self._vm_id = vm_id
@@ -101,7 +101,7 @@
         self._rng = rng
         self._default_deadline = default_deadline
         self._workspace_limit = workspace_limit
-        self._is_open = is_open
+        self._rejection_kind = rejection_kind
 
     def handle(self, req: InboundRequest, exchange: Exchange) -> None:
         """Take one request; every error is answered from the table."""
@@ -118,15 +118,15 @@
     def _dispatch(self, req: InboundRequest, exchange: Exchange, request_id: str) -> None:
         if req.path in COMPLETION_PATHS:
             self._require_method(req, "POST")
-            self._completion(req, exchange, request_id, COMPLETION_PATHS[req.path])
+            self._handle_completion(req, exchange, request_id, COMPLETION_PATHS[req.path])
         elif req.path.startswith(SERVICES_PREFIX):
-            self._plain(req, exchange, request_id)
+            self._handle_plain_call(req, exchange, request_id)
         elif req.path.startswith(REQUESTS_PREFIX):
             self._require_method(req, "GET")
-            self._come_back(req, exchange)
+            self._reattach(req, exchange)
         elif req.path == "/v1/models":
             self._require_method(req, "GET")
-            self._models(req, exchange)
+            self._list_models(req, exchange)
         else:
             raise RequestError(ErrorKind.NOT_FOUND, f"no such path {req.path[:80]!r}")
 
@@ -137,13 +137,13 @@
             )
 
     def _require_open(self) -> None:
-        kind = self._is_open()
+        kind = self._rejection_kind()
         if kind is not None:
             raise RequestError(kind, retry_after=NOT_READY_RETRY_SECONDS)
 
-    def _workspace(self, req: InboundRequest) -> Workspace:
+    def _find_workspace(self, req: InboundRequest) -> Workspace:
         """Return the workspace by credential or header."""
-        if self._is_open() is ErrorKind.NOT_READY:
+        if self._rejection_kind() is ErrorKind.NOT_READY:
             self._require_open()  # without a configuration every workspace would seem unknown
         authorization = req.header("authorization")
         if authorization.startswith("Bearer "):
@@ -160,18 +160,18 @@
             )
         return workspace
 
-    def _service(self, route_name: str, workspace: Workspace, kind: ServiceKind) -> Service:
+    def _find_service(self, route_name: str, workspace: Workspace, kind: ServiceKind) -> Service:
         route = self.configuration.route(route_name)
         service = self.configuration.service(route.service) if route is not None else None
-        known = route is not None and service is not None and route.allows(workspace.name)
-        if not known or service.kind is not kind:
+        is_known = route is not None and service is not None and route.allows(workspace.name)
+        if not is_known or service.kind is not kind:
             raise RequestError(
                 ErrorKind.UNKNOWN_SERVICE, f"no {kind.value} named {route_name[:80]!r}"
             )
         return service
 
-    def _models(self, req: InboundRequest, exchange: Exchange) -> None:
-        workspace = self._workspace(req)
+    def _list_models(self, req: InboundRequest, exchange: Exchange) -> None:
+        workspace = self._find_workspace(req)
         cfg = self.configuration
         names = [
             route.name
@@ -181,39 +181,39 @@
         data = {"object": "list", "data": [{"id": name, "object": "model"} for name in names]}
         exchange.respond(200, JSON_HEADERS, orjson.dumps(data))
 
-    def _completion(
+    def _handle_completion(
         self, req: InboundRequest, exchange: Exchange, request_id: str, chat: bool
     ) -> None:
         self._require_open()
-        workspace = self._workspace(req)
+        workspace = self._find_workspace(req)
         options = parse_options(req)
-        wanted = parse_completion(req.body, chat)
-        service = self._service(wanted.model, workspace, ServiceKind.MODEL)
-        work = ModelWork(wanted.model, wanted.prompt, wanted.max_tokens, chat, wanted.stream)
-        record = self._record(request_id, workspace, wanted.model, service, work, options)
+        parsed = parse_completion(req.body, chat)
+        service = self._find_service(parsed.model, workspace, ServiceKind.MODEL)
+        work = ModelWork(parsed.model, parsed.prompt, parsed.max_tokens, chat, parsed.stream)
+        record = self._build_record(request_id, workspace, parsed.model, service, work, options)
         attachment: Attachment
-        if wanted.stream and not options.respond_async:
+        if parsed.stream and not options.respond_async:
             attachment = StreamAttachment(exchange, request_id, work)
         else:
             attachment = WholeAttachment(exchange, request_id)
         self._accept(req, record, workspace, options, attachment, exchange)
 
-    def _plain(self, req: InboundRequest, exchange: Exchange, request_id: str) -> None:
+    def _handle_plain_call(self, req: InboundRequest, exchange: Exchange, request_id: str) -> None:
         self._require_open()
-        workspace = self._workspace(req)
+        workspace = self._find_workspace(req)
         options = parse_options(req)
         route, slash, rest = req.path[len(SERVICES_PREFIX) :].partition("/")
-        service = self._service(route, workspace, ServiceKind.PLAIN)
+        service = self._find_service(route, workspace, ServiceKind.PLAIN)
         headers = tuple(
             (name, value) for name, value in req.headers.items() if name not in DROPPED_HEADERS
         )
-        path = _with_query("/" + rest, req)
+        path = _join_query("/" + rest, req)
         work = PlainWork(req.method, path, headers, req.body)
-        record = self._record(request_id, workspace, route, service, work, options)
+        record = self._build_record(request_id, workspace, route, service, work, options)
         attachment = WholeAttachment(exchange, request_id)
         self._accept(req, record, workspace, options, attachment, exchange)
 
-    def _record(
+    def _build_record(
         self,
         request_id: str,
         workspace: Workspace,
@@ -244,56 +244,54 @@
         exchange: Exchange,
     ) -> None:
         if options.key:
-            self._keyed.handle(req, record, self._share(workspace), attachment, exchange)
+            self._keyed.handle(req, record, self._admission_share(workspace), attachment, exchange)
         elif options.respond_async:
             attachment.detach()
-            self._accept_job(record, self._share(workspace), exchange)
+            self._accept_job(record, self._admission_share(workspace), exchange)
         else:
-            request = self._hub.accept(record, self._share(workspace))
+            request = self._hub.accept(record, self._admission_share(workspace))
             request.attach(attachment)
             self._hub.start_ready_requests()
 
-    def _share(self, workspace: Workspace) -> WorkspaceShare:
+    def _admission_share(self, workspace: Workspace) -> WorkspaceShare:
         limit = self._workspace_limit(workspace)
         return WorkspaceShare(workspace.name, workspace.weight, workspace.priority, limit)
 
     def _accept_job(self, record: RequestRecord, share: WorkspaceShare, exchange: Exchange) -> None:
         request = self._hub.accept(record, share)
-        request.hold_back()
+        request.defer_start()
 
-        def created(outcome: PlatformError | None) -> None:
+        def on_created(outcome: PlatformError | None) -> None:
             if outcome is None:
-                self._job_accepted(request, exchange)
+                self._accept_created_job(request, exchange)
             else:
-                self._job_refused(request, outcome, exchange)
+                self._reject_job(request, outcome, exchange)
 
         task = create_job(self._documents, record, self._vm_id, self._rng)
-        self._tasks.start(_caught(task), created)
+        self._tasks.start(_catch_platform_error(task), on_created)
 
-    def _job_accepted(self, request: ActiveRequest, exchange: Exchange) -> None:
+    def _accept_created_job(self, request: ActiveRequest, exchange: Exchange) -> None:
         """Tell the caller where the answer will be, and start the work."""
         respond_accepted(exchange, request.request_id)
         self._keyed.start_job(request)
 
-    def _job_refused(
-        self, request: ActiveRequest, fault: PlatformError, exchange: Exchange
-    ) -> None:
-        ran = Ran.UNKNOWN if fault.maybe_done else Ran.NO
+    def _reject_job(self, request: ActiveRequest, error: PlatformError, exchange: Exchange) -> None:
+        ran = Ran.UNKNOWN if error.maybe_done else Ran.NO
         exc = RequestError(
-            ErrorKind.STORE_UNAVAILABLE, str(fault), ran, retry_after=STORE_RETRY_SECONDS
+            ErrorKind.STORE_UNAVAILABLE, str(error), ran, retry_after=STORE_RETRY_SECONDS
         )
         if not request.done:
-            request.refuse(exc)
+            request.reject_unstarted(exc)
         respond_error(exchange, exc, request.request_id)
 
-    def _come_back(self, req: InboundRequest, exchange: Exchange) -> None:
-        workspace = self._workspace(req)
+    def _reattach(self, req: InboundRequest, exchange: Exchange) -> None:
+        workspace = self._find_workspace(req)
         request_id = req.path[len(REQUESTS_PREFIX) :]
-        offset, stream = _position(req, request_id)
-        self._reattachment.handle(request_id, workspace.name, offset, stream, exchange)
+        offset, stream = _parse_position(req, request_id)
+        self._reattachment.attach_caller(request_id, workspace.name, offset, stream, exchange)
 
 
-def _caught(task: Task) -> Task:
+def _catch_platform_error(task: Task) -> Task:
     """Return None if a task succeeds, its `PlatformError` if not."""
     try:
         yield from task
@@ -302,12 +300,12 @@
     return None
 
 
-def _with_query(path: str, req: InboundRequest) -> str:
+def _join_query(path: str, req: InboundRequest) -> str:
     encoded = quote(path, safe="/:@!$&'()*+,;=~-._")
     return f"{encoded}?{urlencode(req.query)}" if req.query else encoded
 
 
-def _position(req: InboundRequest, request_id: str) -> tuple[int, bool]:
+def _parse_position(req: InboundRequest, request_id: str) -> tuple[int, bool]:
     """Return from which offset the caller wants the text, and whether as a stream."""
     last = req.headers.get("last-event-id")
     if last is not None:
--- a/flamingofront/request/guard.py
+++ b/flamingofront/request/guard.py
@@ -368,7 +368,7 @@
         for request in self._active():
             has_started = request.machine.ran is Ran.YES
             if request.fingerprint == entry.fingerprint and not (has_started or request.is_trial):
-                request.held_back()
+                request.fail_quarantined()
 
     def _log_release(self, entry: Hold, reason: str) -> None:
         self._metrics.count("requests_released_total", reason=reason)
--- a/flamingofront/request/inheritance.py
+++ b/flamingofront/request/inheritance.py
@@ -14,18 +14,24 @@
 from flamingofront.process.tasks import Task, TaskRunner
 from flamingofront.request.active import ActiveRequest
 from flamingofront.request.hub import RequestHub
-from flamingofront.request.jobs import AdoptedJob, is_lost, move_jobs, owned_jobs, take_job
+from flamingofront.request.jobs import (
+    AdoptedJob,
+    is_outcome_unknown,
+    list_owned_jobs,
+    move_job,
+    move_jobs,
+)
 from flamingofront.request.keyed import KeyedRequests
 from flamingofront.request.records import RequestRecord
 
-__all__ = ["Inheritance"]
+__all__ = ["RequestAdopter"]
 
-READER_GRACE_SECONDS = 30.0
-MAX_REMEMBERED = 10_000
+REATTACH_GRACE_SECONDS = 30.0
+MAX_REMEMBERED_REQUESTS = 10_000
 _BACKOFF = Backoff(0.2, 5.0)
 
 
-class Inheritance:
+class RequestAdopter:
     """Makes requests of others requests of this process.
 
     Parameters
@@ -51,48 +57,48 @@
         self._share_of = share_of
         self._epochs: OrderedDict[str, int] = OrderedDict()
 
-    def take(self, data: dict[str, Any], sender: str) -> None:
+    def accept_handover(self, data: dict[str, Any], sender: str) -> None:
         """Take a record that a peer hands over; taking the same one again has no effect."""
         record = RequestRecord.from_json(data)
         if self._epochs.get(record.request_id, 0) >= record.epoch:
             return
         self._epochs[record.request_id] = record.epoch
-        while len(self._epochs) > MAX_REMEMBERED:
+        while len(self._epochs) > MAX_REMEMBERED_REQUESTS:
             self._epochs.popitem(last=False)
         request = self._adopt(record)
         if record.job:
-            request.hold_back()
+            request.defer_start()
             self._tasks.start(
-                self._take_job(record.request_id, sender),
-                lambda taken: self._job_taken(request, taken),
+                self._take_over_job(record.request_id, sender),
+                lambda adopted: self._on_job_taken_over(request, adopted),
             )
         elif record.key:
-            self._keyed.keep_claim_answer(request)
+            self._keyed.adopt_claim(request)
         else:
-            request.expect_reader(READER_GRACE_SECONDS)
+            request.start_reattach_timer(REATTACH_GRACE_SECONDS)
         self._hub.start_ready_requests()
 
     def _adopt(self, record: RequestRecord) -> ActiveRequest:
         self._hub.moved_to.pop(record.request_id, None)
         return self._hub.accept(record, self._share_of(record.workspace), resumed=True)
 
-    def _take_job(self, request_id: str, sender: str) -> Task:
+    def _take_over_job(self, request_id: str, sender: str) -> Task:
         """Become the owner of a job's row; repeat until the platform has answered."""
         tries = 0
         while True:
             try:
-                return (yield from take_job(self._documents, request_id, sender, self._vm_id))
+                return (yield from move_job(self._documents, request_id, sender, self._vm_id))
             except PlatformError:
                 yield Sleep(_BACKOFF.delay(tries, self._hub.rng))
                 tries += 1
 
-    def _job_taken(self, request: ActiveRequest, taken: AdoptedJob | None) -> None:
-        if taken is None:
-            request.drop()
+    def _on_job_taken_over(self, request: ActiveRequest, adopted: AdoptedJob | None) -> None:
+        if adopted is None:
+            request.cancel_unstarted()
             return
         self._keyed.start_job(request)
 
-    def member_gone(self, vm_id: str, peers: tuple[Fact, ...]) -> None:
+    def adopt_jobs_of(self, vm_id: str, peers: tuple[Fact, ...]) -> None:
         """Adopt the jobs of a process that is gone, if that falls to this one first.
 
         Notes
@@ -101,12 +107,12 @@
         the others only find what it left. The rows themselves decide between two that try together.
         """
         survivors = [self._vm_id, *(each.vm_id for each in peers if each.vm_id != vm_id)]
-        turn = rank(f"adopt/{vm_id}", survivors).index(self._vm_id)
-        self._tasks.start(self._adopt_jobs(vm_id, turn * 2.0), self._jobs_adopted)
+        position = rank(f"adopt/{vm_id}", survivors).index(self._vm_id)
+        self._tasks.start(self._adopt_jobs(vm_id, position * 2.0), self._on_jobs_adopted)
 
-    def reclaim_own(self) -> None:
+    def adopt_own_jobs(self) -> None:
         """Adopt the jobs that an earlier process on this VM left behind."""
-        self._tasks.start(self._adopt_jobs(self._vm_id, 0.0), self._jobs_adopted)
+        self._tasks.start(self._adopt_jobs(self._vm_id, 0.0), self._on_jobs_adopted)
 
     def _adopt_jobs(self, vm_id: str, delay: float) -> Task:
         yield Sleep(delay)
@@ -115,20 +121,20 @@
             try:
                 if vm_id != self._vm_id:
                     yield from move_jobs(self._documents, vm_id, self._vm_id)
-                return (yield from owned_jobs(self._documents, self._vm_id))
+                return (yield from list_owned_jobs(self._documents, self._vm_id))
             except PlatformError:
                 yield Sleep(_BACKOFF.delay(tries, self._hub.rng))
                 tries += 1
 
-    def _jobs_adopted(self, jobs: list[AdoptedJob]) -> None:
+    def _on_jobs_adopted(self, jobs: list[AdoptedJob]) -> None:
         for job in jobs:
             request_id = job.record.request_id
-            if request_id in self._hub.active or self._keyed.storing(request_id):
+            if request_id in self._hub.active or self._keyed.is_storing_answer(request_id):
                 continue
-            if is_lost(job):
+            if is_outcome_unknown(job):
                 exc = RequestError(ErrorKind.OUTCOME_UNKNOWN, ran=Ran.UNKNOWN)
                 self._keyed.store_job_answer(request_id, None, exc)
                 continue
             request = self._adopt(job.record)
-            request.hold_back()
+            request.defer_start()
             self._keyed.start_job(request)
--- a/flamingofront/request/jobs.py
+++ b/flamingofront/request/jobs.py
@@ -14,7 +14,7 @@
 from flamingofront.process.documents import Condition, DocumentStore, Write
 from flamingofront.process.expiry import expiry_write
 from flamingofront.process.tasks import Task
-from flamingofront.request.claims import repeat_until_done
+from flamingofront.request.claims import retry_until_done
 from flamingofront.request.records import RequestRecord
 from flamingofront.request.stored_answer import StoredAnswer, answer_from_json, answer_to_json
 
@@ -24,12 +24,12 @@
     "JobStatus",
     "create_job",
     "fetch_job",
-    "finish_job",
-    "is_lost",
+    "store_job_result",
+    "is_outcome_unknown",
     "mark_running",
     "move_jobs",
-    "owned_jobs",
-    "take_job",
+    "list_owned_jobs",
+    "move_job",
 ]
 
 JOB_PREFIX = "job/"
@@ -128,13 +128,13 @@
     return (yield from documents.replace(row, value))
 
 
-def finish_job(
+def store_job_result(
     documents: DocumentStore,
     request_id: str,
     owner: str,
     answer: StoredAnswer,
     rng: random.Random,
-    until: float,
+    expires_at: float,
 ) -> Task:
     """Store the answer of a job; repeat until it stands or the job is another's.
 
@@ -144,22 +144,22 @@
         Seconds since the epoch at which the job is removed.
     """
 
-    def step() -> Task:
+    def write_once() -> Task:
         (row,) = yield from documents.read([_job_key(request_id)])
         if row.value is None or row.value["owner"] != owner:
             return True
         if row.value["state"] == JobState.DONE.value:
             return True
         stored = answer_to_json(answer)
-        value = {**row.value, "state": JobState.DONE.value, "answer": stored, "until": until}
+        value = {**row.value, "state": JobState.DONE.value, "answer": stored, "until": expires_at}
         drop_index = Write(_owner_key(owner, request_id), None)
-        end = expiry_write(row.key, until)
+        end = expiry_write(row.key, expires_at)
         return (yield from documents.replace(row, value, drop_index, end))
 
-    yield from repeat_until_done(step, rng)
+    yield from retry_until_done(write_once, rng)
 
 
-def take_job(documents: DocumentStore, request_id: str, old_owner: str, new_owner: str) -> Task:
+def move_job(documents: DocumentStore, request_id: str, old_owner: str, new_owner: str) -> Task:
     """Move a job to another owner; return it as `AdoptedJob`, None if it is not the old owner's."""
     (row,) = yield from documents.read([_job_key(request_id)])
     if row.value is None or row.value["owner"] != old_owner:
@@ -182,10 +182,10 @@
     rows = yield from documents.scan(f"{OWNER_PREFIX}{old_owner}/")
     for row in rows:
         request_id = row.key.rsplit("/", 1)[1]
-        yield from take_job(documents, request_id, old_owner, new_owner)
+        yield from move_job(documents, request_id, old_owner, new_owner)
 
 
-def owned_jobs(documents: DocumentStore, owner: str) -> Task:
+def list_owned_jobs(documents: DocumentStore, owner: str) -> Task:
     """Return all unfinished jobs of an owner, those included whose move lost its answer."""
     index = yield from documents.scan(f"{OWNER_PREFIX}{owner}/")
     keys = [_job_key(row.key.rsplit("/", 1)[1]) for row in index]
@@ -200,6 +200,6 @@
     ]
 
 
-def is_lost(job: AdoptedJob) -> bool:
+def is_outcome_unknown(job: AdoptedJob) -> bool:
     """Tell whether an adopted job must not be sent again."""
     return job.maybe_ran and not job.record.may_repeat
--- a/flamingofront/request/keyed.py
+++ b/flamingofront/request/keyed.py
@@ -19,14 +19,14 @@
     ClaimDecision,
     ClaimKey,
     ClaimOutcome,
-    claim,
-    finish_claim,
-    move_claim,
+    acquire_claim,
+    reassign_claim,
     release_claim,
     request_digest,
+    store_claim_result,
 )
 from flamingofront.request.hub import RequestHub
-from flamingofront.request.jobs import create_job, finish_job, mark_running
+from flamingofront.request.jobs import create_job, mark_running, store_job_result
 from flamingofront.request.records import RequestRecord
 from flamingofront.request.stored_answer import StoredAnswer
 
@@ -35,10 +35,10 @@
 IN_PROGRESS_RETRY_SECONDS = 1.0
 STORE_RETRY_SECONDS = 2.0
 LATE_WRITE_SECONDS = 5.0
-MAX_REMEMBERED = 10_000
+MAX_REMEMBERED_REQUESTS = 10_000
 _BACKOFF = Backoff(0.1, 2.0)
 
-_REFUSALS = {
+_REJECTIONS = {
     ClaimDecision.IN_PROGRESS: (ErrorKind.KEY_IN_PROGRESS, IN_PROGRESS_RETRY_SECONDS),
     ClaimDecision.OUTCOME_UNKNOWN: (ErrorKind.OUTCOME_UNKNOWN, None),
     ClaimDecision.OTHER_REQUEST: (ErrorKind.KEY_REUSED, None),
@@ -75,8 +75,8 @@
         self._is_gone = is_gone
         self._ask_owner = ask_owner
         self._claiming: dict[ClaimKey, str] = {}
-        self._storing: set[str] = set()
-        self._not_run: OrderedDict[str, None] = OrderedDict()
+        self._jobs_being_stored: set[str] = set()
+        self._not_run_ids: OrderedDict[str, None] = OrderedDict()
 
     def handle(
         self,
@@ -95,14 +95,16 @@
             attachment.detach()
         else:
             request.attach(attachment)
-        request.hold_back()
+        request.defer_start()
         self._claiming[key] = request.request_id
         digest = request_digest(req.method, req.path, req.body)
         task = self._claim(key, record, digest)
-        self._tasks.start(task, lambda outcome: self._claimed(key, request, outcome, exchange))
+        self._tasks.start(
+            task, lambda outcome: self._on_claim_outcome(key, request, outcome, exchange)
+        )
 
     def _claim(self, key: ClaimKey, record: RequestRecord, digest: str) -> Task:
-        outcome = yield from claim(
+        outcome = yield from acquire_claim(
             self._documents,
             key,
             record.request_id,
@@ -120,7 +122,7 @@
             except PlatformError as exc:
                 if exc.maybe_done:
                     return ClaimOutcome(ClaimDecision.JOB_UNCONFIRMED)
-                return ClaimOutcome(ClaimDecision.UNAVAILABLE, maybe_left=True)
+                return ClaimOutcome(ClaimDecision.UNAVAILABLE, may_exist=True)
         return outcome
 
     def _ask_owner_of_claim(self, owner: str, request_id: str) -> Task:
@@ -130,40 +132,40 @@
 
     def was_not_run(self, request_id: str) -> bool:
         """Tell whether a request of this process ended with the certainty that it was not run."""
-        return request_id in self._not_run
+        return request_id in self._not_run_ids
 
-    def _claimed(
+    def _on_claim_outcome(
         self, key: ClaimKey, request: ActiveRequest, outcome: ClaimOutcome, exchange: Exchange
     ) -> None:
         self._hub.metrics.count("claims_total", result=outcome.decision.value)
         if outcome.decision is ClaimDecision.GRANTED:
-            self._start(key, request, exchange)
+            self._start_claimed(key, request, exchange)
             return
         if outcome.decision is ClaimDecision.JOB_UNCONFIRMED:
             self._job_unconfirmed(key, request, exchange)
             return
         self._claiming.pop(key, None)
-        if outcome.maybe_left:
-            self._release(key, request.request_id, LATE_WRITE_SECONDS)
+        if outcome.may_exist:
+            self._release_claim(key, request.request_id, LATE_WRITE_SECONDS)
         if outcome.decision is ClaimDecision.ANSWERED:
             self._repeat_answer(request, outcome, exchange)
             return
-        kind, retry_after = _REFUSALS[outcome.decision]
-        self._refuse(request, RequestError(kind, retry_after=retry_after), exchange)
+        kind, retry_after = _REJECTIONS[outcome.decision]
+        self._reject(request, RequestError(kind, retry_after=retry_after), exchange)
 
     def _job_unconfirmed(self, key: ClaimKey, request: ActiveRequest, exchange: Exchange) -> None:
         """Refuse a job whose row may stand: an adopter may run it, so its key stays used."""
-        task = finish_claim(
-            self._documents, key, request.request_id, None, self._rng, self._until()
+        task = store_claim_result(
+            self._documents, key, request.request_id, None, self._rng, self._answer_expiry()
         )
         self._tasks.start(task, lambda _: self._claiming.pop(key, None))
         exc = RequestError(ErrorKind.STORE_UNAVAILABLE, ran=Ran.UNKNOWN)
-        self._refuse(request, exc, exchange)
+        self._reject(request, exc, exchange)
 
-    def _refuse(self, request: ActiveRequest, exc: RequestError, exchange: Exchange) -> None:
+    def _reject(self, request: ActiveRequest, exc: RequestError, exchange: Exchange) -> None:
         """Tell the caller; one of a job waits on the exchange, others on the request."""
         if not request.done:
-            request.refuse(exc)
+            request.reject_unstarted(exc)
         if request.record.job:
             respond_error(exchange, exc, request.request_id)
 
@@ -173,24 +175,24 @@
         """Give the answer that the first call with the key got."""
         if not request.record.job:
             if not request.done:
-                request.resolve(outcome.answer)
+                request.replay_answer(outcome.answer)
             return
         if not request.done:
-            request.drop()
+            request.cancel_unstarted()
         answer = outcome.answer
         headers = (("Content-Type", answer.content_type), ("X-Request-Id", outcome.request_id))
         exchange.respond(answer.status, headers, answer.body)
 
-    def _start(self, key: ClaimKey, request: ActiveRequest, exchange: Exchange) -> None:
+    def _start_claimed(self, key: ClaimKey, request: ActiveRequest, exchange: Exchange) -> None:
         if request.done:
             # The caller's time ended while the claim was made; nothing was sent.
             self._claiming.pop(key, None)
-            self._release(key, request.request_id, 0.0)
+            self._release_claim(key, request.request_id, 0.0)
             if request.record.job:
                 respond_accepted(exchange, request.request_id)
                 self.start_job(request)
             return
-        request.on_settled = lambda answer, exc: self._ended(key, request, answer, exc)
+        request.on_finished = lambda answer, exc: self._on_request_end(key, request, answer, exc)
         if request.record.job:
             respond_accepted(exchange, request.request_id)
             self.start_job(request)
@@ -198,7 +200,7 @@
         request.allow_start()
         self._hub.start_ready_requests()
 
-    def _ended(
+    def _on_request_end(
         self,
         key: ClaimKey,
         request: ActiveRequest,
@@ -209,27 +211,29 @@
         if request.record.job:
             self.store_job_answer(request.request_id, answer, exc)
         if answer is None and exc is not None and exc.ran is Ran.NO:
-            self._release(key, request.request_id, 0.0)
+            self._release_claim(key, request.request_id, 0.0)
             self._claiming.pop(key, None)
             return
-        task = finish_claim(
-            self._documents, key, request.request_id, answer, self._rng, self._until()
+        task = store_claim_result(
+            self._documents, key, request.request_id, answer, self._rng, self._answer_expiry()
         )
         self._tasks.start(task, lambda _: self._claiming.pop(key, None))
 
-    def _release(self, key: ClaimKey, request_id: str, settle: float) -> None:
-        self._not_run[request_id] = None
-        while len(self._not_run) > MAX_REMEMBERED:
-            self._not_run.popitem(last=False)
-        self._tasks.start(release_claim(self._documents, key, request_id, self._rng, settle))
+    def _release_claim(self, key: ClaimKey, request_id: str, settle_seconds: float) -> None:
+        self._not_run_ids[request_id] = None
+        while len(self._not_run_ids) > MAX_REMEMBERED_REQUESTS:
+            self._not_run_ids.popitem(last=False)
+        self._tasks.start(
+            release_claim(self._documents, key, request_id, self._rng, settle_seconds)
+        )
 
-    def keep_claim_answer(self, request: ActiveRequest) -> None:
+    def adopt_claim(self, request: ActiveRequest) -> None:
         """Own the claim of a request that was handed over to this process, and store its answer."""
         key = ClaimKey(request.record.workspace, request.record.key)
         self._claiming[key] = request.request_id
-        task = move_claim(self._documents, key, request.request_id, self._vm_id, self._rng)
+        task = reassign_claim(self._documents, key, request.request_id, self._vm_id, self._rng)
         self._tasks.start(task)
-        request.on_settled = lambda answer, exc: self._ended(key, request, answer, exc)
+        request.on_finished = lambda answer, exc: self._on_request_end(key, request, answer, exc)
 
     def start_job(self, request: ActiveRequest) -> None:
         """Let a job start whose row stands, and store its answer when it is there.
@@ -244,17 +248,18 @@
             late = RequestError(ErrorKind.DEADLINE_EXCEEDED, ran=Ran.NO)
             self.store_job_answer(request.request_id, None, late)
             return
-        if request.on_settled is None:
-            request.on_settled = lambda answer, exc: self.store_job_answer(
+        if request.on_finished is None:
+            request.on_finished = lambda answer, exc: self.store_job_answer(
                 request.request_id, answer, exc
             )
         if request.record.may_repeat:
             request.allow_start()
             self._hub.start_ready_requests()
             return
-        request.hold_back()
+        request.defer_start()
         self._tasks.start(
-            self._mark_running(request.request_id), lambda ours: self._marked(request, ours)
+            self._mark_running(request.request_id),
+            lambda is_owner: self._on_marked_running(request, is_owner),
         )
 
     def _mark_running(self, request_id: str) -> Task:
@@ -266,20 +271,20 @@
                 yield Sleep(_BACKOFF.delay(tries, self._rng))
                 tries += 1
 
-    def _marked(self, request: ActiveRequest, ours: bool) -> None:
+    def _on_marked_running(self, request: ActiveRequest, is_owner: bool) -> None:
         if request.done:
             return
-        if not ours:
-            request.drop()
+        if not is_owner:
+            request.cancel_unstarted()
             return
         request.allow_start()
         self._hub.start_ready_requests()
 
-    def storing(self, request_id: str) -> bool:
+    def is_storing_answer(self, request_id: str) -> bool:
         """Tell whether the answer of a job is still being stored."""
-        return request_id in self._storing
+        return request_id in self._jobs_being_stored
 
-    def _until(self) -> float:
+    def _answer_expiry(self) -> float:
         """Return when an answer that is stored now may be removed."""
         return self._hub.timers.wall() + KEPT_SECONDS
 
@@ -290,8 +295,8 @@
         if answer is None:
             status = ANSWERS[exc.kind].status
             answer = StoredAnswer(status, "application/json", error_body(exc, request_id))
-        self._storing.add(request_id)
-        task = finish_job(
-            self._documents, request_id, self._vm_id, answer, self._rng, self._until()
+        self._jobs_being_stored.add(request_id)
+        task = store_job_result(
+            self._documents, request_id, self._vm_id, answer, self._rng, self._answer_expiry()
         )
-        self._tasks.start(task, lambda _: self._storing.discard(request_id))
+        self._tasks.start(task, lambda _: self._jobs_being_stored.discard(request_id))
--- a/flamingofront/request/model_request.py
+++ b/flamingofront/request/model_request.py
@@ -30,9 +30,9 @@
     """A completion."""
 
     def __init__(self, hub: RequestHost, record: RequestRecord, ticket: Ticket):
-        self._hashes: tuple[str, ...] | None = None
-        self._kv = ""
-        self._cache_at: Candidate | None = None
+        self._prefix_blocks: tuple[str, ...] | None = None
+        self._kv_handle = ""
+        self._cache_endpoint: Candidate | None = None
         self._last_token_at = 0.0
         super().__init__(hub, record, ticket)
 
@@ -41,32 +41,32 @@
         """What the engine is asked for."""
         return self.record.work
 
-    def hashes(self) -> tuple[str, ...]:
+    def prefix_blocks(self) -> tuple[str, ...]:
         """Return the prefix blocks of the prompt."""
-        if self._hashes is None:
-            self._hashes = block_hashes(self.work.prompt)
-        return self._hashes
+        if self._prefix_blocks is None:
+            self._prefix_blocks = block_hashes(self.work.prompt)
+        return self._prefix_blocks
 
     def use_cache(self, kv_handle: str, chosen: Candidate) -> None:
         """Let the next attempt begin from a KV cache that was imported by an endpoint."""
-        self._kv = kv_handle
-        self._cache_at = chosen
+        self._kv_handle = kv_handle
+        self._cache_endpoint = chosen
 
-    def place(self, order: StartAttempt) -> None:
+    def dispatch_attempt(self, action: StartAttempt) -> None:
         """Send an attempt to the endpoint that has the cache, else to a chosen one."""
-        chosen, self._cache_at = self._cache_at, None
+        chosen, self._cache_endpoint = self._cache_endpoint, None
         if chosen is None or self.hub.directory.is_unavailable(chosen.endpoint_id):
-            self._kv = ""
-            super().place(order)
+            self._kv_handle = ""
+            super().dispatch_attempt(action)
         else:
-            self.launch(order, chosen)
+            self.record_and_send(action, chosen)
 
-    def _call(self, order: StartAttempt, chosen: Candidate) -> OutboundCall:
-        kv_handle, self._kv = self._kv, ""
+    def _build_call(self, action: StartAttempt, chosen: Candidate) -> OutboundCall:
+        kv_handle, self._kv_handle = self._kv_handle, ""
         self._last_token_at = self.hub.now()
         body = {
             "request": self.request_id,
-            "attempt": order.attempt_id,
+            "attempt": action.attempt_id,
             "model": self.work.model,
             "prompt": self.work.prompt,
             "resume": self.machine.assembler.tokens,
@@ -85,24 +85,24 @@
             fresh=self.needs_fresh_connection,
         )
 
-    def _listener(self, attempt_id: str, chosen: Candidate) -> Callable[[CallEvent], None]:
+    def _make_listener(self, attempt_id: str, chosen: Candidate) -> Callable[[CallEvent], None]:
         return _FrameReader(self, attempt_id)
 
-    def frame(self, frame: Frame, prefilled: int) -> None:
+    def handle_frame(self, frame: Frame, prefilled: int) -> None:
         """Take a frame of the current attempt."""
         self.hub.directory.record_contact(self.endpoint_id, self.hub.now())
         self._count_recomputed(frame, prefilled)
         before = sum(self.machine.assembler.dropped.values())
         first = self.machine.assembler.offset == 0
-        orders = self.machine.frame(frame)
+        actions = self.machine.accept_frame(frame)
         if sum(self.machine.assembler.dropped.values()) > before:
             self.hub.metrics.count("frames_dropped_total", reason="assembler")
         if first and self.machine.assembler.offset:
             self.hub.metrics.observe("first_token_seconds", self.hub.now() - self.accepted_at)
-        self._observe(frame)
-        self.carry(orders)
+        self._record_token_time(frame)
+        self.execute(actions)
 
-    def _observe(self, frame: Frame) -> None:
+    def _record_token_time(self, frame: Frame) -> None:
         now = self.hub.now()
         if frame.tokens and self.machine.attempt_id == frame.attempt_id and not frame.final:
             seconds = (now - self._last_token_at) / len(frame.tokens)
@@ -113,19 +113,19 @@
         if prefilled and self.machine.attempts + self.record.epoch > 1:
             self.hub.metrics.count("tokens_recomputed_total", prefilled, cause="further_attempt")
 
-    def _emit(self, order: Emit) -> None:
+    def _send_tokens(self, action: Emit) -> None:
         service = self.record.service.name
-        self.hub.metrics.count("tokens_sent_total", len(order.tokens), service=service)
-        super()._emit(order)
+        self.hub.metrics.count("tokens_sent_total", len(action.tokens), service=service)
+        super()._send_tokens(action)
 
-    def _complete(self) -> None:
+    def _complete_answer(self) -> None:
         self.hub.directory.health.succeeded(self.endpoint_id)
         self.hub.guard.record_response(self.fingerprint)
-        self.hub.directory.prefixes.add_blocks(self.endpoint_id, self.hashes())
+        self.hub.directory.prefixes.add_blocks(self.endpoint_id, self.prefix_blocks())
         # The end of the response is still to come; reading it keeps the connection usable.
-        self._release(cancel=False)
+        self._end_call(cancel=False)
         tokens = self.machine.assembler.tokens
-        self._settle(whole_completion(self.request_id, self.work, tokens), None)
+        self._finish(whole_completion(self.request_id, self.work, tokens), None)
 
 
 class _FrameReader:
@@ -143,22 +143,22 @@
         elif isinstance(event, ResponseData):
             self._buffer += event.data
             if self._status == 200:
-                self._take_lines()
+                self._read_lines()
         elif isinstance(event, ResponseEnd):
-            self._ended()
+            self._on_response_end()
         else:
-            self._request.call_failed(self._attempt_id, event)
+            self._request.handle_call_failure(self._attempt_id, event)
 
-    def _take_lines(self) -> None:
+    def _read_lines(self) -> None:
         *lines, self._buffer = self._buffer.split(b"\n")
         try:
             frames = [orjson.loads(line) for line in lines if line]
-            for data in _coalesced(frames):
-                self._take_frame(data)
+            for data in _join_adjacent(frames):
+                self._handle_frame(data)
         except (orjson.JSONDecodeError, KeyError, TypeError):
-            self._request.lost(self._attempt_id, Ran.UNKNOWN, "malformed frame")
+            self._request.fail_attempt(self._attempt_id, Ran.UNKNOWN, "malformed frame")
 
-    def _take_frame(self, data: dict) -> None:
+    def _handle_frame(self, data: dict) -> None:
         if self._request.done or self._request.machine.attempt_id != self._attempt_id:
             return
         frame = Frame(
@@ -168,16 +168,16 @@
             tuple(data["tokens"]),
             data.get("final", False),
         )
-        self._request.frame(frame, data.get("prefilled", 0))
+        self._request.handle_frame(frame, data.get("prefilled", 0))
 
-    def _ended(self) -> None:
-        refused = self._status != 200 and _says_not_run(self._buffer)
-        executed = Ran.NO if refused else Ran.UNKNOWN
-        reason = "refused" if refused else f"ended with status {self._status}"
-        self._request.lost(self._attempt_id, executed, reason)
+    def _on_response_end(self) -> None:
+        is_rejected = self._status != 200 and _is_not_run(self._buffer)
+        executed = Ran.NO if is_rejected else Ran.UNKNOWN
+        reason = "refused" if is_rejected else f"ended with status {self._status}"
+        self._request.fail_attempt(self._attempt_id, executed, reason)
 
 
-def _coalesced(frames: list[dict]) -> list[dict]:
+def _join_adjacent(frames: list[dict]) -> list[dict]:
     """Join frames that arrived together and follow one another, to pass them on as one."""
     joined: list[dict] = []
     for data in frames:
@@ -201,7 +201,7 @@
     return joined
 
 
-def _says_not_run(body: bytes) -> bool:
+def _is_not_run(body: bytes) -> bool:
     """Tell whether an engine's error says that the request was not run."""
     try:
         return orjson.loads(body)["error"]["ran"] == "no"
--- a/flamingofront/request/plain_request.py
+++ b/flamingofront/request/plain_request.py
@@ -24,11 +24,11 @@
         """What the service is asked for."""
         return self.record.work
 
-    def hashes(self) -> tuple[str, ...]:
+    def prefix_blocks(self) -> tuple[str, ...]:
         """Return no blocks: plain services have no prefix cache."""
         return ()
 
-    def _call(self, order: StartAttempt, chosen: Candidate) -> OutboundCall:
+    def _build_call(self, action: StartAttempt, chosen: Candidate) -> OutboundCall:
         headers = (*self.work.headers, ("X-Request-Id", self.request_id))
         return OutboundCall(
             chosen.address,
@@ -40,28 +40,28 @@
             fresh=self.needs_fresh_connection,
         )
 
-    def _listener(self, attempt_id: str, chosen: Candidate) -> Callable[[CallEvent], None]:
-        return ReplyCollector(lambda reply: self._replied(attempt_id, reply))
+    def _make_listener(self, attempt_id: str, chosen: Candidate) -> Callable[[CallEvent], None]:
+        return ReplyCollector(lambda reply: self._on_reply(attempt_id, reply))
 
-    def _replied(self, attempt_id: str, reply: Reply) -> None:
+    def _on_reply(self, attempt_id: str, reply: Reply) -> None:
         """Take the complete response of the service, or the failure of the call."""
         if isinstance(reply, CallFailed):
-            self.call_failed(attempt_id, reply)
+            self.handle_call_failure(attempt_id, reply)
         elif reply.headers.get(NOT_RUN_HEADER) == "true":
-            self.lost(attempt_id, Ran.NO, "refused")
+            self.fail_attempt(attempt_id, Ran.NO, "refused")
         elif reply.headers.get("x-request-id", self.request_id) != self.request_id:
-            self.lost(attempt_id, Ran.UNKNOWN, "crossed answer")
+            self.fail_attempt(attempt_id, Ran.UNKNOWN, "crossed answer")
         else:
-            self._answered(attempt_id, reply)
+            self._complete_response(attempt_id, reply)
 
-    def _answered(self, attempt_id: str, reply: WholeResponse) -> None:
-        if not self.machine.answered(attempt_id):
+    def _complete_response(self, attempt_id: str, reply: WholeResponse) -> None:
+        if not self.machine.accept_response(attempt_id):
             return
         self.hub.directory.health.succeeded(self.endpoint_id)
         self.hub.guard.record_response(self.fingerprint)
         self.hub.metrics.observe("first_token_seconds", self.hub.now() - self.accepted_at)
         content_type = reply.headers.get("content-type", "application/octet-stream")
-        self._settle(StoredAnswer(reply.status, content_type, reply.body), None)
+        self._finish(StoredAnswer(reply.status, content_type, reply.body), None)
 
-    def _complete(self) -> None:
+    def _complete_answer(self) -> None:
         raise AssertionError("a plain request is completed by its answer")
--- a/flamingofront/request/reattach.py
+++ b/flamingofront/request/reattach.py
@@ -29,13 +29,13 @@
 from flamingofront.request.records import ModelWork
 from flamingofront.request.stored_answer import StoredAnswer
 
-__all__ = ["Reattachment", "origin_of"]
+__all__ = ["Reattachment", "parse_origin_vm"]
 
-RELAY_SILENCE_SECONDS = 30.0
+RELAY_TIMEOUT_SECONDS = 30.0
 RETRY_SECONDS = 1.0
 
 
-def origin_of(request_id: str) -> str:
+def parse_origin_vm(request_id: str) -> str:
     """Return the VM that accepted a request, which its id begins with."""
     return request_id.rpartition("~")[0]
 
@@ -67,17 +67,17 @@
         self._holders = holders
         self._peer_headers = peer_headers
 
-    def handle(
+    def attach_caller(
         self, request_id: str, workspace: str, offset: int, stream: bool, exchange: Exchange
     ) -> None:
         """Attach a caller to a request, here or at its holder."""
-        if self._here(request_id, workspace, offset, stream, exchange):
+        if self._attach_locally(request_id, workspace, offset, stream, exchange):
             self._hub.metrics.count("reattachments_total", result="here")
             return
-        search = _Search(self, request_id, workspace, offset, stream, exchange)
-        search.next_holder()
+        search = _HolderSearch(self, request_id, workspace, offset, stream, exchange)
+        search.query_next_holder()
 
-    def relay(
+    def attach_peer(
         self, request_id: str, workspace: str, offset: int, stream: bool, exchange: Exchange
     ) -> bool:
         """Attach a peer to a request that is held here; False if it is not."""
@@ -89,7 +89,7 @@
                 return True
             _check_offset(offset, request.machine.assembler.offset)
             attachment = RelayAttachment(exchange, request_id, request.record.work, offset)
-            _attach_at(request, attachment, offset)
+            _attach_from(request, attachment, offset)
             return True
         finished = self._hub.finished.get(request_id, self._hub.now())
         if finished is None or finished.workspace != workspace:
@@ -100,16 +100,16 @@
         if stream:
             _check_offset(offset, len(finished.tokens))
         attachment = RelayAttachment(exchange, request_id, work, offset)
-        attachment.tokens(offset, finished.tokens[offset:])
-        attachment.complete(finished.answer)
+        attachment.send_tokens(offset, finished.tokens[offset:])
+        attachment.send_answer(finished.answer)
         return True
 
-    def _here(
+    def _attach_locally(
         self, request_id: str, workspace: str, offset: int, stream: bool, exchange: Exchange
     ) -> bool:
         request = self._hub.active.get(request_id)
         if request is not None and request.record.workspace == workspace and not request.done:
-            self._attach(request, offset, stream, exchange)
+            self._attach_to_request(request, offset, stream, exchange)
             return True
         finished = self._hub.finished.get(request_id, self._hub.now())
         if finished is None or finished.workspace != workspace:
@@ -118,24 +118,24 @@
         if stream and isinstance(work, ModelWork):
             _check_offset(offset, len(finished.tokens))
             attachment: Attachment = StreamAttachment(exchange, request_id, work, offset)
-            attachment.tokens(offset, finished.tokens[offset:])
+            attachment.send_tokens(offset, finished.tokens[offset:])
         else:
             attachment = WholeAttachment(exchange, request_id)
         attachment.detach()
-        attachment.complete(finished.answer)
+        attachment.send_answer(finished.answer)
         return True
 
-    def _attach(
+    def _attach_to_request(
         self, request: ActiveRequest, offset: int, stream: bool, exchange: Exchange
     ) -> None:
         work = request.record.work
         if stream and isinstance(work, ModelWork):
             attachment = StreamAttachment(exchange, request.request_id, work, offset)
-            _attach_at(request, attachment, offset)
+            _attach_from(request, attachment, offset)
         else:
             _respond_running(exchange, request.request_id, request.machine.assembler.offset)
 
-    def job_fetched(
+    def answer_from_job(
         self,
         status: JobStatus | PlatformError | None,
         request_id: str,
@@ -147,18 +147,18 @@
         if isinstance(status, PlatformError):
             kind = ErrorKind.STORE_UNAVAILABLE
             exc = RequestError(kind, str(status), Ran.UNKNOWN, RETRY_SECONDS)
-            self._refuse(exc, request_id, exchange)
+            self._reject(exc, request_id, exchange)
         elif status is None or status.workspace != workspace:
             kind = ErrorKind.HOLDER_UNREACHABLE if unreachable else ErrorKind.UNKNOWN_REQUEST
             retry_after = RETRY_SECONDS if unreachable else None
-            self._refuse(RequestError(kind, retry_after=retry_after), request_id, exchange)
+            self._reject(RequestError(kind, retry_after=retry_after), request_id, exchange)
         elif status.state is JobState.DONE and status.answer is not None:
             self._hub.metrics.count("reattachments_total", result="stored")
             _respond_stored(exchange, request_id, status.answer)
         else:
             _respond_running(exchange, request_id, 0)
 
-    def _refuse(self, exc: RequestError, request_id: str, exchange: Exchange) -> None:
+    def _reject(self, exc: RequestError, request_id: str, exchange: Exchange) -> None:
         self._hub.metrics.count("reattachments_total", result=exc.kind.value)
         respond_error(exchange, exc, request_id)
 
@@ -182,23 +182,23 @@
         position = f"workspace={quote(workspace)}&offset={offset}&stream={int(stream)}"
         path = f"/peer/requests/{quote(request_id)}?{position}"
         call = OutboundCall(
-            address, "GET", path, b"", self._peer_headers, RELAY_SILENCE_SECONDS, stream=True
+            address, "GET", path, b"", self._peer_headers, RELAY_TIMEOUT_SECONDS, stream=True
         )
         return self._transport.start(call, listener)
 
 
-def _check_offset(offset: int, held: int) -> None:
-    if offset > held:
+def _check_offset(offset: int, available: int) -> None:
+    if offset > available:
         raise RequestError(
-            ErrorKind.UNKNOWN_REQUEST, f"offset {offset} is beyond the text held here ({held})"
+            ErrorKind.UNKNOWN_REQUEST, f"offset {offset} is beyond the text held here ({available})"
         )
 
 
-def _attach_at(request: ActiveRequest, attachment: Attachment, offset: int) -> None:
+def _attach_from(request: ActiveRequest, attachment: Attachment, offset: int) -> None:
     """Give a new reader what is there from its offset on, then all that follows."""
     tokens = request.machine.assembler.tokens
     _check_offset(offset, len(tokens))
-    attachment.tokens(offset, tuple(tokens[offset:]))
+    attachment.send_tokens(offset, tuple(tokens[offset:]))
     request.attach(attachment)
 
 
@@ -213,7 +213,7 @@
     exchange.respond(answer.status, headers, answer.body)
 
 
-class _Search:
+class _HolderSearch:
     """Ask possible holders one after the other, then relay from the first that has the request."""
 
     def __init__(
@@ -231,17 +231,17 @@
         self._offset = offset
         self._stream = stream
         self._exchange = exchange
-        self._left = owner._holders(request_id)
+        self._candidates = owner._holders(request_id)
         self._unreachable = False
 
-    def next_holder(self) -> None:
+    def query_next_holder(self) -> None:
         """Ask the next possible holder, or look for a job if none is left."""
-        if not self._left:
-            self._look_for_job()
+        if not self._candidates:
+            self._fetch_job_status()
             return
-        relay = _Relay(self, self._exchange)
+        relay = _RelayReader(self, self._exchange)
         handle = self._owner.start_relay(
-            self._left.pop(0),
+            self._candidates.pop(0),
             self.request_id,
             self._workspace,
             self._offset,
@@ -250,22 +250,22 @@
         )
         self._exchange.on_gone = handle.cancel
 
-    def not_held(self, reachable: bool) -> None:
+    def skip_holder(self, is_reachable: bool) -> None:
         """A peer doesn't hold the request or could not be asked."""
-        self._unreachable = self._unreachable or not reachable
-        self.next_holder()
+        self._unreachable = self._unreachable or not is_reachable
+        self.query_next_holder()
 
-    def _look_for_job(self) -> None:
+    def _fetch_job_status(self) -> None:
         self._exchange.on_gone = None
         owner = self._owner
         owner._tasks.start(
             owner.fetch_job(self.request_id),
-            lambda status: owner.job_fetched(
+            lambda status: owner.answer_from_job(
                 status, self.request_id, self._workspace, self._unreachable, self._exchange
             ),
         )
 
-    def reader(self, work: ModelWork) -> Attachment:
+    def make_attachment(self, work: ModelWork) -> Attachment:
         """Return the attachment that fits what the caller wants."""
         self._owner._hub.metrics.count("reattachments_total", result="relayed")
         if self._stream and work.model:
@@ -273,15 +273,15 @@
         return WholeAttachment(self._exchange, self.request_id)
 
 
-class _Relay:
+class _RelayReader:
     """Pass the lines of a holder on to the caller."""
 
-    def __init__(self, search: _Search, exchange: Exchange):
+    def __init__(self, search: _HolderSearch, exchange: Exchange):
         self._search = search
         self._exchange = exchange
         self._status = 0
         self._buffer = b""
-        self._reader: Attachment | None = None
+        self._attachment: Attachment | None = None
         self._finished = False
 
     def __call__(self, event: CallEvent) -> None:
@@ -289,33 +289,33 @@
             self._status = event.status
         elif isinstance(event, ResponseData):
             if self._status == 200:
-                self._take_lines(event.data)
+                self._read_lines(event.data)
         elif isinstance(event, ResponseEnd):
-            self._ended(reachable=True)
+            self._on_response_end(is_reachable=True)
         else:
-            self._ended(reachable=False)
+            self._on_response_end(is_reachable=False)
 
-    def _ended(self, reachable: bool) -> None:
+    def _on_response_end(self, is_reachable: bool) -> None:
         if self._finished:
             return
-        if self._reader is None:
-            self._search.not_held(reachable)
+        if self._attachment is None:
+            self._search.skip_holder(is_reachable)
         else:
             self._finished = True
-            self._reader.detach()
-            self._reader.moved(0)
+            self._attachment.detach()
+            self._attachment.send_moved(0)
 
-    def _take_lines(self, data: bytes) -> None:
+    def _read_lines(self, data: bytes) -> None:
         *lines, self._buffer = (self._buffer + data).split(b"\n")
         for line in lines:
             if line and not self._finished:
-                self._take_line(orjson.loads(line))
+                self._handle_line(orjson.loads(line))
 
-    def _take_line(self, data: dict) -> None:
+    def _handle_line(self, data: dict) -> None:
         if "work" in data:
             work = data["work"]
             gone = self._exchange.on_gone
-            self._reader = self._search.reader(
+            self._attachment = self._search.make_attachment(
                 ModelWork(work["model"], (), 1, work["chat"], work["stream"])
             )
             self._exchange.on_gone = gone
@@ -324,22 +324,22 @@
             self._exchange.on_gone = None
             _respond_running(self._exchange, self._search.request_id, data["offset"])
         elif "tokens" in data:
-            if not self._reader.tokens(data["offset"], tuple(data["tokens"])):
+            if not self._attachment.send_tokens(data["offset"], tuple(data["tokens"])):
                 self._finished = True
-                self._reader.abort()
+                self._attachment.abort()
         else:
             self._finish(data)
 
     def _finish(self, data: dict) -> None:
         self._finished = True
-        self._reader.detach()
+        self._attachment.detach()
         if data.get("done"):
-            self._reader.complete(StoredAnswer(200, data["type"], data["body"].encode()))
+            self._attachment.send_answer(StoredAnswer(200, data["type"], data["body"].encode()))
         elif data.get("moved"):
-            self._reader.moved(0)
+            self._attachment.send_moved(0)
         else:
             error = data["error"]
-            self._reader.failed(
+            self._attachment.send_error(
                 RequestError(
                     ErrorKind(error["kind"]),
                     error["detail"],
--- a/flamingofront/request/stop_refusal.py
+++ b/flamingofront/request/stop_refusal.py
@@ -1,4 +1,4 @@
-"""Refusal of what a process that stops could not answer in full."""
+"""Rejection of requests that may not finish before this process shuts down."""
 
 import math
 
@@ -8,33 +8,33 @@
 from flamingofront.request.host import RequestHost
 from flamingofront.request.records import RequestRecord
 
-__all__ = ["refusal_for_stop"]
+__all__ = ["make_shutdown_rejection"]
 
-# Another process takes the request at once.
-STOPPING_RETRY_SECONDS = 0.05
+# Short, because another entry process can accept the request immediately.
+SHUTDOWN_RETRY_SECONDS = 0.05
 
 
-def refusal_for_stop(
+def make_shutdown_rejection(
     hub: RequestHost, record: RequestRecord, deadline_left: float
 ) -> RequestError | None:
-    """Return the error for a request that may outlast this process; None if it ends before.
+    """Return the error for a request that may outlast this process; None if it finishes before.
 
     Parameters
     ----------
     deadline_left : float
-        Seconds from now after which the request is ended in any case.
+        Seconds until the deadline of the request.
     """
     left = hub.shutdown_seconds_left()
     if math.isinf(left):
         return None
-    bound = _bound(hub, record.service.name, record.work)
+    bound = _duration_bound(hub, record.service.name, record.work)
     if ends_in_time(deadline_left, bound, left):
         return None
     return RequestError(
         ErrorKind.DRAINING,
-        "this process stops before the request could end",
+        "this process shuts down before the request could finish",
         Ran.NO,
-        STOPPING_RETRY_SECONDS,
+        SHUTDOWN_RETRY_SECONDS,
         {
             "stop_left": round(left, 2),
             "deadline_left": round(deadline_left, 2),
@@ -44,6 +44,6 @@
     )
 
 
-def _bound(hub: RequestHost, service: str, work: ForwardWork) -> float:
-    """Return the longest seconds that a request takes, as far as its size tells."""
+def _duration_bound(hub: RequestHost, service: str, work: ForwardWork) -> float:
+    """Return the longest expected duration in seconds, by output size; infinity if unknown."""
     return hub.completion.of(service).seconds(work.output_tokens) if work.stream else math.inf
--- a/flamingofront/request/tests/test_assembly.py
+++ b/flamingofront/request/tests/test_assembly.py
@@ -28,7 +28,7 @@
         frames += data.draw(st.lists(st.sampled_from(frames), max_size=5))
         shuffled = data.draw(st.permutations(frames))
         assembler = Assembler("r")
-        assembler.assign("a")
+        assembler.set_owner("a")
         emitted = [token for frame in shuffled for token in assembler.accept(frame)]
         assert emitted == naive_text(text)
         assert assembler.tokens == emitted
@@ -36,21 +36,21 @@
 
     def test_frame_of_another_request_is_dropped(self):
         assembler = Assembler("r")
-        assembler.assign("a")
+        assembler.set_owner("a")
         assert assembler.accept(Frame("other", "a", 0, ("x",))) == ()
         assert assembler.dropped[DropReason.OTHER_REQUEST] == 1
 
     def test_frame_of_an_earlier_attempt_that_fits_is_dropped(self):
         assembler = Assembler("r")
-        assembler.assign("a")
+        assembler.set_owner("a")
         assembler.accept(Frame("r", "a", 0, ("x",)))
-        assembler.assign("b")
+        assembler.set_owner("b")
         assert assembler.accept(Frame("r", "a", 1, ("from a",))) == ()
         assert assembler.accept(Frame("r", "b", 1, ("from b",))) == ("from b",)
 
     def test_frozen_text_takes_nothing(self):
         assembler = Assembler("r")
-        assembler.assign("a")
+        assembler.set_owner("a")
         assembler.freeze()
         assert assembler.accept(Frame("r", "a", 0, ("x",))) == ()
         assert assembler.dropped[DropReason.FROZEN] == 1
@@ -77,7 +77,7 @@
     def new_attempt(self):
         attempt = f"a{len(self.attempts)}"
         self.attempts.append((attempt, self.assembler.offset))
-        self.assembler.assign(attempt)
+        self.assembler.set_owner(attempt)
 
     @rule(data=st.data())
     def frame_arrives(self, data):
--- a/flamingofront/request/tests/test_endpoint_limits.py
+++ b/flamingofront/request/tests/test_endpoint_limits.py
@@ -50,12 +50,12 @@
     )
     def test_only_decimal_numbers_are_limits(self, text, rate):
         head = ResponseHead(200, {"server-limit": text}, (("Server-Limit", text),))
-        response = PlatformProtocol().judge("r", head)
-        assert (response.names_limit, response.rate_limit) == (True, rate)
+        response = PlatformProtocol().decode_response_head("r", head)
+        assert (response.has_rate_limit_header, response.rate_limit) == (True, rate)
 
     def test_missing_header_is_no_limit(self):
-        response = PlatformProtocol().judge("r", ResponseHead(200, {}, ()))
-        assert (response.names_limit, response.rate_limit) == (False, None)
+        response = PlatformProtocol().decode_response_head("r", ResponseHead(200, {}, ()))
+        assert (response.has_rate_limit_header, response.rate_limit) == (False, None)
 
 
 class TestLimitChanges:
--- a/flamingofront/tests/test_crashing_requests.py
+++ b/flamingofront/tests/test_crashing_requests.py
@@ -366,7 +366,7 @@
         (work,) = {
             kwargs["work"]
             for message, kwargs in lines
-            if message == "refused" and kwargs["request"] == "asked-for"
+            if message == "request rejected" and kwargs["request"] == "asked-for"
         }
         ended = {
             kwargs["endpoint"]
