--- a/flamingofront/request/active.py
+++ b/flamingofront/request/active.py
@@ -474,13 +474,13 @@
 
     def to_record(self) -> RequestRecord:
         """Return a record of the current progress, with the next hand-over number."""
-        left = self.machine.facts.deadline - self.hub.now()
+        seconds_left = self.machine.facts.deadline - self.hub.now()
         return replace(
             self.record,
             tokens=tuple(self.machine.assembler.tokens),
             ran=self.machine.ran,
             epoch=self.record.epoch + 1,
-            deadline_left=max(0.0, left),
+            deadline_left=max(0.0, seconds_left),
         )
 
     def notify_moved(self) -> None:
--- a/flamingofront/request/assembly.py
+++ b/flamingofront/request/assembly.py
@@ -1,7 +1,7 @@
-"""Assemble the answer of one request from the frames of its attempts.
+"""Assembles the answer of one request from the frames of its attempts.
 
-Exactly one attempt at a time may extend the text. Two engines continue the same prompt in different
-ways, so a frame of any other attempt is dropped even if it fits the offset.
+Exactly one attempt at a time may extend the text. Two engines continue the same prompt differently,
+so a frame of any other attempt is dropped even if its offset fits.
 """
 
 from collections import Counter
@@ -15,7 +15,7 @@
 
 
 class DropReason(StrEnum):
-    """Why a frame was not used."""
+    """Reason for which a frame is dropped."""
 
     OTHER_REQUEST = "other_request"
     OTHER_ATTEMPT = "other_attempt"
@@ -26,14 +26,23 @@
 
 
 class Assembler:
-    """The text of one request.
+    """Text of one request, assembled from frames.
 
     Parameters
     ----------
     request_id : str
         Request that the text belongs to.
     tokens : sequence of str
-        Text that is there already, after a hand-over.
+        Tokens that were generated before a hand-over.
+
+    Attributes
+    ----------
+    complete : bool
+        True once the final frame was added.
+    frozen : bool
+        True once the text is continued by another process.
+    dropped : Counter
+        Number of dropped frames by reason.
     """
 
     def __init__(self, request_id: str, tokens: tuple[str, ...] = ()):
@@ -47,26 +56,26 @@
 
     @property
     def offset(self) -> int:
-        """Number of tokens that are there."""
+        """Number of assembled tokens."""
         return len(self.tokens)
 
     def set_owner(self, attempt_id: str | None) -> None:
-        """Make one attempt the only one that may extend the text; None stops all."""
+        """Set the only attempt that may extend the text; None for no attempt."""
         self._owner = attempt_id
         self._pending.clear()
 
     def freeze(self) -> None:
-        """Stop the text for good; it goes on in another process."""
+        """Stop extending the text permanently; another process continues it."""
         self.frozen = True
         self._pending.clear()
 
     def accept(self, frame: Frame) -> tuple[str, ...]:
-        """Take a frame and return the tokens that it adds to the text.
+        """Add a frame and return the tokens by which it extends the text.
 
         Notes
         -----
-        Frames may come twice, overlapping or out of order. One that begins behind the end of the
-        text waits until the gap is filled.
+        Frames may be duplicated, overlapping or out of order. A frame that starts beyond the end of
+        the text is kept until the gap is filled.
         """
         reason = self._find_drop_reason(frame)
         if reason is not None:
@@ -81,7 +90,7 @@
         return tuple(self.tokens[start:])
 
     def _choose_longer(self, frame: Frame) -> Frame:
-        """Return the frame that says more about its offset."""
+        """Return the longer one of a frame and the pending frame at the same offset."""
         cached = self._pending.get(frame.offset)
         if cached is None or (len(frame.tokens), frame.final) > (len(cached.tokens), cached.final):
             return frame
--- a/flamingofront/request/attachments.py
+++ b/flamingofront/request/attachments.py
@@ -1,4 +1,4 @@
-"""Where the answer of a request goes: the callers that wait for it."""
+"""Consumers of the answer of a request: callers and peers that relay it."""
 
 from abc import ABC, abstractmethod
 from collections.abc import Callable
@@ -34,7 +34,7 @@
 
 
 def respond_error(exchange: Exchange, exc: RequestError, request_id: str = "") -> None:
-    """Send the table's answer for an error."""
+    """Send the error response for an error kind."""
     headers = error_headers(exc)
     if request_id:
         headers += (("X-Request-Id", request_id),)
@@ -44,7 +44,7 @@
 
 
 def respond_accepted(exchange: Exchange, request_id: str) -> None:
-    """Answer 202 with the place where the whole answer can be fetched."""
+    """Respond with 202 and the location of the future answer."""
     path = f"/v1/requests/{request_id}"
     headers = (*JSON_HEADERS, ("Location", path), ("X-Request-Id", request_id))
     body = {"id": request_id, "status": "accepted", "location": path}
@@ -52,12 +52,21 @@
 
 
 class Attachment(ABC):
-    """One reader of a request's answer.
+    """One consumer of a request's answer.
 
     Parameters
     ----------
     exchange : Exchange
-        Connection to the reader.
+        HTTP exchange with the consumer.
+    request_id : str
+        Id of the request.
+
+    Attributes
+    ----------
+    wants_tokens : bool
+        True if tokens are sent as they arrive.
+    on_disconnect : callable or None
+        Called with the attachment when the consumer disconnects.
     """
 
     wants_tokens = False
@@ -73,40 +82,40 @@
             self.on_disconnect(self)
 
     def abort(self) -> None:
-        """Break the connection to the reader."""
+        """Abort the connection to the consumer."""
         self.detach()
         self._exchange.abort()
 
     def detach(self) -> None:
-        """Stop listening for the reader's departure."""
+        """Stop watching for the disconnection of the consumer."""
         self.on_disconnect = None
         self._exchange.on_gone = None
 
     def send_tokens(self, start: int, tokens: tuple[str, ...]) -> bool:
-        """Pass on tokens that begin at offset `start`; False if the reader cannot keep up."""
+        """Send tokens that start at an offset; return False if the consumer reads too slowly."""
         return True
 
     @abstractmethod
     def send_answer(self, answer: StoredAnswer) -> None:
-        """Pass on the end of the answer."""
+        """Send the complete answer, or the end of a stream."""
 
     def replay(self, answer: StoredAnswer) -> None:
-        """Pass on an answer that was given before, in one piece."""
+        """Send the stored answer of an earlier request as one response."""
         headers = (("Content-Type", answer.content_type), ("X-Request-Id", self._request_id))
         self._exchange.respond(answer.status, headers, answer.body)
 
     def send_error(self, exc: RequestError) -> None:
-        """Tell that the request ended with an error."""
+        """Send the error with which the request failed."""
         respond_error(self._exchange, exc, self._request_id)
 
     def send_moved(self, offset: int) -> None:
-        """Tell that the request goes on at another entry VM."""
+        """Report that the request continues at another entry VM."""
         exc = RequestError(ErrorKind.HANDED_OVER, retry_after=MOVED_RETRY_SECONDS)
         respond_error(self._exchange, exc, self._request_id)
 
 
 class WholeAttachment(Attachment):
-    """A caller who gets the answer in one piece."""
+    """A caller that receives the answer as one response."""
 
     def send_answer(self, answer: StoredAnswer) -> None:
         """Send the whole answer."""
@@ -114,12 +123,12 @@
 
 
 class StreamAttachment(Attachment):
-    """A caller who reads the text as server-sent events.
+    """A caller that receives the text as server-sent events.
 
     Parameters
     ----------
     offset : int
-        Tokens that the caller has already.
+        Number of tokens that the caller has already received.
     """
 
     wants_tokens = True
@@ -136,7 +145,7 @@
             self._exchange.begin(200, (*STREAM_HEADERS, ("X-Request-Id", self._request_id)))
 
     def send_tokens(self, start: int, tokens: tuple[str, ...]) -> bool:
-        """Send the tokens that the caller lacks as one event."""
+        """Send the tokens that the caller has not received, as one event."""
         missing = tokens[max(0, self._offset - start) :]
         if not missing:
             return True
@@ -148,7 +157,7 @@
         )
 
     def send_answer(self, answer: StoredAnswer) -> None:
-        """Send the last events."""
+        """Send the final events and end the stream."""
         self._start_stream()
         work = self._work
         last = chunk_event(self._request_id, work.model, work.chat, self._offset, "", "stop")
@@ -156,7 +165,7 @@
         self._exchange.finish()
 
     def send_error(self, exc: RequestError) -> None:
-        """Answer with the error, or end the stream with an error event."""
+        """Send an error response, or an error event if the stream has started."""
         if not self._has_started:
             super().send_error(exc)
             return
@@ -164,14 +173,14 @@
         self._exchange.finish()
 
     def send_moved(self, offset: int) -> None:
-        """Ask the caller to come back for the rest."""
+        """Send an event that asks the caller to reattach for the rest."""
         self._start_stream()
         self._exchange.send(reattach_event(self._request_id, self._offset))
         self._exchange.finish()
 
 
 class RelayAttachment(Attachment):
-    """A peer that relays the text to a caller who came back there."""
+    """A peer that relays the text to a caller that has reattached there."""
 
     wants_tokens = True
 
@@ -186,7 +195,7 @@
         return self._exchange.send(orjson.dumps(data) + b"\n")
 
     def send_tokens(self, start: int, tokens: tuple[str, ...]) -> bool:
-        """Send the tokens that the peer lacks as one line."""
+        """Send the tokens that the peer has not received, as one line."""
         missing = tokens[max(0, self._offset - start) :]
         if not missing:
             return True
@@ -195,7 +204,7 @@
         return sent
 
     def send_answer(self, answer: StoredAnswer) -> None:
-        """Send the last line with the whole answer."""
+        """Send the complete answer as the last line."""
         self._send_line({"done": True, "body": answer.body.decode(), "type": answer.content_type})
         self._exchange.finish()
 
@@ -206,7 +215,7 @@
         self._exchange.finish()
 
     def send_moved(self, offset: int) -> None:
-        """Send that the request goes on elsewhere as the last line."""
+        """Report in the last line that the request continues at another entry VM."""
         self._send_line({"moved": True})
         self._exchange.finish()
 
@@ -214,7 +223,7 @@
 def whole_completion(
     request_id: str, work: ModelWork, tokens: tuple[str, ...] | list[str]
 ) -> StoredAnswer:
-    """Return the whole answer of a completion."""
+    """Return the complete, unstreamed answer of a completion."""
     body = whole_answer(
         request_id, work.model, work.chat, "".join(tokens), len(work.prompt), len(tokens)
     )
--- a/flamingofront/request/attempts.py
+++ b/flamingofront/request/attempts.py
@@ -216,7 +216,7 @@
             self.attempts -= 1
             return self._retry_or_fail(now, 0.0, ErrorKind.ENDPOINT_FAILED)
         if self.facts.max_attempts is not None and self.attempts >= self.facts.max_attempts:
-            return self._fail(self._exhausted_kind(), detail)
+            return self._fail(self._exhausted_error_kind(), detail)
         delay = self._budget.reserve(now)
         if self._failures > 1:
             delay = max(delay, self._backoff.delay(self._failures - 2, self._rng))
@@ -229,7 +229,7 @@
         elif executed is not Ran.NO and self.ran is Ran.NO:
             self.ran = Ran.UNKNOWN
 
-    def _exhausted_kind(self) -> ErrorKind:
+    def _exhausted_error_kind(self) -> ErrorKind:
         """Return the error kind for a request that has reached its maximum number of attempts."""
         return ErrorKind.OVERLOADED if self.ran is Ran.NO else ErrorKind.ENDPOINT_FAILED
 
--- a/flamingofront/request/claims.py
+++ b/flamingofront/request/claims.py
@@ -1,8 +1,7 @@
-"""Idempotency keys: a claim in the table service before the first byte goes to an endpoint.
+"""Idempotency keys: a claim row is written to the store before a request is sent to an endpoint.
 
-The claim row is the only authority on whether a key was used. It holds the digest of the request,
-the owner, and in the end the answer, so that a second call with the key gets the same answer from
-any entry VM.
+The claim row alone decides whether a key was used. It holds the digest of the request, the owner
+and finally the answer, so that a second call with the key gets the same answer from any entry VM.
 """
 
 import hashlib
@@ -45,7 +44,7 @@
 
 
 class ClaimDecision(StrEnum):
-    """What the caller of `acquire_claim` may do."""
+    """Decision on a request with an idempotency key."""
 
     GRANTED = "granted"
     ANSWERED = "answered"
@@ -77,9 +76,13 @@
     Parameters
     ----------
     owner : str
-        VM that holds the key, if it is in progress.
+        Entry VM that owns the claim.
+    request_id : str
+        Request that the claim belongs to.
+    answer : StoredAnswer or None
+        Stored answer, if the decision is ``ANSWERED``.
     may_exist : bool
-        True if a row of this request may stand although the claim was not granted.
+        True if the store may have a claim of this request although it was not granted.
     """
 
     decision: ClaimDecision
@@ -90,7 +93,7 @@
 
 
 def request_digest(method: str, path: str, body: bytes) -> str:
-    """Return what must be the same in each call with one key."""
+    """Return a digest that must be equal for all calls with the same key."""
     digest = hashlib.sha256()
     for part in (method.encode(), path.encode(), body):
         digest.update(len(part).to_bytes(8, "big"))
@@ -101,7 +104,7 @@
 def _evaluate_row(
     row: Document, request_id: str, digest: str, is_gone: Callable[[str], bool]
 ) -> ClaimOutcome:
-    """Return what a standing row means for this request."""
+    """Return the decision on this request by an existing claim row."""
     value = row.value
     if value["digest"] != digest:
         return ClaimOutcome(ClaimDecision.OTHER_REQUEST)
@@ -119,11 +122,11 @@
 def _may_take_over(
     outcome: ClaimOutcome, ask_owner: Callable[[str, str], Task] | None, repeatable: bool
 ) -> Task:
-    """Tell whether a standing claim may be replaced.
+    """Return True if an existing claim may be replaced.
 
     Notes
     -----
-    It may if its request was certainly not run, or if the work may be repeated.
+    It may if its request was certainly not run, or if the request may run more than once.
     """
     if outcome.decision is ClaimDecision.OUTCOME_UNKNOWN:
         return repeatable
@@ -145,25 +148,32 @@
     ask_owner: Callable[[str, str], Task] | None = None,
     repeatable: bool = False,
 ) -> Task:
-    """Claim a key for a request.
+    """Claim an idempotency key for a request.
 
     Parameters
     ----------
+    owner : str
+        Id of this entry VM.
+    digest : str
+        Digest of the request, by `request_digest`.
     is_gone : callable
-        Tells whether the VM that owns a claim is gone for good.
+        Returns True if the VM that owns a claim has left permanently.
+    budget : float
+        Seconds after which the store is not retried.
     ask_owner : callable, optional
-        Starts a task that returns True if the owner says that its request was not run.
+        Starts a task that returns True if the owner confirms that its request was not run.
     repeatable : bool
-        True if the work may run again after its owner is gone.
+        True if the request may run again after its owner has left.
 
     Returns
     -------
     ClaimOutcome
-        ``GRANTED`` only if the row was read or confirmed to name this request.
+        ``GRANTED`` only if the store has confirmed that the row belongs to this request.
 
     Notes
     -----
-    After a lost answer the row is read back: the request id in it tells whose write took effect.
+    After a lost response of the store the row is read back: its request id shows which write took
+    effect.
     """
     value = {
         "request_id": request_id,
@@ -193,7 +203,7 @@
 
 
 def retry_until_done(write_once: Callable[[], Task], rng: random.Random) -> Task:
-    """Repeat a step until the platform has answered it."""
+    """Retry a write until the store has confirmed it."""
     backoff = Backoff(0.1, 5.0)
     tries = 0
     while True:
@@ -215,11 +225,13 @@
     rng: random.Random,
     expires_at: float,
 ) -> Task:
-    """Store the answer with the claim, or that the outcome is unknown; repeat until it stands.
+    """Store the answer in the claim row, with retries.
 
     Parameters
     ----------
-    until : float
+    answer : StoredAnswer or None
+        Answer of the request; None if its outcome is unknown.
+    expires_at : float
         Seconds since the epoch at which the claim is removed.
     """
 
@@ -238,7 +250,7 @@
 def reassign_claim(
     documents: DocumentStore, key: ClaimKey, request_id: str, owner: str, rng: random.Random
 ) -> Task:
-    """Become the owner of the claim of a request that was handed over; repeat until it stands."""
+    """Set the owner of the claim of a request that was handed over, with retries."""
 
     def write_once() -> Task:
         (row,) = yield from documents.read([key.row_key])
@@ -256,12 +268,12 @@
     rng: random.Random,
     settle_seconds: float = 0.0,
 ) -> Task:
-    """Remove the claim of a request that was certainly not run; repeat until it is gone.
+    """Delete the claim of a request that was certainly not run, with retries.
 
     Parameters
     ----------
-    settle : float
-        Seconds to wait first, for a write whose answer was lost and which may still arrive.
+    settle_seconds : float
+        Initial wait, for an unacknowledged write that may still arrive at the store.
     """
 
     def write_once() -> Task:
--- a/flamingofront/request/completion.py
+++ b/flamingofront/request/completion.py
@@ -1,4 +1,4 @@
-"""Read and check what a caller asks for."""
+"""Parsing and validation of completion requests."""
 
 import re
 from collections.abc import Mapping
@@ -22,14 +22,14 @@
 
 @dataclass(frozen=True)
 class Completion:
-    """A completion that a caller wants.
+    """Parameters of a completion request.
 
     Parameters
     ----------
     prompt : tuple of str
-        The prompt, cut into tokens that join to the same text.
+        Prompt, split into tokens that join to the same text.
     chat : bool
-        Shape of the answer: chat completion or plain completion.
+        Format of the answer: chat completion if True, else text completion.
     """
 
     model: str
@@ -41,12 +41,16 @@
 
 @dataclass(frozen=True)
 class CallerOptions:
-    """What the headers of a request ask for.
+    """Options in the headers of a request.
 
     Parameters
     ----------
+    key : str
+        Idempotency key; empty if there is none.
     deadline : float or None
         Seconds that the caller waits.
+    respond_async : bool
+        True if the caller fetches the answer later.
     """
 
     key: str = ""
@@ -64,7 +68,7 @@
     Raises
     ------
     RequestError
-        Naming the header and its bad value.
+        If the value of a header is invalid.
     """
     key = req.header("idempotency-key")
     if "idempotency-key" in req.headers and not key.strip():
@@ -84,7 +88,7 @@
     except ValueError:
         value = -1.0
     if not 0 < value <= MAX_DEADLINE_SECONDS:
-        raise _malformed(f"X-Deadline must be seconds above 0, got {text[:40]!r}")
+        raise _malformed(f"X-Deadline must be a positive number of seconds, got {text[:40]!r}")
     return value
 
 
@@ -99,17 +103,17 @@
 
 
 def parse_completion(body: bytes, chat: bool) -> Completion:
-    """Return the completion that a body asks for.
+    """Return the parameters of a completion from a request body.
 
     Raises
     ------
     RequestError
-        Naming the field and its bad value.
+        If a field is missing or invalid.
     """
     data = _parse_json(body)
     model = data.get("model")
     if not isinstance(model, str) or not model:
-        raise _malformed(f"model must be a name, got {model!r}")
+        raise _malformed(f"model must be a non-empty string, got {model!r}")
     stream = data.get("stream", False)
     if not isinstance(stream, bool):
         raise _malformed(f"stream must be true or false, got {stream!r}")
@@ -121,7 +125,7 @@
     name = "max_completion_tokens" if "max_completion_tokens" in data else "max_tokens"
     value = data.get(name, DEFAULT_OUTPUT_TOKENS)
     if isinstance(value, bool) or not isinstance(value, int):
-        raise _malformed(f"{name} must be a whole number, got {value!r}")
+        raise _malformed(f"{name} must be an integer, got {value!r}")
     if not 1 <= value <= MAX_OUTPUT_TOKENS:
         raise _malformed(f"{name} must be from 1 to {MAX_OUTPUT_TOKENS}, got {value}")
     return value
@@ -130,14 +134,14 @@
 def _prompt_text(data: Mapping[str, Any]) -> str:
     prompt = data.get("prompt")
     if not isinstance(prompt, str) or not prompt:
-        raise _malformed("prompt must be a text that is not empty")
+        raise _malformed("prompt must be a non-empty string")
     return prompt
 
 
 def _chat_text(data: Mapping[str, Any]) -> str:
     messages = data.get("messages")
     if not isinstance(messages, list) or not messages:
-        raise _malformed("messages must be a list that is not empty")
+        raise _malformed("messages must be a non-empty list")
     return "\n".join(_message_text(index, each) for index, each in enumerate(messages))
 
 
@@ -146,5 +150,5 @@
         raise _malformed(f"messages[{index}] must be an object")
     role, content = message.get("role"), message.get("content")
     if not isinstance(role, str) or not isinstance(content, str):
-        raise _malformed(f"messages[{index}] needs a role and a content, both texts")
+        raise _malformed(f"messages[{index}] must have a role and a content, both strings")
     return f"{role}: {content}"
--- a/flamingofront/request/finished.py
+++ b/flamingofront/request/finished.py
@@ -1,4 +1,4 @@
-"""Answers kept for callers that come back."""
+"""Cache of final answers for callers that reattach."""
 
 from collections import OrderedDict
 from dataclasses import dataclass
@@ -13,7 +13,13 @@
 
 @dataclass(frozen=True)
 class RetainedAnswer:
-    """One answer and the request that it belongs to; `expires_at` is when it may be dropped."""
+    """The final answer of a request.
+
+    Parameters
+    ----------
+    expires_at : float
+        Time at which the answer may be removed.
+    """
 
     workspace: str
     answer: StoredAnswer
@@ -23,12 +29,12 @@
 
     @property
     def size(self) -> int:
-        """Bytes of the answer."""
+        """Size of the answer in bytes."""
         return len(self.answer.body)
 
 
 class AnswerCache:
-    """Answers kept for callers that come back, bounded in time and size."""
+    """Final answers kept for callers that reattach, bounded in time and size."""
 
     def __init__(self, max_bytes: int = MAX_RETAINED_BYTES):
         self._max_bytes = max_bytes
@@ -36,7 +42,7 @@
         self._answers: OrderedDict[str, RetainedAnswer] = OrderedDict()
 
     def store_answer(self, request_id: str, finished: RetainedAnswer) -> None:
-        """Keep an answer; the oldest make room for it."""
+        """Store an answer; the oldest answers are evicted to stay within the size limit."""
         self._remove(request_id)
         self._answers[request_id] = finished
         self._size += finished.size
@@ -44,7 +50,7 @@
             self._remove(next(iter(self._answers)))
 
     def get(self, request_id: str, now: float) -> RetainedAnswer | None:
-        """Return an answer that is still kept."""
+        """Return the answer of a request; None if it has expired or is unknown."""
         while self._answers and next(iter(self._answers.values())).expires_at < now:
             self._remove(next(iter(self._answers)))
         return self._answers.get(request_id)
--- a/flamingofront/request/forward_attachment.py
+++ b/flamingofront/request/forward_attachment.py
@@ -1,4 +1,4 @@
-"""The caller of a forwarded request: bytes pass unchanged, a stream as it arrives."""
+"""The caller of a forwarded request: the body is relayed unchanged, a stream as it arrives."""
 
 from flamingofront.connection.interfaces import Exchange
 from flamingofront.errors import RequestError
@@ -9,7 +9,13 @@
 
 
 class ForwardAttachment(Attachment):
-    """The caller of a forwarded request."""
+    """A caller that receives the response of a forwarded request.
+
+    Attributes
+    ----------
+    has_sent_head : bool
+        True once the head of a stream was sent.
+    """
 
     def __init__(self, exchange: Exchange, request_id: str, protocol: ForwardProtocol):
         super().__init__(exchange, request_id)
@@ -23,18 +29,18 @@
             self._exchange.begin(status, fields)
 
     def send_events(self, data: bytes) -> bool:
-        """Send whole events; False if the caller cannot keep up."""
+        """Send complete events; return False if the caller reads too slowly."""
         return self._exchange.send(data)
 
     def send_answer(self, answer: EndpointResponse) -> None:
-        """Send the answer, or end the stream."""
+        """Send the complete response, or end a stream that has started."""
         if self.has_sent_head:
             self._exchange.finish()
         else:
             self._exchange.respond(answer.status, answer.fields, answer.body)
 
     def send_error(self, exc: RequestError) -> None:
-        """Send the error, or break the stream so that it cannot look complete."""
+        """Send the error, or abort a stream that has started so that it cannot look complete."""
         if self.has_sent_head:
             self._exchange.abort()
         else:
--- a/flamingofront/request/forward_gateway.py
+++ b/flamingofront/request/forward_gateway.py
@@ -77,10 +77,10 @@
 
     def after_wait(self, seconds: float) -> "_PendingRequest":
         """Return a copy whose deadline is reduced by the seconds that the request waited."""
-        left = self.record.deadline_left - seconds
-        if left <= 0:
+        seconds_left = self.record.deadline_left - seconds
+        if seconds_left <= 0:
             raise RequestError(ErrorKind.DEADLINE_EXCEEDED, "the deadline has passed")
-        return replace(self, record=replace(self.record, deadline_left=left))
+        return replace(self, record=replace(self.record, deadline_left=seconds_left))
 
 
 class ForwardGateway:
@@ -282,10 +282,10 @@
         workspace: ForwardedWorkspace | None,
     ) -> RequestRecord:
         spent = self._hub.now() - req.began_at
-        left = route.timeout - spent
+        seconds_left = route.timeout - spent
         if caller.deadline is not None:
-            left = min(left, caller.deadline - spent)
-        if left <= 0:
+            seconds_left = min(seconds_left, caller.deadline - spent)
+        if seconds_left <= 0:
             raise RequestError(ErrorKind.DEADLINE_EXCEEDED, "the deadline has passed")
         name = route.backend_for(caller.request_id)
         slots = self._hub.directory.advertised_slots(name)
@@ -311,7 +311,7 @@
             route=route.name,
             service=self.configuration.service_for(route, name, slots),
             work=work,
-            deadline_left=left,
+            deadline_left=seconds_left,
         )
 
     def _on_request_end(self, request: ForwardedRequest, pending: "_PendingRequest") -> None:
--- a/flamingofront/request/forwarded_request.py
+++ b/flamingofront/request/forwarded_request.py
@@ -95,7 +95,7 @@
         self._events_before_attempt = 0
         self.on_response_start: Callable[[ForwardedRequest], None] = lambda request: None
         self.on_end: Callable[[ForwardedRequest], None] = lambda request: None
-        self._fallback: EndpointResponse | None = None
+        self._error_response: EndpointResponse | None = None
         self._backlog_tokens = 0
         self._backlog_endpoint = ""
         self._tokens_ahead = 0
@@ -144,8 +144,8 @@
         """Return the expected time to first event and the time left of the latency objective."""
         first = self._rates.now().first_event(self._tokens_ahead) * chosen.slowness
         objective = self.record.service.first_token_target
-        left = objective - (self.hub.now() - self.accepted_at)
-        return Expectation(first, left, self.has_sent_events)
+        seconds_left = objective - (self.hub.now() - self.accepted_at)
+        return Expectation(first, seconds_left, self.has_sent_events)
 
     def _compute_postponement(self, chosen: Candidate) -> float:
         """Return the seconds to postpone a request that cannot meet its latency objective.
@@ -220,15 +220,18 @@
     def _build_call(self, action: StartAttempt, chosen: Candidate) -> OutboundCall:
         self._log_attempt(action, chosen)
         self._add_backlog(chosen)
-        left = self.machine.facts.deadline - self.hub.now()
+        seconds_left = self.machine.facts.deadline - self.hub.now()
         facts = AttemptFacts(
-            chosen.endpoint_id, left, self.relay.last_id, urgency(self._make_expectation(chosen))
+            chosen.endpoint_id,
+            seconds_left,
+            self.relay.last_id,
+            urgency(self._make_expectation(chosen)),
         )
         work = self.work
         self.endpoints.append(chosen.endpoint_id)
         self.sent_at = self.hub.now()
-        ahead = self._tokens_ahead if work.stream else 0
-        self._latency = AttemptLatency(self.sent_at, self._rates.now().first_event(ahead))
+        tokens_ahead = self._tokens_ahead if work.stream else 0
+        self._latency = AttemptLatency(self.sent_at, self._rates.now().first_event(tokens_ahead))
         self._events_before_attempt = self.relay.count
         return OutboundCall(
             chosen.address,
@@ -236,7 +239,7 @@
             work.target,
             work.body,
             self.protocol.attempt_fields(work, facts),
-            timeout=left + CALL_MARGIN_SECONDS,
+            timeout=seconds_left + CALL_MARGIN_SECONDS,
             stream=True,
             # After a reset of a reused connection it is unknown whether the request ran.
             fresh=self.needs_fresh_connection,
@@ -295,8 +298,8 @@
             self._rates.pause(interval)
         self._event_count, self._last_event_at = self.relay.count, now
 
-    def _report_outcome(self, is_bad: bool) -> None:
-        self.hub.on_outcome(self.record.service.name, self.endpoint_id, is_bad)
+    def _report_outcome(self, is_failure: bool) -> None:
+        self.hub.on_outcome(self.record.service.name, self.endpoint_id, is_failure)
 
     def fail_attempt(self, attempt_id: str, executed: Ran, reason: str, sent: bool = True) -> None:
         """Handle an attempt that ended without a response.
@@ -310,7 +313,7 @@
         """
         is_current = not self.done and attempt_id == self.machine.attempt_id
         if is_current and sent and executed is not Ran.NO:
-            self._report_outcome(is_bad=True)
+            self._report_outcome(is_failure=True)
         super().fail_attempt(attempt_id, executed, reason, sent)
 
     def _record_endpoint_result(self, answer: EndpointResponse) -> None:
@@ -353,7 +356,7 @@
     def handle_endpoint_error(self, attempt_id: str, answer: EndpointResponse) -> None:
         """Retry after an error response of the endpoint if allowed, else forward the response."""
         if self.work.repeatable and self.machine.attempt_id == attempt_id:
-            self._fallback = answer
+            self._error_response = answer
             self.record_response_start()
             self.fail_attempt(attempt_id, Ran.UNKNOWN, f"status {answer.status}")
         else:
@@ -384,8 +387,8 @@
             self.fail_attempt(self.machine.attempt_id, Ran.UNKNOWN, "endpoint started again")
 
     def _has_attempts_left(self) -> bool:
-        most = self.machine.facts.max_attempts
-        return most is None or self.machine.attempts < most
+        limit = self.machine.facts.max_attempts
+        return limit is None or self.machine.attempts < limit
 
     def _complete_answer(self) -> None:
         raise AssertionError("a forwarded request is completed by its response")
@@ -398,8 +401,8 @@
 
     def _start_attempt(self, action: StartAttempt) -> None:
         """Start an attempt, unless it might not finish before this process shuts down."""
-        left = self.machine.facts.deadline - self.hub.now()
-        rejection = make_shutdown_rejection(self.hub, self.record, left)
+        seconds_left = self.machine.facts.deadline - self.hub.now()
+        rejection = make_shutdown_rejection(self.hub, self.record, seconds_left)
         if rejection is None or self.machine.ran is not Ran.NO:
             super()._start_attempt(action)
             return
@@ -424,9 +427,9 @@
         return self.relay.count > 0
 
     def _fail_request(self, action: Fail) -> None:
-        if self._fallback is not None and not self.has_sent_events:
-            self.status = self._fallback.status
-            self._finish(self._fallback, None)
+        if self._error_response is not None and not self.has_sent_events:
+            self.status = self._error_response.status
+            self._finish(self._error_response, None)
             return
         super()._fail_request(action)
 
--- a/flamingofront/request/gateway.py
+++ b/flamingofront/request/gateway.py
@@ -1,4 +1,4 @@
-"""The callers' interface: from an HTTP request to an accepted request.
+"""Gateway of callers: checks their HTTP requests and accepts or rejects them.
 
 Paths: ``POST /v1/chat/completions``, ``POST /v1/completions``, ``ANY /services/ROUTE/...``,
 ``GET /v1/requests/ID`` for re-attachment and asynchronous answers, ``GET /v1/models``.
@@ -47,7 +47,7 @@
 REQUESTS_PREFIX = "/v1/requests/"
 NOT_READY_RETRY_SECONDS = 1.0
 STORE_RETRY_SECONDS = 2.0
-# Fields of one hop, and those that are for this system alone.
+# Hop-by-hop headers and headers that only this system interprets.
 DROPPED_HEADERS = frozenset(
     {
         "connection",
@@ -70,12 +70,18 @@
 
 
 class Gateway:
-    """Turns callers' HTTP requests into accepted requests or refusals.
+    """Accepts or rejects callers' HTTP requests.
 
     Parameters
     ----------
+    vm_id : str
+        Id of this entry VM, with which request ids start.
+    default_deadline : float
+        Seconds for requests without a deadline of their own.
+    workspace_limit : callable
+        Returns the maximum number of requests of a workspace in flight in this process.
     rejection_kind : callable
-        Returns the error kind to refuse all new work with, None if the process takes work.
+        Returns the error kind with which all new requests are rejected; None to accept them.
     """
 
     def __init__(
@@ -104,7 +110,7 @@
         self._rejection_kind = rejection_kind
 
     def handle(self, req: InboundRequest, exchange: Exchange) -> None:
-        """Take one request; every error is answered from the table."""
+        """Handle a request; a `RequestError` is sent as an error response."""
         request_id = self._new_id()
         try:
             self._dispatch(req, exchange, request_id)
@@ -128,12 +134,12 @@
             self._require_method(req, "GET")
             self._list_models(req, exchange)
         else:
-            raise RequestError(ErrorKind.NOT_FOUND, f"no such path {req.path[:80]!r}")
+            raise RequestError(ErrorKind.NOT_FOUND, f"unknown path {req.path[:80]!r}")
 
     def _require_method(self, req: InboundRequest, method: str) -> None:
         if req.method != method:
             raise RequestError(
-                ErrorKind.METHOD_NOT_ALLOWED, f"{req.path} takes {method}, got {req.method}"
+                ErrorKind.METHOD_NOT_ALLOWED, f"{req.path} requires {method}, got {req.method}"
             )
 
     def _require_open(self) -> None:
@@ -142,21 +148,22 @@
             raise RequestError(kind, retry_after=NOT_READY_RETRY_SECONDS)
 
     def _find_workspace(self, req: InboundRequest) -> Workspace:
-        """Return the workspace by credential or header."""
+        """Return the workspace that the credential or the header names."""
         if self._rejection_kind() is ErrorKind.NOT_READY:
-            self._require_open()  # without a configuration every workspace would seem unknown
+            self._require_open()  # without a configuration every workspace would be unknown
         authorization = req.header("authorization")
         if authorization.startswith("Bearer "):
             digest = hashlib.sha256(authorization[len("Bearer ") :].strip().encode()).hexdigest()
             for each in self.configuration.of(ObjectKind.WORKSPACE).values():
                 if each.credential == digest:
                     return each
-            raise RequestError(ErrorKind.UNKNOWN_WORKSPACE, "the credential is not known")
+            raise RequestError(ErrorKind.UNKNOWN_WORKSPACE, "unknown credential")
         name = req.header("x-workspace")
         workspace = self.configuration.workspace(name)
         if workspace is None or workspace.credential:
             raise RequestError(
-                ErrorKind.UNKNOWN_WORKSPACE, f"workspace {name[:80]!r} needs a known credential"
+                ErrorKind.UNKNOWN_WORKSPACE,
+                f"workspace {name[:80]!r} is unknown or requires a credential",
             )
         return workspace
 
@@ -271,7 +278,7 @@
         self._tasks.start(_catch_platform_error(task), on_created)
 
     def _accept_created_job(self, request: ActiveRequest, exchange: Exchange) -> None:
-        """Tell the caller where the answer will be, and start the work."""
+        """Respond with the location of the future answer and start the job."""
         respond_accepted(exchange, request.request_id)
         self._keyed.start_job(request)
 
@@ -292,7 +299,7 @@
 
 
 def _catch_platform_error(task: Task) -> Task:
-    """Return None if a task succeeds, its `PlatformError` if not."""
+    """Run a task; return its `PlatformError`, or None if it succeeds."""
     try:
         yield from task
     except PlatformError as exc:
@@ -306,13 +313,14 @@
 
 
 def _parse_position(req: InboundRequest, request_id: str) -> tuple[int, bool]:
-    """Return from which offset the caller wants the text, and whether as a stream."""
+    """Return the token offset at which the caller reattaches, and whether it wants a stream."""
     last = req.headers.get("last-event-id")
     if last is not None:
         position = parse_event_id(last)
         if position.request_id != request_id:
             raise RequestError(
-                ErrorKind.MALFORMED_REQUEST, f"Last-Event-ID {last[:80]!r} is of another request"
+                ErrorKind.MALFORMED_REQUEST,
+                f"Last-Event-ID {last[:80]!r} belongs to another request",
             )
         return position.offset, True
     text = req.query.get("offset")
@@ -320,6 +328,7 @@
         return 0, "text/event-stream" in req.header("accept")
     if not text.isdigit() or len(text) > 9:
         raise RequestError(
-            ErrorKind.MALFORMED_REQUEST, f"offset must be a whole number, got {text[:40]!r}"
+            ErrorKind.MALFORMED_REQUEST,
+            f"offset must be an integer of at most 9 digits, got {text[:40]!r}",
         )
     return int(text), True
--- a/flamingofront/request/handover.py
+++ b/flamingofront/request/handover.py
@@ -1,8 +1,8 @@
-"""Give requests in flight to other entry VMs before this one goes.
+"""Hand-over of requests in flight to other entry VMs before this one shuts down.
 
-The text is frozen before its record is offered, and a lost acknowledgement never unfreezes it: from
-the offer on, only the peer may extend the text. Another peer is tried only with evidence that the
-one before did not take the record.
+The text is frozen before the record is offered, and a lost acknowledgement never unfreezes it: from
+the offer on, only the peer may extend the text. The next peer is tried only with evidence that the
+previous one did not accept the record.
 """
 
 from dataclasses import dataclass
@@ -24,7 +24,7 @@
 
 
 class HandoverResult(StrEnum):
-    """What became of an offered record."""
+    """Outcome of an offer; ``MAYBE_TAKEN`` if a peer was sent the record but did not reply."""
 
     TAKEN = "taken"
     MAYBE_TAKEN = "maybe_taken"
@@ -33,7 +33,7 @@
 
 @dataclass(frozen=True)
 class HandoverTarget:
-    """A peer that may take records."""
+    """A peer to which records can be offered."""
 
     vm_id: str
     address: str
@@ -47,7 +47,7 @@
     Parameters
     ----------
     avoid_zone : str or None
-        Zone that is going as a whole; its peers come last.
+        Zone that is being reclaimed as a whole; its peers come last.
     """
     by_id = {each.vm_id: each for each in peers}
     ordered = rank(request_id, by_id)
@@ -61,12 +61,12 @@
     targets: list[HandoverTarget],
     headers: tuple[tuple[str, str], ...],
 ) -> Task:
-    """Offer a frozen record to peers until one has it.
+    """Offer a frozen record to one peer after the other until one may have accepted it.
 
     Returns
     -------
     tuple of (HandoverResult, HandoverTarget or None)
-        ``MAYBE_TAKEN`` if a peer was sent the record and neither confirmed nor denied it.
+        Outcome and the peer that accepted the record or may have; None if none did.
     """
     body = orjson.dumps({"record": record.to_json(), "sender": sender})
     for target in targets:
--- a/flamingofront/request/inheritance.py
+++ b/flamingofront/request/inheritance.py
@@ -1,4 +1,4 @@
-"""Take requests over from other entry processes: by hand-over, or after their death."""
+"""Adoption of requests from other entry processes, by hand-over or after their termination."""
 
 from collections import OrderedDict
 from collections.abc import Callable
@@ -32,7 +32,7 @@
 
 
 class RequestAdopter:
-    """Makes requests of others requests of this process.
+    """Adopts requests and jobs of other entry processes.
 
     Parameters
     ----------
@@ -58,7 +58,7 @@
         self._epochs: OrderedDict[str, int] = OrderedDict()
 
     def accept_handover(self, data: dict[str, Any], sender: str) -> None:
-        """Take a record that a peer hands over; taking the same one again has no effect."""
+        """Accept a record that a peer hands over; idempotent."""
         record = RequestRecord.from_json(data)
         if self._epochs.get(record.request_id, 0) >= record.epoch:
             return
@@ -83,7 +83,7 @@
         return self._hub.accept(record, self._share_of(record.workspace), resumed=True)
 
     def _take_over_job(self, request_id: str, sender: str) -> Task:
-        """Become the owner of a job's row; repeat until the platform has answered."""
+        """Set this process as the owner of a job, retrying while the store is unavailable."""
         tries = 0
         while True:
             try:
@@ -99,19 +99,19 @@
         self._keyed.start_job(request)
 
     def adopt_jobs_of(self, vm_id: str, peers: tuple[Fact, ...]) -> None:
-        """Adopt the jobs of a process that is gone, if that falls to this one first.
+        """Adopt the jobs of a process that has left, after a delay by rendezvous rank.
 
         Notes
         -----
-        Each survivor tries after a time that grows with its rank, so that one does it at once and
-        the others only find what it left. The rows themselves decide between two that try together.
+        The survivor of the first rank adopts the jobs immediately; later ones find only what it
+        left. Compare-and-swap on the rows resolves concurrent adoptions.
         """
         survivors = [self._vm_id, *(each.vm_id for each in peers if each.vm_id != vm_id)]
         position = rank(f"adopt/{vm_id}", survivors).index(self._vm_id)
         self._tasks.start(self._adopt_jobs(vm_id, position * 2.0), self._on_jobs_adopted)
 
     def adopt_own_jobs(self) -> None:
-        """Adopt the jobs that an earlier process on this VM left behind."""
+        """Adopt the unfinished jobs of an earlier process on this VM."""
         self._tasks.start(self._adopt_jobs(self._vm_id, 0.0), self._on_jobs_adopted)
 
     def _adopt_jobs(self, vm_id: str, delay: float) -> Task:
--- a/flamingofront/request/jobs.py
+++ b/flamingofront/request/jobs.py
@@ -1,7 +1,7 @@
-"""Asynchronous requests: kept in the table service until they are done.
+"""Asynchronous requests (jobs), stored in the table service until they are finished.
 
-The row of a job names its owner; every step that matters is a compare-and-swap on that row. If the
-owner dies, a peer adopts its jobs, and a late write of the old owner fails.
+The row of a job names its owner, and each state change is a compare-and-swap on that row. If the
+owner terminates, a peer adopts its jobs, and a late write of the old owner fails.
 """
 
 import random
@@ -48,7 +48,7 @@
 
 @dataclass(frozen=True)
 class JobStatus:
-    """A job as a caller may see it."""
+    """Status of a job, as reported to its caller."""
 
     workspace: str
     state: JobState
@@ -57,12 +57,12 @@
 
 @dataclass(frozen=True)
 class AdoptedJob:
-    """A job that this process has taken over.
+    """A job that this process has adopted.
 
     Parameters
     ----------
     maybe_ran : bool
-        True if the old owner may have sent it to an endpoint.
+        True if the previous owner may have sent it to an endpoint.
     """
 
     record: RequestRecord
@@ -80,12 +80,12 @@
 def create_job(
     documents: DocumentStore, record: RequestRecord, owner: str, rng: random.Random
 ) -> Task:
-    """Write a job before its caller is told that it was accepted.
+    """Store a job, before its caller is told that it was accepted.
 
     Raises
     ------
     PlatformError
-        If the job could not be confirmed; `maybe_done` if it may stand nevertheless.
+        If the store did not confirm the write; `maybe_done` if it may have taken effect.
     """
     key = _job_key(record.request_id)
     value = {"record": record.to_json(), "owner": owner, "state": JobState.QUEUED.value}
@@ -95,7 +95,7 @@
     for tries in range(CREATE_TRIES):
         try:
             result = yield from documents.transact((Condition(key, 0),), writes)
-            # A failed condition means that an earlier try, whose answer was lost, took effect.
+            # A failed condition means that an earlier, unacknowledged write took effect.
             if result.ok or maybe_done:
                 return
         except PlatformError as exc:
@@ -106,7 +106,7 @@
 
 
 def fetch_job(documents: DocumentStore, request_id: str) -> Task:
-    """Return the `JobStatus` of a job, None if there is no such job."""
+    """Return the `JobStatus` of a job; None if there is no such job."""
     (row,) = yield from documents.read([_job_key(request_id)])
     if row.value is None:
         return None
@@ -118,7 +118,7 @@
 
 
 def mark_running(documents: DocumentStore, request_id: str, owner: str) -> Task:
-    """Note, before the first byte is sent, that a job may be running; True if it is still ours."""
+    """Record that a job may be running, before it is sent; return False for another owner's job."""
     (row,) = yield from documents.read([_job_key(request_id)])
     if row.value is None or row.value["owner"] != owner:
         return False
@@ -136,11 +136,11 @@
     rng: random.Random,
     expires_at: float,
 ) -> Task:
-    """Store the answer of a job; repeat until it stands or the job is another's.
+    """Store the answer of a job, with retries, unless it has another owner.
 
     Parameters
     ----------
-    until : float
+    expires_at : float
         Seconds since the epoch at which the job is removed.
     """
 
@@ -153,14 +153,14 @@
         stored = answer_to_json(answer)
         value = {**row.value, "state": JobState.DONE.value, "answer": stored, "until": expires_at}
         drop_index = Write(_owner_key(owner, request_id), None)
-        end = expiry_write(row.key, expires_at)
-        return (yield from documents.replace(row, value, drop_index, end))
+        removal = expiry_write(row.key, expires_at)
+        return (yield from documents.replace(row, value, drop_index, removal))
 
     yield from retry_until_done(write_once, rng)
 
 
 def move_job(documents: DocumentStore, request_id: str, old_owner: str, new_owner: str) -> Task:
-    """Move a job to another owner; return it as `AdoptedJob`, None if it is not the old owner's."""
+    """Move a job to a new owner; return an `AdoptedJob`, or None if it is finished or was moved."""
     (row,) = yield from documents.read([_job_key(request_id)])
     if row.value is None or row.value["owner"] != old_owner:
         return None
@@ -178,7 +178,7 @@
 
 
 def move_jobs(documents: DocumentStore, old_owner: str, new_owner: str) -> Task:
-    """Become the owner of all unfinished jobs of a process that is gone."""
+    """Move all unfinished jobs of a process that has left to a new owner."""
     rows = yield from documents.scan(f"{OWNER_PREFIX}{old_owner}/")
     for row in rows:
         request_id = row.key.rsplit("/", 1)[1]
@@ -186,7 +186,7 @@
 
 
 def list_owned_jobs(documents: DocumentStore, owner: str) -> Task:
-    """Return all unfinished jobs of an owner, those included whose move lost its answer."""
+    """Return all unfinished jobs of an owner, including those whose move was unacknowledged."""
     index = yield from documents.scan(f"{OWNER_PREFIX}{owner}/")
     keys = [_job_key(row.key.rsplit("/", 1)[1]) for row in index]
     rows = yield from documents.read(keys)
@@ -201,5 +201,5 @@
 
 
 def is_outcome_unknown(job: AdoptedJob) -> bool:
-    """Tell whether an adopted job must not be sent again."""
+    """Return True if an adopted job may have run and must not run again."""
     return job.maybe_ran and not job.record.may_repeat
--- a/flamingofront/request/keyed.py
+++ b/flamingofront/request/keyed.py
@@ -1,4 +1,4 @@
-"""Requests with an idempotency key, and the answers of jobs: what is kept by the platform."""
+"""Requests with an idempotency key, and storage of the answers of keyed requests and jobs."""
 
 import random
 from collections import OrderedDict
@@ -47,14 +47,15 @@
 
 
 class KeyedRequests:
-    """Claims keys before work starts and stores answers after it ended.
+    """Claims idempotency keys before requests start and stores answers after they finish.
 
     Parameters
     ----------
     is_gone : callable
-        Tells whether an entry VM is gone for good.
+        Returns True if an entry VM has left permanently.
     ask_owner : callable
-        Starts a task that returns True if the VM that owns a claim says that it was not run.
+        Starts a task that returns True if the VM that owns a claim confirms that its request was
+        not run.
     """
 
     def __init__(
@@ -86,7 +87,7 @@
         attachment: Attachment,
         exchange: Exchange,
     ) -> None:
-        """Admit a keyed request, claim its key, and start it once the claim stands."""
+        """Admit a keyed request, claim its key, and start it once the claim is confirmed."""
         key = ClaimKey(record.workspace, record.key)
         if key in self._claiming:
             raise RequestError(ErrorKind.KEY_IN_PROGRESS, retry_after=IN_PROGRESS_RETRY_SECONDS)
@@ -131,7 +132,7 @@
         return (yield from self._ask_owner(owner, request_id))
 
     def was_not_run(self, request_id: str) -> bool:
-        """Tell whether a request of this process ended with the certainty that it was not run."""
+        """Return True if a request of this process has ended and was certainly not run."""
         return request_id in self._not_run_ids
 
     def _on_claim_outcome(
@@ -142,19 +143,21 @@
             self._start_claimed(key, request, exchange)
             return
         if outcome.decision is ClaimDecision.JOB_UNCONFIRMED:
-            self._job_unconfirmed(key, request, exchange)
+            self._reject_unconfirmed_job(key, request, exchange)
             return
         self._claiming.pop(key, None)
         if outcome.may_exist:
             self._release_claim(key, request.request_id, LATE_WRITE_SECONDS)
         if outcome.decision is ClaimDecision.ANSWERED:
-            self._repeat_answer(request, outcome, exchange)
+            self._replay_answer(request, outcome, exchange)
             return
         kind, retry_after = _REJECTIONS[outcome.decision]
         self._reject(request, RequestError(kind, retry_after=retry_after), exchange)
 
-    def _job_unconfirmed(self, key: ClaimKey, request: ActiveRequest, exchange: Exchange) -> None:
-        """Refuse a job whose row may stand: an adopter may run it, so its key stays used."""
+    def _reject_unconfirmed_job(
+        self, key: ClaimKey, request: ActiveRequest, exchange: Exchange
+    ) -> None:
+        """Reject a job whose row may exist; its key stays claimed, as an adopter may run it."""
         task = store_claim_result(
             self._documents, key, request.request_id, None, self._rng, self._answer_expiry()
         )
@@ -163,16 +166,16 @@
         self._reject(request, exc, exchange)
 
     def _reject(self, request: ActiveRequest, exc: RequestError, exchange: Exchange) -> None:
-        """Tell the caller; one of a job waits on the exchange, others on the request."""
+        """Send an error; the caller of a job waits on the exchange, others on the request."""
         if not request.done:
             request.reject_unstarted(exc)
         if request.record.job:
             respond_error(exchange, exc, request.request_id)
 
-    def _repeat_answer(
+    def _replay_answer(
         self, request: ActiveRequest, outcome: ClaimOutcome, exchange: Exchange
     ) -> None:
-        """Give the answer that the first call with the key got."""
+        """Send the stored answer of the first request with the key."""
         if not request.record.job:
             if not request.done:
                 request.replay_answer(outcome.answer)
@@ -185,7 +188,7 @@
 
     def _start_claimed(self, key: ClaimKey, request: ActiveRequest, exchange: Exchange) -> None:
         if request.done:
-            # The caller's time ended while the claim was made; nothing was sent.
+            # The deadline passed while the key was claimed; nothing was sent.
             self._claiming.pop(key, None)
             self._release_claim(key, request.request_id, 0.0)
             if request.record.job:
@@ -207,7 +210,7 @@
         answer: StoredAnswer | None,
         exc: RequestError | None,
     ) -> None:
-        """Store what became of the request before its key is free again."""
+        """Store the outcome of the request before its key can be claimed again."""
         if request.record.job:
             self.store_job_answer(request.request_id, answer, exc)
         if answer is None and exc is not None and exc.ran is Ran.NO:
@@ -228,7 +231,7 @@
         )
 
     def adopt_claim(self, request: ActiveRequest) -> None:
-        """Own the claim of a request that was handed over to this process, and store its answer."""
+        """Take over the claim of a handed-over request, and store its answer when it finishes."""
         key = ClaimKey(request.record.workspace, request.record.key)
         self._claiming[key] = request.request_id
         task = reassign_claim(self._documents, key, request.request_id, self._vm_id, self._rng)
@@ -236,15 +239,15 @@
         request.on_finished = lambda answer, exc: self._on_request_end(key, request, answer, exc)
 
     def start_job(self, request: ActiveRequest) -> None:
-        """Let a job start whose row stands, and store its answer when it is there.
+        """Start a job whose row is stored, and store its answer when it finishes.
 
         Notes
         -----
-        Work that may run only once is noted as running before it is sent: whoever adopts the job
-        later then knows that it must not be sent again.
+        A job that may run only once is marked as running before it is sent, so that a later adopter
+        does not send it again.
         """
         if request.done:
-            # Its time ended while the row was written; nothing was sent.
+            # The deadline passed while the row was written; nothing was sent.
             late = RequestError(ErrorKind.DEADLINE_EXCEEDED, ran=Ran.NO)
             self.store_job_answer(request.request_id, None, late)
             return
@@ -281,17 +284,17 @@
         self._hub.start_ready_requests()
 
     def is_storing_answer(self, request_id: str) -> bool:
-        """Tell whether the answer of a job is still being stored."""
+        """Return True while the answer of a job is being stored."""
         return request_id in self._jobs_being_stored
 
     def _answer_expiry(self) -> float:
-        """Return when an answer that is stored now may be removed."""
+        """Return the expiry time of an answer that is stored now, in seconds since the epoch."""
         return self._hub.timers.wall() + KEPT_SECONDS
 
     def store_job_answer(
         self, request_id: str, answer: StoredAnswer | None, exc: RequestError | None
     ) -> None:
-        """Store the answer, or the error, of a job."""
+        """Store the answer or error of a job."""
         if answer is None:
             status = ANSWERS[exc.kind].status
             answer = StoredAnswer(status, "application/json", error_body(exc, request_id))
--- a/flamingofront/request/model_request.py
+++ b/flamingofront/request/model_request.py
@@ -1,4 +1,4 @@
-"""A completion in flight: from the frames of an engine to the text of the answer."""
+"""A completion in flight: assembles the answer from the frames that engines stream."""
 
 from collections.abc import Callable
 
@@ -27,7 +27,7 @@
 
 
 class ModelRequest(ActiveRequest):
-    """A completion."""
+    """A completion request to a model engine."""
 
     def __init__(self, hub: RequestHost, record: RequestRecord, ticket: Ticket):
         self._prefix_blocks: tuple[str, ...] | None = None
@@ -38,22 +38,22 @@
 
     @property
     def work(self) -> ModelWork:
-        """What the engine is asked for."""
+        """Parameters of the completion."""
         return self.record.work
 
     def prefix_blocks(self) -> tuple[str, ...]:
-        """Return the prefix blocks of the prompt."""
+        """Return the hashes of the prompt's prefix blocks."""
         if self._prefix_blocks is None:
             self._prefix_blocks = block_hashes(self.work.prompt)
         return self._prefix_blocks
 
     def use_cache(self, kv_handle: str, chosen: Candidate) -> None:
-        """Let the next attempt begin from a KV cache that was imported by an endpoint."""
+        """Send the next attempt to the endpoint that has imported a KV cache of the request."""
         self._kv_handle = kv_handle
         self._cache_endpoint = chosen
 
     def dispatch_attempt(self, action: StartAttempt) -> None:
-        """Send an attempt to the endpoint that has the cache, else to a chosen one."""
+        """Send an attempt to the endpoint with the imported cache if there is one, else choose."""
         chosen, self._cache_endpoint = self._cache_endpoint, None
         if chosen is None or self.hub.directory.is_unavailable(chosen.endpoint_id):
             self._kv_handle = ""
@@ -89,7 +89,13 @@
         return _FrameReader(self, attempt_id)
 
     def handle_frame(self, frame: Frame, prefilled: int) -> None:
-        """Take a frame of the current attempt."""
+        """Handle a frame of the current attempt.
+
+        Parameters
+        ----------
+        prefilled : int
+            Number of tokens that the engine prefilled for this frame.
+        """
         self.hub.directory.record_contact(self.endpoint_id, self.hub.now())
         self._count_recomputed(frame, prefilled)
         before = sum(self.machine.assembler.dropped.values())
@@ -122,14 +128,14 @@
         self.hub.directory.health.succeeded(self.endpoint_id)
         self.hub.guard.record_response(self.fingerprint)
         self.hub.directory.prefixes.add_blocks(self.endpoint_id, self.prefix_blocks())
-        # The end of the response is still to come; reading it keeps the connection usable.
+        # Reading the response to its end keeps the connection reusable.
         self._end_call(cancel=False)
         tokens = self.machine.assembler.tokens
         self._finish(whole_completion(self.request_id, self.work, tokens), None)
 
 
 class _FrameReader:
-    """Cut the response of an engine into frames."""
+    """Splits the response of an engine into frames."""
 
     def __init__(self, request: ModelRequest, attempt_id: str):
         self._request = request
@@ -178,7 +184,7 @@
 
 
 def _join_adjacent(frames: list[dict]) -> list[dict]:
-    """Join frames that arrived together and follow one another, to pass them on as one."""
+    """Merge adjacent frames that arrived together, to forward them as one."""
     joined: list[dict] = []
     for data in frames:
         last = joined[-1] if joined else None
@@ -202,7 +208,7 @@
 
 
 def _is_not_run(body: bytes) -> bool:
-    """Tell whether an engine's error says that the request was not run."""
+    """Return True if an engine's error response states that the request was not run."""
     try:
         return orjson.loads(body)["error"]["ran"] == "no"
     except (orjson.JSONDecodeError, KeyError, TypeError):
--- a/flamingofront/request/plain_request.py
+++ b/flamingofront/request/plain_request.py
@@ -21,11 +21,11 @@
 
     @property
     def work(self) -> PlainWork:
-        """What the service is asked for."""
+        """The HTTP request to the service."""
         return self.record.work
 
     def prefix_blocks(self) -> tuple[str, ...]:
-        """Return no blocks: plain services have no prefix cache."""
+        """Return no blocks, because plain services have no prefix cache."""
         return ()
 
     def _build_call(self, action: StartAttempt, chosen: Candidate) -> OutboundCall:
@@ -44,7 +44,7 @@
         return ReplyCollector(lambda reply: self._on_reply(attempt_id, reply))
 
     def _on_reply(self, attempt_id: str, reply: Reply) -> None:
-        """Take the complete response of the service, or the failure of the call."""
+        """Handle the complete response of the service, or the failure of the call."""
         if isinstance(reply, CallFailed):
             self.handle_call_failure(attempt_id, reply)
         elif reply.headers.get(NOT_RUN_HEADER) == "true":
@@ -64,4 +64,4 @@
         self._finish(StoredAnswer(reply.status, content_type, reply.body), None)
 
     def _complete_answer(self) -> None:
-        raise AssertionError("a plain request is completed by its answer")
+        raise AssertionError("a plain request is completed by its response")
--- a/flamingofront/request/reattach.py
+++ b/flamingofront/request/reattach.py
@@ -1,7 +1,7 @@
-"""Callers that come back for the rest of their answer, at any entry VM.
+"""Reattachment of callers that fetch the rest of their answer at any entry VM.
 
-The text of a request has one holder. A process that is not the holder relays from it; it never
-makes a fresh text from an offset.
+Exactly one process holds the text of a request. Other processes relay the text from it and never
+generate it again from an offset.
 """
 
 from collections.abc import Callable
@@ -36,7 +36,7 @@
 
 
 def parse_origin_vm(request_id: str) -> str:
-    """Return the VM that accepted a request, which its id begins with."""
+    """Return the id of the VM that accepted a request, by the prefix of the request id."""
     return request_id.rpartition("~")[0]
 
 
@@ -46,7 +46,7 @@
     Parameters
     ----------
     holders : callable
-        Returns the control addresses of the VMs that may hold a request, the likeliest first.
+        Returns the control addresses of the VMs that may hold a request, the most likely first.
     peer_headers : tuple
         Headers that authorize calls to peers.
     """
@@ -70,7 +70,7 @@
     def attach_caller(
         self, request_id: str, workspace: str, offset: int, stream: bool, exchange: Exchange
     ) -> None:
-        """Attach a caller to a request, here or at its holder."""
+        """Attach a caller to a request, locally or through its holder."""
         if self._attach_locally(request_id, workspace, offset, stream, exchange):
             self._hub.metrics.count("reattachments_total", result="here")
             return
@@ -80,7 +80,7 @@
     def attach_peer(
         self, request_id: str, workspace: str, offset: int, stream: bool, exchange: Exchange
     ) -> bool:
-        """Attach a peer to a request that is held here; False if it is not."""
+        """Attach a peer to a request of this process; return False if it has no such request."""
         request = self._hub.active.get(request_id)
         if request is not None and request.record.workspace == workspace and not request.done:
             if not stream or not isinstance(request.record.work, ModelWork):
@@ -143,7 +143,13 @@
         unreachable: bool,
         exchange: Exchange,
     ) -> None:
-        """Answer from the job's row, the last place to look."""
+        """Respond by the status of a stored job, after no process was found to hold the request.
+
+        Parameters
+        ----------
+        unreachable : bool
+            True if a possible holder could not be reached.
+        """
         if isinstance(status, PlatformError):
             kind = ErrorKind.STORE_UNAVAILABLE
             exc = RequestError(kind, str(status), Ran.UNKNOWN, RETRY_SECONDS)
@@ -163,7 +169,7 @@
         respond_error(exchange, exc, request_id)
 
     def fetch_job(self, request_id: str) -> Task:
-        """Return the status of a job, or the `PlatformError` that kept it from being read."""
+        """Return the status of a job, or the `PlatformError` if the store is unavailable."""
         try:
             return (yield from fetch_job(self._documents, request_id))
         except PlatformError as exc:
@@ -178,7 +184,7 @@
         stream: bool,
         listener: Callable[[CallEvent], None],
     ) -> CallHandle:
-        """Ask a peer for the text of a request."""
+        """Request the text of a request from a peer, as a stream."""
         position = f"workspace={quote(workspace)}&offset={offset}&stream={int(stream)}"
         path = f"/peer/requests/{quote(request_id)}?{position}"
         call = OutboundCall(
@@ -190,12 +196,13 @@
 def _check_offset(offset: int, available: int) -> None:
     if offset > available:
         raise RequestError(
-            ErrorKind.UNKNOWN_REQUEST, f"offset {offset} is beyond the text held here ({available})"
+            ErrorKind.UNKNOWN_REQUEST,
+            f"offset {offset} is beyond the text, which has {available} tokens",
         )
 
 
 def _attach_from(request: ActiveRequest, attachment: Attachment, offset: int) -> None:
-    """Give a new reader what is there from its offset on, then all that follows."""
+    """Send the tokens from an offset on to a new consumer and attach it for later ones."""
     tokens = request.machine.assembler.tokens
     _check_offset(offset, len(tokens))
     attachment.send_tokens(offset, tuple(tokens[offset:]))
@@ -214,33 +221,33 @@
 
 
 class _HolderSearch:
-    """Ask possible holders one after the other, then relay from the first that has the request."""
+    """Asks possible holders in turn and relays from the first one that has the request."""
 
     def __init__(
         self,
-        owner: Reattachment,
+        reattachment: Reattachment,
         request_id: str,
         workspace: str,
         offset: int,
         stream: bool,
         exchange: Exchange,
     ):
-        self._owner = owner
+        self._reattachment = reattachment
         self.request_id = request_id
         self._workspace = workspace
         self._offset = offset
         self._stream = stream
         self._exchange = exchange
-        self._candidates = owner._holders(request_id)
+        self._candidates = reattachment._holders(request_id)
         self._unreachable = False
 
     def query_next_holder(self) -> None:
-        """Ask the next possible holder, or look for a job if none is left."""
+        """Ask the next possible holder, or read the stored job if none is left."""
         if not self._candidates:
             self._fetch_job_status()
             return
         relay = _RelayReader(self, self._exchange)
-        handle = self._owner.start_relay(
+        handle = self._reattachment.start_relay(
             self._candidates.pop(0),
             self.request_id,
             self._workspace,
@@ -251,30 +258,30 @@
         self._exchange.on_gone = handle.cancel
 
     def skip_holder(self, is_reachable: bool) -> None:
-        """A peer doesn't hold the request or could not be asked."""
+        """Continue the search after a peer that lacks the request or is unreachable."""
         self._unreachable = self._unreachable or not is_reachable
         self.query_next_holder()
 
     def _fetch_job_status(self) -> None:
         self._exchange.on_gone = None
-        owner = self._owner
-        owner._tasks.start(
-            owner.fetch_job(self.request_id),
-            lambda status: owner.answer_from_job(
+        reattachment = self._reattachment
+        reattachment._tasks.start(
+            reattachment.fetch_job(self.request_id),
+            lambda status: reattachment.answer_from_job(
                 status, self.request_id, self._workspace, self._unreachable, self._exchange
             ),
         )
 
     def make_attachment(self, work: ModelWork) -> Attachment:
-        """Return the attachment that fits what the caller wants."""
-        self._owner._hub.metrics.count("reattachments_total", result="relayed")
+        """Return an attachment for a stream or a complete answer, as the caller requested."""
+        self._reattachment._hub.metrics.count("reattachments_total", result="relayed")
         if self._stream and work.model:
             return StreamAttachment(self._exchange, self.request_id, work, self._offset)
         return WholeAttachment(self._exchange, self.request_id)
 
 
 class _RelayReader:
-    """Pass the lines of a holder on to the caller."""
+    """Relays the lines of a holder to the caller."""
 
     def __init__(self, search: _HolderSearch, exchange: Exchange):
         self._search = search
@@ -314,11 +321,11 @@
     def _handle_line(self, data: dict) -> None:
         if "work" in data:
             work = data["work"]
-            gone = self._exchange.on_gone
+            callback = self._exchange.on_gone
             self._attachment = self._search.make_attachment(
                 ModelWork(work["model"], (), 1, work["chat"], work["stream"])
             )
-            self._exchange.on_gone = gone
+            self._exchange.on_gone = callback
         elif "running" in data:
             self._finished = True
             self._exchange.on_gone = None
--- a/flamingofront/request/records.py
+++ b/flamingofront/request/records.py
@@ -1,4 +1,4 @@
-"""A request as it is given to another entry VM or kept in the table service."""
+"""Serializable records of requests, for hand-overs and for storage in the table service."""
 
 import base64
 import dataclasses
@@ -14,7 +14,7 @@
 
 @dataclass(frozen=True)
 class ModelWork:
-    """What a model engine is asked for."""
+    """Parameters of a completion by a model engine."""
 
     model: str
     prompt: tuple[str, ...]
@@ -25,7 +25,7 @@
 
 @dataclass(frozen=True)
 class PlainWork:
-    """What a plain service is asked for."""
+    """HTTP request to a plain service."""
 
     method: str
     path: str
@@ -35,22 +35,26 @@
 
 @dataclass(frozen=True)
 class RequestRecord:
-    """Everything another process needs to go on with a request.
+    """Everything that another process needs to resume a request.
 
     Parameters
     ----------
     service : Service
-        The service as it was when the request was accepted; a later change doesn't touch it.
+        The service at the time of acceptance; later changes do not affect the request.
     side : str or None
-        Side of a move that the request takes.
+        Side of a move to which the request is routed.
     tokens : tuple of str
-        Text so far.
+        Tokens generated so far.
+    ran : Ran
+        Whether the request was executed.
     epoch : int
-        Number of hand-overs; a record with a lower one is out of date.
+        Number of hand-overs; a record with a lower number is outdated.
     deadline_left : float
-        Seconds that are left of the request's time.
+        Seconds until the request's deadline.
     job : bool
-        True if the request is kept in the table service.
+        True if the request is stored in the table service.
+    key : str
+        Idempotency key; empty if there is none.
     """
 
     request_id: str
@@ -68,7 +72,7 @@
 
     @property
     def may_repeat(self) -> bool:
-        """Tell whether the work may run a second time."""
+        """True if the request may run more than once."""
         work = self.work
         if isinstance(work, ForwardWork):
             return work.repeatable
@@ -76,7 +80,7 @@
 
     @property
     def max_attempts(self) -> int | None:
-        """Return how many endpoints the request may be sent to; None if there is no limit."""
+        """Maximum number of attempts; None if there is no limit."""
         return self.work.max_attempts if isinstance(self.work, ForwardWork) else None
 
     def to_json(self) -> dict[str, Any]:
@@ -90,7 +94,7 @@
 
     @classmethod
     def from_json(cls, data: dict[str, Any]) -> "RequestRecord":
-        """Return the record that `to_json` was called on."""
+        """Return the record from the values that `to_json` returned."""
         values = dict(data)
         values["service"] = make_object(ObjectKind.SERVICE, data["service"])
         values["work"] = _work_from_json(data["work"])
--- a/flamingofront/request/stop_refusal.py
+++ b/flamingofront/request/stop_refusal.py
@@ -24,11 +24,11 @@
     deadline_left : float
         Seconds until the deadline of the request.
     """
-    left = hub.shutdown_seconds_left()
-    if math.isinf(left):
+    seconds_left = hub.shutdown_seconds_left()
+    if math.isinf(seconds_left):
         return None
     bound = _duration_bound(hub, record.service.name, record.work)
-    if ends_in_time(deadline_left, bound, left):
+    if ends_in_time(deadline_left, bound, seconds_left):
         return None
     return RequestError(
         ErrorKind.DRAINING,
@@ -36,7 +36,7 @@
         Ran.NO,
         SHUTDOWN_RETRY_SECONDS,
         {
-            "stop_left": round(left, 2),
+            "stop_left": round(seconds_left, 2),
             "deadline_left": round(deadline_left, 2),
             "longest": None if math.isinf(bound) else round(bound, 2),
             "output": record.work.output_tokens,
--- a/flamingofront/request/stored_answer.py
+++ b/flamingofront/request/stored_answer.py
@@ -1,4 +1,4 @@
-"""Answers that are kept with the document of their request."""
+"""Final answers and their JSON encoding in stored rows."""
 
 import base64
 from dataclasses import dataclass
@@ -9,7 +9,7 @@
 
 @dataclass(frozen=True)
 class StoredAnswer:
-    """An answer as its caller gets it."""
+    """A complete answer as sent to the caller."""
 
     status: int
     content_type: str
@@ -23,5 +23,5 @@
 
 
 def answer_from_json(data: dict[str, Any]) -> StoredAnswer:
-    """Return the answer that `answer_to_json` gave the values of."""
+    """Return the answer from the values that `answer_to_json` returned."""
     return StoredAnswer(data["status"], data["content_type"], base64.b64decode(data["body"]))
--- a/flamingofront/request/tests/test_assembly.py
+++ b/flamingofront/request/tests/test_assembly.py
@@ -1,4 +1,4 @@
-"""The assembler against the naive version: the text is what its owner said, in order."""
+"""Tests of the assembler: its text equals the tokens of the owning attempts, in order."""
 
 from hypothesis import given
 from hypothesis import strategies as st
@@ -8,14 +8,14 @@
 from flamingofront.request.assembly import Assembler, DropReason
 
 
-def naive_text(tokens):
-    """The naive version: one engine, one stream, nothing lost."""
+def expected_tokens(tokens):
+    """Return the text of one engine and one stream without losses."""
     return list(tokens)
 
 
 class TestDifferential:
     @given(st.data())
-    def test_cut_doubled_and_shuffled_frames_give_the_naive_text(self, data):
+    def test_split_duplicated_and_shuffled_frames_give_the_same_text(self, data):
         length = data.draw(st.integers(1, 40))
         text = [f"t{index}" for index in range(length)]
         cuts = sorted(data.draw(st.sets(st.integers(1, length), max_size=10)) | {length})
@@ -30,7 +30,7 @@
         assembler = Assembler("r")
         assembler.set_owner("a")
         emitted = [token for frame in shuffled for token in assembler.accept(frame)]
-        assert emitted == naive_text(text)
+        assert emitted == expected_tokens(text)
         assert assembler.tokens == emitted
         assert assembler.complete
 
@@ -40,7 +40,7 @@
         assert assembler.accept(Frame("other", "a", 0, ("x",))) == ()
         assert assembler.dropped[DropReason.OTHER_REQUEST] == 1
 
-    def test_frame_of_an_earlier_attempt_that_fits_is_dropped(self):
+    def test_fitting_frame_of_an_earlier_attempt_is_dropped(self):
         assembler = Assembler("r")
         assembler.set_owner("a")
         assembler.accept(Frame("r", "a", 0, ("x",)))
@@ -48,7 +48,7 @@
         assert assembler.accept(Frame("r", "a", 1, ("from a",))) == ()
         assert assembler.accept(Frame("r", "b", 1, ("from b",))) == ("from b",)
 
-    def test_frozen_text_takes_nothing(self):
+    def test_frozen_text_drops_all_frames(self):
         assembler = Assembler("r")
         assembler.set_owner("a")
         assembler.freeze()
@@ -57,10 +57,10 @@
 
 
 class AssemblerMachine(RuleBasedStateMachine):
-    """Attempts come and go; late frames of all of them keep arriving.
+    """Attempts alternate, and late frames of all of them arrive.
 
-    The oracle keeps one list: what the owner of each position said when the position was filled.
-    Every engine says something else, so a splice would show.
+    The oracle records which attempt owned each position when it was filled. Each attempt generates
+    different tokens, so mixed text of two attempts is detected.
     """
 
     def __init__(self):
@@ -70,7 +70,7 @@
         self.emitted = []
         self.owners = []
 
-    def said(self, attempt, index):
+    def token_of(self, attempt, index):
         return f"{attempt}/{index}"
 
     @rule()
@@ -86,7 +86,7 @@
         attempt, first = data.draw(st.sampled_from(self.attempts))
         start = data.draw(st.integers(first, first + 12))
         count = data.draw(st.integers(0, 5))
-        tokens = tuple(self.said(attempt, index) for index in range(start, start + count))
+        tokens = tuple(self.token_of(attempt, index) for index in range(start, start + count))
         request = data.draw(st.sampled_from(["r", "r", "r", "other"]))
         added = self.assembler.accept(Frame(request, attempt, start, tokens))
         if added:
@@ -96,10 +96,10 @@
         self.emitted += added
 
     @invariant()
-    def no_gap_no_double_one_owner_for_each_position(self):
+    def each_position_has_one_token_of_its_owner(self):
         assert self.assembler.tokens == self.emitted
         for index, token in enumerate(self.emitted):
-            assert token == self.said(self.owners[index], index)
+            assert token == self.token_of(self.owners[index], index)
 
 
 TestAssemblerMachine = AssemblerMachine.TestCase
--- a/flamingofront/request/tests/test_attempts.py
+++ b/flamingofront/request/tests/test_attempts.py
@@ -1,4 +1,4 @@
-"""The state machine of a request against a simple oracle."""
+"""Tests of the state machine of a request, also by fuzzing against a simple oracle."""
 
 import random
 
@@ -10,31 +10,31 @@
 from flamingofront.messages import Complete, Emit, Fail, Frame, ScheduleRetry, StartAttempt
 from flamingofront.request.attempts import Phase, RequestFacts, RequestMachine
 
-LENGTH = 8
+ANSWER_TOKENS = 8
 
 
-def machine_of(repeatable=True, deadline=100.0, budget=None):
+def make_machine(repeatable=True, deadline=100.0, budget=None):
     facts = RequestFacts("r", repeatable, deadline)
     return RequestMachine(facts, budget or UnlimitedRetryBudget(), random.Random(1))
 
 
 class TestRetry:
-    def test_loss_with_evidence_is_retried_even_if_not_repeatable(self):
-        machine = machine_of(repeatable=False)
+    def test_attempt_that_did_not_run_is_retried_even_if_not_repeatable(self):
+        machine = make_machine(repeatable=False)
         (start,) = machine.start()
         actions = machine.handle_attempt_failure(start.attempt_id, "e", Ran.NO, 1.0)
         assert isinstance(actions[0], ScheduleRetry)
         assert machine.ran is Ran.NO
 
-    def test_loss_without_evidence_is_final_if_not_repeatable(self):
-        machine = machine_of(repeatable=False)
+    def test_attempt_that_may_have_run_is_not_retried_if_not_repeatable(self):
+        machine = make_machine(repeatable=False)
         (start,) = machine.start()
         machine.record_write(start.attempt_id)
         (fail,) = machine.handle_attempt_failure(start.attempt_id, "e", Ran.UNKNOWN, 1.0)
         assert (fail.kind, fail.ran) == (ErrorKind.OUTCOME_UNKNOWN, Ran.UNKNOWN)
 
-    def test_refusal_after_an_unknown_attempt_does_not_become_not_run(self):
-        machine = machine_of()
+    def test_rejection_after_an_unknown_attempt_leaves_the_outcome_unknown(self):
+        machine = make_machine()
         (start,) = machine.start()
         machine.record_write(start.attempt_id)
         machine.handle_attempt_failure(start.attempt_id, "e", Ran.UNKNOWN, 1.0)
@@ -43,8 +43,8 @@
         (fail,) = machine.expire()
         assert fail.ran is Ran.UNKNOWN
 
-    def test_refusal_after_a_refusal_stays_not_run(self):
-        machine = machine_of()
+    def test_two_rejected_attempts_are_reported_as_not_run(self):
+        machine = make_machine()
         for endpoint in ("e", "f"):
             (start,) = machine.start()
             machine.record_write(start.attempt_id)
@@ -52,16 +52,16 @@
         (fail,) = machine.expire()
         assert fail.ran is Ran.NO
 
-    def test_wait_beyond_the_deadline_is_told_at_once(self):
+    def test_retry_delay_beyond_the_deadline_fails_immediately(self):
         budget = PacedRetryBudget(ratio=0.0, floor_rate=0.1, burst=0.0)
-        machine = machine_of(deadline=5.0, budget=budget)
+        machine = make_machine(deadline=5.0, budget=budget)
         (start,) = machine.start()
         (fail,) = machine.handle_attempt_failure(start.attempt_id, "e", Ran.UNKNOWN, 1.0)
         assert fail.kind is ErrorKind.RETRY_BUDGET_EXHAUSTED
         assert fail.retry_after == 10.0
 
-    def test_resume_starts_behind_the_text(self):
-        machine = machine_of()
+    def test_resumed_attempt_starts_at_the_end_of_the_text(self):
+        machine = make_machine()
         (start,) = machine.start()
         machine.accept_frame(Frame("r", start.attempt_id, 0, ("x", "y")))
         machine.handle_attempt_failure(start.attempt_id, "e", Ran.UNKNOWN, 1.0)
@@ -71,9 +71,9 @@
 
 
 class TestFreeze:
-    def test_frozen_text_says_nothing_more_whatever_comes(self):
-        """From the offer on, only the peer may extend the text or end the request."""
-        machine = machine_of()
+    def test_frozen_request_ignores_all_events(self):
+        """Once a request is offered to a peer, only the peer may extend or end it."""
+        machine = make_machine()
         (start,) = machine.start()
         machine.accept_frame(Frame("r", start.attempt_id, 0, ("x",)))
         machine.freeze()
@@ -84,25 +84,25 @@
 
 
 class RequestMachineFuzz(RuleBasedStateMachine):
-    """Any order of facts gives at most one final answer, and a true one.
+    """Any order of events leads to at most one final answer, with a correct `ran`.
 
-    The oracle executes attempts itself: it knows whether work ran, so that `ran` can be checked.
+    The oracle executes the attempts, so it knows whether a request ran.
     """
 
     @initialize(repeatable=st.booleans())
     def begin(self, repeatable):
-        self.machine = machine_of(repeatable)
+        self.machine = make_machine(repeatable)
         self.repeatable = repeatable
         self.now = 0.0
         self.text = []
-        self.finals = []
+        self.final_actions = []
         self.executions = 0
         self.sent_after_execution = False
         self.attempts = {}
         self.frozen = False
-        self.carry(self.machine.start())
+        self.execute(self.machine.start())
 
-    def carry(self, actions):
+    def execute(self, actions):
         assert not (actions and self.frozen)
         for action in actions:
             if isinstance(action, StartAttempt):
@@ -114,39 +114,39 @@
                 assert action.offset == len(self.text)
                 self.text += action.tokens
             elif isinstance(action, Complete | Fail):
-                self.finals.append(action)
+                self.final_actions.append(action)
 
-    def current(self):
+    def current_attempt(self):
         return self.machine.attempt_id
 
     @rule()
     def retry_is_due(self):
-        self.carry(self.machine.start())
+        self.execute(self.machine.start())
 
     @rule(
         data=st.data(),
         count=st.integers(0, 3),
         late=st.booleans(),
     )
-    def frame(self, data, count, late):
-        known = list(self.attempts)
-        attempt = data.draw(st.sampled_from(known)) if late else self.current()
+    def frame_arrives(self, data, count, late):
+        attempt_ids = list(self.attempts)
+        attempt = data.draw(st.sampled_from(attempt_ids)) if late else self.current_attempt()
         if attempt is None:
             return
-        if attempt == self.current() and self.machine.phase is Phase.RUNNING:
+        if attempt == self.current_attempt() and self.machine.phase is Phase.RUNNING:
             if not self.repeatable and self.executions and not self.text:
                 return
             self.executions = max(1, self.executions)
             self.machine.record_write(attempt)
         start = self.attempts[attempt]
         tokens = tuple(f"{attempt}:{start + n}" for n in range(count))
-        final = start + count >= LENGTH
+        final = start + count >= ANSWER_TOKENS
         self.attempts[attempt] = start + count
-        self.carry(self.machine.accept_frame(Frame("r", attempt, start, tokens, final)))
+        self.execute(self.machine.accept_frame(Frame("r", attempt, start, tokens, final)))
 
     @rule(kind=st.sampled_from(["refused", "not connected", "reset before", "reset after"]))
-    def lost(self, kind):
-        attempt = self.current()
+    def attempt_fails(self, kind):
+        attempt = self.current_attempt()
         if attempt is None or self.machine.phase is not Phase.RUNNING:
             return
         executed = Ran.NO
@@ -158,45 +158,45 @@
             self.executions += kind == "reset after"
         if self.text and executed is Ran.NO:
             executed = Ran.UNKNOWN
-        self.carry(self.machine.handle_attempt_failure(attempt, "e", executed, self.now))
+        self.execute(self.machine.handle_attempt_failure(attempt, "e", executed, self.now))
 
     @rule(seconds=st.floats(0.0, 5.0))
     def time_passes(self, seconds):
         self.now += seconds
 
     @rule()
-    def replaced(self):
-        if self.current() is not None and self.repeatable:
-            self.carry(self.machine.replace_attempt(self.current()))
+    def attempt_is_replaced(self):
+        if self.current_attempt() is not None and self.repeatable:
+            self.execute(self.machine.replace_attempt(self.current_attempt()))
 
     @rule(end=st.sampled_from(["deadline", "gone", "freeze"]))
-    def ended(self, end):
+    def request_ends(self, end):
         ends = {
             "deadline": self.machine.expire,
             "gone": self.machine.handle_disconnect,
             "freeze": self.machine.freeze,
         }
         if self.now > 20:
-            self.carry(ends[end]())
+            self.execute(ends[end]())
             self.frozen = self.frozen or self.machine.phase is Phase.FROZEN
 
     @invariant()
     def at_most_one_final_answer(self):
-        if hasattr(self, "finals"):
-            assert len(self.finals) <= 1
+        if hasattr(self, "final_actions"):
+            assert len(self.final_actions) <= 1
 
     @invariant()
-    def not_run_is_never_said_of_work_that_ran(self):
-        for final in getattr(self, "finals", ()):
+    def executed_request_is_never_reported_as_not_run(self):
+        for final in getattr(self, "final_actions", ()):
             if isinstance(final, Fail) and final.ran is Ran.NO:
                 assert self.executions == 0
 
     @invariant()
-    def work_that_must_not_repeat_is_not_sent_after_it_ran(self):
+    def unrepeatable_request_is_not_sent_after_it_ran(self):
         assert not getattr(self, "sent_after_execution", False)
 
     @invariant()
-    def text_is_never_spliced_within_a_position(self):
+    def each_position_has_exactly_one_token(self):
         for index, token in enumerate(getattr(self, "text", ())):
             assert int(token.rpartition(":")[2]) == index
 
--- a/flamingofront/request/tests/test_reclaims.py
+++ b/flamingofront/request/tests/test_reclaims.py
@@ -1,4 +1,4 @@
-"""Reclaims with and without notice: every accepted request is answered whole."""
+"""Tests of reclaims with and without notice: each accepted request gets a complete answer."""
 
 import pytest
 
@@ -17,7 +17,7 @@
 
 
 def start_streams(world, count, tokens=TOKENS, node=None):
-    """Start streams with long prompts, spread over the entry VMs; wait until all have begun."""
+    """Start streams with long prompts, spread over the entry VMs; wait for their first tokens."""
     nodes = [node] if node else list(world.nodes)
     callers = []
     for number in range(count):
@@ -34,8 +34,8 @@
     return [first, *(f" {each}" for each in rest)]
 
 
-def follow(world, caller, prompt, nodes, limit=120.0):
-    """Come back whenever told to, as the callers' page says; return the whole text."""
+def read_with_reattachment(world, caller, prompt, nodes, limit=120.0):
+    """Reattach whenever the stream asks for it, and return the complete text."""
     text = ""
     request_id = caller.headers["x-request-id"]
     for turn in range(20):
@@ -53,11 +53,11 @@
             f"/v1/requests/{request_id}",
             headers={"last-event-id": last},
         )
-    raise AssertionError("the text has no end")
+    raise AssertionError("the text is incomplete after 20 reattachments")
 
 
-def reclaim(world, names, notice):
-    """Give notice for VMs, and kill them when it has run out."""
+def reclaim_vms(world, names, notice):
+    """Announce the reclaim of VMs and kill them at the end of the notice."""
     for name in names:
         world.platform.reclaim(name, notice)
         host = world.host(name)
@@ -66,31 +66,31 @@
         )
 
 
-def recomputed(world):
+def count_recomputed_tokens(world):
     return sum(each.counts.resumed_prefilled for each in world.engines.values())
 
 
 class TestEndpointReclaimed:
     @pytest.mark.parametrize("notice", [0.0, 1.0, 5.0, 30.0])
-    def test_streams_are_whole(self, notice):
+    def test_streams_are_complete(self, notice):
         world = demo_world(ZONES)
         callers = start_streams(world, 8)
-        reclaim(world, ["engine-a1"], notice)
+        reclaim_vms(world, ["engine-a1"], notice)
         world.finish(*callers)
         for caller in callers:
             assert caller.text == expected_text(prompt_tokens(caller.prompt), TOKENS)
 
-    def test_no_position_is_made_by_two_engines(self):
-        """Each engine says something else, so a spliced or doubled token would show."""
+    def test_each_position_is_generated_by_one_engine(self):
+        """Each engine generates different tokens, so mixed or duplicated ones are detected."""
         world = demo_world(ZONES, distinct=True)
         callers = start_streams(world, 8)
-        reclaim(world, ["engine-a1", "engine-b1"], 2.0)
+        reclaim_vms(world, ["engine-a1", "engine-b1"], 2.0)
         world.finish(*callers)
         for caller in callers:
             offsets = [int(each.split(":")[0]) for each in caller.text.split()]
             assert offsets == list(range(TOKENS))
 
-    def test_transfer_of_the_cache_saves_recomputed_tokens(self):
+    def test_cache_transfer_saves_recomputed_tokens(self):
         counts = {}
         for name in ("transfer", "recompute"):
             world = demo_world(ZONES)
@@ -98,12 +98,12 @@
                 for node in world.nodes.values():
                     node.migrations._policy = ResumeOnLoss()
             callers = start_streams(world, 12)
-            reclaim(world, ["engine-a1", "engine-a2"], 3.0)
+            reclaim_vms(world, ["engine-a1", "engine-a2"], 3.0)
             world.finish(*callers)
-            counts[name] = recomputed(world)
+            counts[name] = count_recomputed_tokens(world)
         assert counts["transfer"] < counts["recompute"] / 2
 
-    def test_unannounced_death_of_an_engine(self):
+    def test_streams_survive_the_crash_of_an_engine(self):
         world = demo_world(ZONES)
         callers = start_streams(world, 8)
         world.kill("engine-a1")
@@ -111,7 +111,7 @@
         for caller in callers:
             assert caller.text == expected_text(prompt_tokens(caller.prompt), TOKENS)
 
-    def test_frozen_engine_is_left_after_its_silence(self):
+    def test_streams_of_an_unresponsive_engine_continue_elsewhere(self):
         world = demo_world(ZONES)
         callers = start_streams(world, 8)
         world.pause("engine-a1")
@@ -124,29 +124,31 @@
 
 
 class TestEntryReclaimed:
-    def test_short_work_is_finished_before_the_end(self):
+    def test_short_streams_finish_before_the_reclaim(self):
         world = demo_world(ZONES, entries_per_zone=1)
         callers = start_streams(world, 4, tokens=100, node="entry-a1")
-        reclaim(world, ["entry-a1"], 10.0)
+        reclaim_vms(world, ["entry-a1"], 10.0)
         world.finish(*callers, limit=9.0)
         for caller in callers:
             assert caller.text == expected_text(prompt_tokens(caller.prompt), 100)
 
-    def test_long_work_goes_on_at_a_peer(self):
+    def test_long_streams_continue_at_a_peer(self):
         world = demo_world(ZONES, entries_per_zone=2)
         callers = start_streams(world, 4, tokens=1500, node="entry-a1")
-        reclaim(world, ["entry-a1"], 6.0)
+        reclaim_vms(world, ["entry-a1"], 6.0)
         world.run(8.0)
         assert world.host("entry-a1").dead
         for caller in callers:
-            text = follow(world, caller, caller.prompt, ["entry-a2", "entry-b1", "entry-b2"])
+            text = read_with_reattachment(
+                world, caller, caller.prompt, ["entry-a2", "entry-b1", "entry-b2"]
+            )
             assert text == expected_text(prompt_tokens(caller.prompt), 1500)
 
-    def test_whole_answers_are_told_where_to_come_back(self):
+    def test_unstreamed_request_is_told_where_to_reattach(self):
         world = demo_world(ZONES)
         caller = world.complete("entry-a1", tokens=1500, stream=False)
         world.run(1.0)
-        reclaim(world, ["entry-a1"], 5.0)
+        reclaim_vms(world, ["entry-a1"], 5.0)
         world.finish(caller)
         assert (caller.status, caller.error["kind"]) == (503, "handed_over")
         assert "retry-after" in caller.headers
@@ -169,12 +171,12 @@
             if any(not each.done for each in node.hub.active.values())
         ]
         assert len(holders) == 1
-        text = follow(world, caller, caller.prompt, ["entry-b1"])
+        text = read_with_reattachment(world, caller, caller.prompt, ["entry-b1"])
         assert text == expected_text(prompt_tokens(caller.prompt), 1500)
 
 
-class TestKeptWorkIsHandedOver:
-    def test_key_goes_with_its_request(self):
+class TestHandoverOfStoredRequests:
+    def test_key_is_handed_over_with_its_request(self):
         world = demo_world(ZONES)
         world.complete("entry-a1", tokens=800, headers={"idempotency-key": "k"})
         world.run(1.0)
@@ -190,7 +192,7 @@
         executions = [each.counts.executions for each in world.engines.values()]
         assert len({request for each in executions for request in each}) == 1
 
-    def test_key_is_not_taken_over_while_its_request_goes_on_at_a_peer(self):
+    def test_key_is_not_reassigned_while_its_request_runs_at_a_peer(self):
         world = demo_world(("zone-a", "zone-b", "zone-c"))
         world.complete("entry-a1", tokens=2500, headers={"idempotency-key": "k"})
         world.run(1.0)
@@ -203,7 +205,7 @@
             world.finish(caller)
             assert caller.error["kind"] == "idempotency_key_in_progress"
 
-    def test_job_goes_on_at_the_peer_from_where_it_was(self):
+    def test_job_resumes_at_the_peer(self):
         world = demo_world(ZONES)
         caller = world.complete(
             "entry-a1", "q", 800, stream=False, headers={"prefer": "respond-async"}
@@ -218,7 +220,7 @@
         generated = sum(each.counts.generated for each in world.engines.values())
         assert generated < 820
 
-    def test_job_and_its_owner_survive_a_store_outage_during_the_hand_over(self):
+    def test_job_survives_a_store_outage_during_the_handover(self):
         world = demo_world(ZONES)
         caller = world.complete(
             "entry-a1", "q", 800, stream=False, headers={"prefer": "respond-async"}
@@ -236,16 +238,16 @@
 
 class TestZoneReclaimed:
     @pytest.mark.parametrize("seed", [1, 2])
-    def test_all_of_a_zone_at_once_and_again_during_recovery(self, seed):
+    def test_two_zones_in_short_succession(self, seed):
         zones = ("zone-a", "zone-b", "zone-c")
         world = demo_world(zones, engines_per_zone=3, entries_per_zone=2, seed=seed)
         callers = start_streams(world, 18, tokens=900)
-        reclaim(world, [name for name in _all_vms(world) if "-a" in name], 6.0)
+        reclaim_vms(world, [name for name in _all_vms(world) if "-a" in name], 6.0)
         world.run(7.0)
-        reclaim(world, [name for name in _all_vms(world) if "-b" in name], 5.0)
+        reclaim_vms(world, [name for name in _all_vms(world) if "-b" in name], 5.0)
         world.run(6.0)
         for caller in callers:
-            text = follow(world, caller, caller.prompt, ["entry-c1", "entry-c2"])
+            text = read_with_reattachment(world, caller, caller.prompt, ["entry-c1", "entry-c2"])
             assert text == expected_text(prompt_tokens(caller.prompt), 900)
 
 
@@ -253,7 +255,7 @@
     return [*world.engines, *world.plains, *world.nodes]
 
 
-class TestUnannouncedDeathOfAnEntry:
+class TestEntryCrash:
     def test_asynchronous_requests_survive(self):
         world = demo_world(ZONES)
         callers = [
@@ -287,7 +289,7 @@
         world.finish(later)
         assert later.text == expected_text(["q"], 400)
 
-    def test_process_that_starts_again_takes_up_its_jobs(self):
+    def test_restarted_process_adopts_its_jobs(self):
         world = demo_world(ZONES)
         caller = world.complete(
             "entry-a1", "q", 400, stream=False, headers={"prefer": "respond-async"}
@@ -300,7 +302,7 @@
         world.finish(later)
         assert later.text == expected_text(["q"], 400)
 
-    def test_job_that_must_not_repeat_is_told_as_unknown(self):
+    def test_unrepeatable_job_is_reported_as_unknown(self):
         world = demo_world(ZONES)
         for plain in world.plains.values():
             plain.work_seconds = 1.0
@@ -321,7 +323,7 @@
         assert later.error["kind"] == "outcome_unknown"
         assert sum(sum(each.executions.values()) for each in world.plains.values()) <= 1
 
-    def test_keyed_caller_that_comes_back_gets_an_answer_or_the_truth(self):
+    def test_keyed_request_of_a_crashed_process_can_be_repeated(self):
         world = demo_world(ZONES)
         first = world.complete("entry-a1", tokens=200, headers={"idempotency-key": "k"})
         world.run(1.0)
@@ -335,7 +337,7 @@
 
 
 class TestDrainState:
-    def test_drained_process_reports_it(self):
+    def test_drained_process_reports_its_state(self):
         world = demo_world(ZONES)
         node = world.nodes["entry-a1"]
         node.shut_down()
--- a/flamingofront/request/tests/test_restored_documents.py
+++ b/flamingofront/request/tests/test_restored_documents.py
@@ -1,7 +1,7 @@
-"""Keys, jobs and answers of callers, when the store comes back from a copy some seconds old.
+"""Tests of idempotency keys and jobs when the store is restored from a snapshot some seconds old.
 
-A claim stands before the first byte goes to an endpoint; with a copy of before, it was gone, and
-the next call with the key ran the work a second time.
+A claim is written before a request is sent. A snapshot from before that write lacks the claim, so
+that the next call with the key ran the request a second time.
 """
 
 import pytest
@@ -12,15 +12,15 @@
 KEY = {"idempotency-key": "k1", "x-work": "w1"}
 
 
-def restore(world, seconds, out=0.3):
+def restore_snapshot(world, age, outage=0.3):
     world.platform.store.fault = StoreFault.RESET
-    world.run(out)
+    world.run(outage)
     world.platform.store.fault = StoreFault.NONE
-    world.platform.store.restore(seconds)
+    world.platform.store.restore(age)
     world.run(3.0)
 
 
-def executions(world):
+def count_executions(world):
     return sum(each.executions["w1"] for each in world.plains.values())
 
 
@@ -33,18 +33,18 @@
         first = world.call("entry-a1", "POST", path, b"x", KEY)
         world.finish(first)
         world.run(seconds / 2)
-        restore(world, seconds)
+        restore_snapshot(world, seconds)
         second = world.call("entry-b1", "POST", path, b"x", KEY)
         world.finish(second)
         assert (second.status, second.body) == (first.status, first.body)
-        assert executions(world) == 1
+        assert count_executions(world) == 1
 
-    def test_key_that_was_used_again_after_the_return_keeps_what_is_newer(self):
+    def test_answer_stored_after_the_restore_is_kept(self):
         world = demo_world(("zone-a", "zone-b"))
         world.run(10.0)
         path = "/services/records/x"
         world.finish(world.call("entry-a1", "POST", path, b"one", {"idempotency-key": "k1"}))
-        restore(world, 3.0)
+        restore_snapshot(world, 3.0)
         newer = world.call("entry-b1", "POST", path, b"two", {"idempotency-key": "k2"})
         world.finish(newer)
         world.run(5.0)
@@ -54,25 +54,25 @@
 
 
 class TestJobs:
-    def test_answer_of_a_job_can_be_fetched_afterwards(self):
+    def test_answer_of_a_job_can_be_fetched_after_the_restore(self):
         world = demo_world(("zone-a", "zone-b"))
         world.run(10.0)
         caller = world.complete("entry-a1", stream=False, headers={"prefer": "respond-async"})
         world.run(3.0)
-        restore(world, 8.0)
+        restore_snapshot(world, 8.0)
         later = world.call("entry-b1", "GET", caller.headers["location"])
         world.finish(later)
         assert later.status == 200
 
 
 class TestConfiguration:
-    def test_accepted_change_stands(self):
+    def test_accepted_change_survives_the_restore(self):
         world = demo_world(("zone-a", "zone-b"))
         world.run(10.0)
         outcome = world.operate("drain zone zone-b")
         assert outcome["state"] == "accepted"
         world.run(0.5)
-        restore(world, 5.0)
+        restore_snapshot(world, 5.0)
         world.entry("entry-new", "zone-a")
         world.run(5.0)
         revisions = {each.gossip.configuration.revision for each in world.nodes.values()}
--- a/flamingofront/request/tests/test_whole_path.py
+++ b/flamingofront/request/tests/test_whole_path.py
@@ -1,4 +1,4 @@
-"""A request from end to end through real decisions and fake sockets."""
+"""End-to-end tests of requests, with simulated connections."""
 
 import pytest
 
@@ -14,7 +14,7 @@
 
 
 class TestCompletion:
-    def test_stream_gives_the_whole_text(self):
+    def test_stream_returns_the_complete_text(self):
         world = demo_world()
         caller = world.complete("entry-a1", tokens=20)
         world.finish(caller)
@@ -22,7 +22,7 @@
         assert caller.text == expected_text(PROMPT, 20)
         assert caller.body.endswith(b"data: [DONE]\n\n")
 
-    def test_whole_answer_gives_the_same_text(self):
+    def test_unstreamed_answer_has_the_same_text(self):
         world = demo_world()
         caller = world.complete("entry-a1", tokens=20, stream=False)
         world.finish(caller)
@@ -30,8 +30,8 @@
         assert caller.data["usage"]["completion_tokens"] == 20
 
     @pytest.mark.parametrize("tokens", [1, 2, 30])
-    def test_a_completed_attempt_is_not_counted_as_lost(self, tokens):
-        """The end of a response that arrives with its last frame is not a loss."""
+    def test_completed_attempt_is_not_counted_as_failed(self, tokens):
+        """A response whose end arrives with its last frame must not count as a failed attempt."""
         world = demo_world()
         caller = world.complete("entry-a1", tokens=tokens)
         world.finish(caller)
@@ -41,7 +41,7 @@
         assert node.directory.in_flight_at("engine-a1") == 0
         assert node.directory.in_flight_at("engine-a2") == 0
 
-    def test_caller_that_leaves_has_its_stream_cancelled(self):
+    def test_stream_of_a_disconnected_caller_is_cancelled(self):
         world = demo_world(entry_settings={"reattach_grace": 1.0})
         caller = world.complete("entry-a1", tokens=10000)
         world.run_until(lambda: caller.body)
@@ -52,7 +52,7 @@
 
 
 class TestPlainCall:
-    def test_method_path_query_and_body_are_passed_through(self):
+    def test_method_path_query_and_body_are_forwarded(self):
         world = demo_world()
         caller = world.call("entry-a1", "PUT", "/services/records/a/b", b"text", query={"q": "1"})
         world.finish(caller)
@@ -73,7 +73,7 @@
             world.finish(later)
             assert later.text == expected_text(PROMPT, 20)
 
-    def test_other_workspace_cannot_fetch_it(self):
+    def test_other_workspace_cannot_fetch_the_answer(self):
         world = demo_world()
         caller = world.complete("entry-a1", stream=False, headers={"prefer": "respond-async"})
         world.run(5.0)
@@ -85,7 +85,7 @@
 
 class TestReattachment:
     @pytest.mark.parametrize("where", ["entry-a1", "entry-b1"])
-    def test_rest_of_the_text_is_given_from_the_offset(self, where):
+    def test_reattached_caller_gets_the_text_from_its_offset(self, where):
         world = demo_world(("zone-a", "zone-b"))
         caller = world.complete("entry-a1", tokens=200)
         world.run_until(lambda: len(caller.body) > 2000)
@@ -98,7 +98,7 @@
         world.finish(again)
         assert caller.text + again.text == expected_text(PROMPT, 200)
 
-    def test_offset_beyond_the_text_is_an_error(self):
+    def test_offset_beyond_the_text_is_rejected(self):
         world = demo_world()
         caller = world.complete("entry-a1", tokens=200)
         world.run_until(lambda: caller.body)
@@ -106,7 +106,7 @@
         again = world.call("entry-a1", "GET", f"/v1/requests/{request_id}", query={"offset": "999"})
         assert again.status == 404
 
-    def test_unknown_request_is_told_as_unknown(self):
+    def test_unknown_request_is_reported_as_unknown(self):
         world = demo_world(("zone-a", "zone-b"))
         caller = world.call("entry-a1", "GET", "/v1/requests/entry-b1~0000")
         world.finish(caller)
