--- a/bench/entries.py
+++ b/bench/entries.py
@@ -153,7 +153,7 @@
     def expire(self):
         for ticket in self.admission.expired(self.sim.now):
             job = self.jobs.pop(ticket.request_id)
-            job.machine.handle_disconnect()
+            job.machine.end_without_answer()
             self.sim.result.refused_late += 1
             self.sim.refused(job.call, self.admission.retry_after(self.sim.now))
         self.pump()
--- a/bench/proofs.py
+++ b/bench/proofs.py
@@ -4,7 +4,11 @@
 from flamingofront.process.tests.test_configuration import seconds_until_in_force
 from flamingofront.process.tests.test_leaving import last_new_work
 from flamingofront.request.recovery import ResumeOnLoss
-from flamingofront.request.tests.test_reclaims import reclaim, recomputed, start_streams
+from flamingofront.request.tests.test_reclaims import (
+    count_recomputed_tokens,
+    reclaim_vms,
+    start_streams,
+)
 from flamingofront.standins.platform import FaultMode
 from flamingofront.tests.world import demo_world
 
@@ -63,9 +67,9 @@
             if policy is not None:
                 node.migrations._policy = policy
         callers = start_streams(world, 12)
-        reclaim(world, ["engine-a1", "engine-a2"], notice)
+        reclaim_vms(world, ["engine-a1", "engine-a2"], notice)
         world.finish(*callers)
-        yield name, recomputed(world)
+        yield name, count_recomputed_tokens(world)
 
 
 def main():
--- a/flamingofront/platform/requests.py
+++ b/flamingofront/platform/requests.py
@@ -111,7 +111,7 @@
             fields=_without(req.fields, NOT_FORWARDED | named),
         )
 
-    def attempt_fields(self, work: ForwardWork, facts: AttemptFacts) -> Fields:
+    def encode_attempt_headers(self, work: ForwardWork, facts: AttemptFacts) -> Fields:
         """Return the headers of an attempt."""
         fields = work.fields
         if facts.last_event:
--- a/flamingofront/process/tests/test_graceful_stop.py
+++ b/flamingofront/process/tests/test_graceful_stop.py
@@ -2,7 +2,11 @@
 
 import pytest
 
-from flamingofront.request.tests.test_reclaims import expected_text, follow, prompt_tokens
+from flamingofront.request.tests.test_reclaims import (
+    expected_text,
+    prompt_tokens,
+    read_with_reattachment,
+)
 from flamingofront.tests.world import DEMO, demo_world
 from flamingofront.version.model import Move
 from flamingofront.version.routing import side_of_move
@@ -39,7 +43,7 @@
             if caller.done and caller.status == 503:
                 refused.append(caller.error["ran"])
                 continue
-            text = follow(world, caller, caller.prompt, nodes)
+            text = read_with_reattachment(world, caller, caller.prompt, nodes)
             assert text == expected_text(prompt_tokens(caller.prompt), tokens)
         assert set(refused) <= {"no"}
         assert len(refused) < len(callers)
--- a/flamingofront/request/active.py
+++ b/flamingofront/request/active.py
@@ -116,7 +116,7 @@
         return self.machine.phase in (Phase.DONE, Phase.FROZEN)
 
     @property
-    def is_sent(self) -> bool:
+    def has_attempt_in_flight(self) -> bool:
         """True while an attempt is in flight."""
         return self._handle is not None
 
@@ -202,7 +202,7 @@
             return
         self.hub.metrics.count("refusals_total", kind="caller_gone")
         self._record_written_bytes()
-        self.execute(self.machine.handle_disconnect())
+        self.execute(self.machine.end_without_answer())
         self._clean_up()
         self.hub.remove_request(self)
 
@@ -211,13 +211,13 @@
         self.execute(self.machine.expire())
 
     def reject_unstarted(self, exc: RequestError) -> None:
-        """Finish a request that never started with an error."""
-        self.machine.handle_disconnect()
+        """Reject a request that has not started, with an error."""
+        self.machine.end_without_answer()
         self._finish(None, exc)
 
     def replay_answer(self, answer: StoredAnswer) -> None:
-        """Finish a request that never started with the answer of an earlier one."""
-        self.machine.handle_disconnect()
+        """Send the answer of an earlier request to a request that has not started."""
+        self.machine.end_without_answer()
         detached, self.attachments = self.attachments, []
         for each in detached:
             each.detach()
@@ -225,8 +225,8 @@
         self.cancel_unstarted()
 
     def cancel_unstarted(self) -> None:
-        """Remove a request that never started; its caller is answered by other code."""
-        self.machine.handle_disconnect()
+        """Remove a request that has not started, without sending an answer."""
+        self.machine.end_without_answer()
         self._clean_up()
         self.hub.remove_request(self)
 
@@ -418,7 +418,7 @@
 
     def _fail_request(self, action: Fail) -> None:
         ran = Ran.YES if action.kind is ErrorKind.CRASHES_ENDPOINTS else action.ran
-        exc = RequestError(action.kind, action.detail, ran, self._retry_after(action))
+        exc = RequestError(action.kind, action.detail, ran, self._compute_retry_after(action))
         self.log.info(
             "request failed",
             kind=action.kind.value,
@@ -427,7 +427,7 @@
         )
         self._finish(None, exc)
 
-    def _retry_after(self, action: Fail) -> float | None:
+    def _compute_retry_after(self, action: Fail) -> float | None:
         """Return the seconds for Retry-After, at least until an endpoint accepts requests again."""
         service, priority = self.record.service.name, self.ticket.share.priority
         if self.hub.seconds_until_open(service, priority) <= 0:
@@ -465,7 +465,7 @@
         return self.to_record()
 
     def adopt_attachments(self, frozen: "ActiveRequest") -> None:
-        """Take over the consumers of the frozen request that this one resumes."""
+        """Take over the consumers and callback of the frozen request that this one resumes."""
         self.accepted_at = frozen.accepted_at
         self.on_finished = frozen.on_finished
         detached, frozen.attachments = frozen.attachments, []
--- a/flamingofront/request/attachments.py
+++ b/flamingofront/request/attachments.py
@@ -22,10 +22,10 @@
     "Attachment",
     "RelayAttachment",
     "StreamAttachment",
-    "WholeAttachment",
+    "ResponseAttachment",
     "respond_accepted",
     "respond_error",
-    "whole_completion",
+    "make_completion_answer",
 ]
 
 STREAM_HEADERS = (("Content-Type", "text/event-stream"), ("Cache-Control", "no-store"))
@@ -114,11 +114,11 @@
         respond_error(self._exchange, exc, self._request_id)
 
 
-class WholeAttachment(Attachment):
+class ResponseAttachment(Attachment):
     """A caller that receives the answer as one response."""
 
     def send_answer(self, answer: StoredAnswer) -> None:
-        """Send the whole answer."""
+        """Send the complete answer."""
         self.replay(answer)
 
 
@@ -220,7 +220,7 @@
         self._exchange.finish()
 
 
-def whole_completion(
+def make_completion_answer(
     request_id: str, work: ModelWork, tokens: tuple[str, ...] | list[str]
 ) -> StoredAnswer:
     """Return the complete, unstreamed answer of a completion."""
--- a/flamingofront/request/attempts.py
+++ b/flamingofront/request/attempts.py
@@ -260,8 +260,8 @@
             return []
         return self._stop_attempt() + self._fail(ErrorKind.DEADLINE_EXCEEDED)
 
-    def handle_disconnect(self) -> list[Action]:
-        """End the request without an answer because no caller is connected."""
+    def end_without_answer(self) -> list[Action]:
+        """End the request without an answer, such as after the caller has disconnected."""
         if self.phase in (Phase.DONE, Phase.FROZEN):
             return []
         actions = self._stop_attempt()
--- a/flamingofront/request/claims.py
+++ b/flamingofront/request/claims.py
@@ -28,7 +28,7 @@
     "reassign_claim",
     "release_claim",
     "retry_until_done",
-    "request_digest",
+    "compute_request_digest",
 ]
 
 CLAIM_PREFIX = "claim/"
@@ -92,7 +92,7 @@
     may_exist: bool = False
 
 
-def request_digest(method: str, path: str, body: bytes) -> str:
+def compute_request_digest(method: str, path: str, body: bytes) -> str:
     """Return a digest that must be equal for all calls with the same key."""
     digest = hashlib.sha256()
     for part in (method.encode(), path.encode(), body):
@@ -155,7 +155,7 @@
     owner : str
         Id of this entry VM.
     digest : str
-        Digest of the request, by `request_digest`.
+        Digest of the request, by `compute_request_digest`.
     is_gone : callable
         Returns True if the VM that owns a claim has left permanently.
     budget : float
--- a/flamingofront/request/completion.py
+++ b/flamingofront/request/completion.py
@@ -58,7 +58,7 @@
     respond_async: bool = False
 
 
-def _malformed(detail: str) -> RequestError:
+def _malformed_error(detail: str) -> RequestError:
     return RequestError(ErrorKind.MALFORMED_REQUEST, detail)
 
 
@@ -72,9 +72,11 @@
     """
     key = req.header("idempotency-key")
     if "idempotency-key" in req.headers and not key.strip():
-        raise _malformed("Idempotency-Key is empty")
+        raise _malformed_error("Idempotency-Key is empty")
     if len(key) > MAX_KEY_LENGTH or not key.isprintable():
-        raise _malformed(f"Idempotency-Key must be up to {MAX_KEY_LENGTH} printable characters")
+        raise _malformed_error(
+            f"Idempotency-Key must be up to {MAX_KEY_LENGTH} printable characters"
+        )
     preferences = [each.strip().lower() for each in req.header("prefer").split(",")]
     return CallerOptions(key, _parse_deadline(req), "respond-async" in preferences)
 
@@ -88,7 +90,9 @@
     except ValueError:
         value = -1.0
     if not 0 < value <= MAX_DEADLINE_SECONDS:
-        raise _malformed(f"X-Deadline must be a positive number of seconds, got {text[:40]!r}")
+        raise _malformed_error(
+            f"X-Deadline must be a positive number of seconds, got {text[:40]!r}"
+        )
     return value
 
 
@@ -96,9 +100,9 @@
     try:
         data = orjson.loads(body)
     except orjson.JSONDecodeError as exc:
-        raise _malformed(f"the body is not valid JSON: {exc}") from None
+        raise _malformed_error(f"the body is not valid JSON: {exc}") from None
     if not isinstance(data, dict):
-        raise _malformed("the body must be a JSON object")
+        raise _malformed_error("the body must be a JSON object")
     return data
 
 
@@ -113,42 +117,42 @@
     data = _parse_json(body)
     model = data.get("model")
     if not isinstance(model, str) or not model:
-        raise _malformed(f"model must be a non-empty string, got {model!r}")
+        raise _malformed_error(f"model must be a non-empty string, got {model!r}")
     stream = data.get("stream", False)
     if not isinstance(stream, bool):
-        raise _malformed(f"stream must be true or false, got {stream!r}")
-    text = _chat_text(data) if chat else _prompt_text(data)
-    return Completion(model, tuple(_TOKEN.findall(text)), _max_tokens(data), stream, chat)
+        raise _malformed_error(f"stream must be true or false, got {stream!r}")
+    text = _parse_chat(data) if chat else _parse_prompt(data)
+    return Completion(model, tuple(_TOKEN.findall(text)), _parse_max_tokens(data), stream, chat)
 
 
-def _max_tokens(data: Mapping[str, Any]) -> int:
+def _parse_max_tokens(data: Mapping[str, Any]) -> int:
     name = "max_completion_tokens" if "max_completion_tokens" in data else "max_tokens"
     value = data.get(name, DEFAULT_OUTPUT_TOKENS)
     if isinstance(value, bool) or not isinstance(value, int):
-        raise _malformed(f"{name} must be an integer, got {value!r}")
+        raise _malformed_error(f"{name} must be an integer, got {value!r}")
     if not 1 <= value <= MAX_OUTPUT_TOKENS:
-        raise _malformed(f"{name} must be from 1 to {MAX_OUTPUT_TOKENS}, got {value}")
+        raise _malformed_error(f"{name} must be from 1 to {MAX_OUTPUT_TOKENS}, got {value}")
     return value
 
 
-def _prompt_text(data: Mapping[str, Any]) -> str:
+def _parse_prompt(data: Mapping[str, Any]) -> str:
     prompt = data.get("prompt")
     if not isinstance(prompt, str) or not prompt:
-        raise _malformed("prompt must be a non-empty string")
+        raise _malformed_error("prompt must be a non-empty string")
     return prompt
 
 
-def _chat_text(data: Mapping[str, Any]) -> str:
+def _parse_chat(data: Mapping[str, Any]) -> str:
     messages = data.get("messages")
     if not isinstance(messages, list) or not messages:
-        raise _malformed("messages must be a non-empty list")
-    return "\n".join(_message_text(index, each) for index, each in enumerate(messages))
+        raise _malformed_error("messages must be a non-empty list")
+    return "\n".join(_parse_message(index, each) for index, each in enumerate(messages))
 
 
-def _message_text(index: int, message: Any) -> str:
+def _parse_message(index: int, message: Any) -> str:
     if not isinstance(message, dict):
-        raise _malformed(f"messages[{index}] must be an object")
+        raise _malformed_error(f"messages[{index}] must be an object")
     role, content = message.get("role"), message.get("content")
     if not isinstance(role, str) or not isinstance(content, str):
-        raise _malformed(f"messages[{index}] must have a role and a content, both strings")
+        raise _malformed_error(f"messages[{index}] must have a role and a content, both strings")
     return f"{role}: {content}"
--- a/flamingofront/request/forward_gateway.py
+++ b/flamingofront/request/forward_gateway.py
@@ -190,7 +190,7 @@
         record = self._build_record(req, caller, route, workspace)
         # Before the quota: a quota rejection would ask the caller to retry.
         self._hub.guard.reject_quarantined(record)
-        units = _quota_units(caller, workspace)
+        units = _count_quota_units(caller, workspace)
         pending = _PendingRequest(req, exchange, record, route, workspace, units, cfg.version)
         if workspace is None:
             self._accept(pending)
@@ -225,7 +225,7 @@
         """Accept a request, unless this process may shut down first or admission rejects it."""
         self._check_shutdown(pending.record)
         request = self._hub.accept(
-            pending.record, _admission_share(pending.route, pending.workspace)
+            pending.record, _make_admission_share(pending.route, pending.workspace)
         )
         if pending.workspace is not None:
             self._quota.spend(pending.workspace, pending.units, self._hub.now())
@@ -338,7 +338,7 @@
         )
 
 
-def _quota_units(caller: CallerRequest, workspace: ForwardedWorkspace | None) -> float:
+def _count_quota_units(caller: CallerRequest, workspace: ForwardedWorkspace | None) -> float:
     """Return the quota units that a request consumes, in requests or tokens."""
     if workspace is None or not workspace.counts_tokens:
         return 1.0
@@ -347,7 +347,9 @@
     return float(caller.prompt_tokens + caller.output_tokens)
 
 
-def _admission_share(route: ForwardedRoute, workspace: ForwardedWorkspace | None) -> WorkspaceShare:
+def _make_admission_share(
+    route: ForwardedRoute, workspace: ForwardedWorkspace | None
+) -> WorkspaceShare:
     """Return the admission share; a workspace's priority overrides the route's."""
     priority = route.priority
     if workspace is not None and workspace.priority is not None:
--- a/flamingofront/request/forward_work.py
+++ b/flamingofront/request/forward_work.py
@@ -178,7 +178,7 @@
         """Return the decoded headers of a caller; raises `RequestError` if they are malformed."""
 
     @abstractmethod
-    def attempt_fields(self, work: ForwardWork, facts: AttemptFacts) -> Fields:
+    def encode_attempt_headers(self, work: ForwardWork, facts: AttemptFacts) -> Fields:
         """Return the headers of an attempt."""
 
     @abstractmethod
--- a/flamingofront/request/forwarded_request.py
+++ b/flamingofront/request/forwarded_request.py
@@ -238,7 +238,7 @@
             work.method,
             work.target,
             work.body,
-            self.protocol.attempt_fields(work, facts),
+            self.protocol.encode_attempt_headers(work, facts),
             timeout=seconds_left + CALL_MARGIN_SECONDS,
             stream=True,
             # After a reset of a reused connection it is unknown whether the request ran.
@@ -380,7 +380,7 @@
         Without this the attempt would wait until its connection is reset, 2 s for an unresponsive
         one. Clocks of VMs differ, so an attempt that was sent close to the restart is left alone.
         """
-        if self.is_sent and self.sent_at < started_at - CLOCK_MARGIN_SECONDS:
+        if self.has_attempt_in_flight and self.sent_at < started_at - CLOCK_MARGIN_SECONDS:
             self.hub.guard.crash_detector.record_restart(
                 self.endpoint_id, frozenset((self.fingerprint,))
             )
--- a/flamingofront/request/gateway.py
+++ b/flamingofront/request/gateway.py
@@ -22,8 +22,8 @@
 from flamingofront.request.active import ActiveRequest
 from flamingofront.request.attachments import (
     Attachment,
+    ResponseAttachment,
     StreamAttachment,
-    WholeAttachment,
     respond_accepted,
     respond_error,
 )
@@ -202,7 +202,7 @@
         if parsed.stream and not options.respond_async:
             attachment = StreamAttachment(exchange, request_id, work)
         else:
-            attachment = WholeAttachment(exchange, request_id)
+            attachment = ResponseAttachment(exchange, request_id)
         self._accept(req, record, workspace, options, attachment, exchange)
 
     def _handle_plain_call(self, req: InboundRequest, exchange: Exchange, request_id: str) -> None:
@@ -217,7 +217,7 @@
         path = _join_query("/" + rest, req)
         work = PlainWork(req.method, path, headers, req.body)
         record = self._build_record(request_id, workspace, route, service, work, options)
-        attachment = WholeAttachment(exchange, request_id)
+        attachment = ResponseAttachment(exchange, request_id)
         self._accept(req, record, workspace, options, attachment, exchange)
 
     def _build_record(
@@ -251,16 +251,18 @@
         exchange: Exchange,
     ) -> None:
         if options.key:
-            self._keyed.handle(req, record, self._admission_share(workspace), attachment, exchange)
+            self._keyed.handle(
+                req, record, self._make_admission_share(workspace), attachment, exchange
+            )
         elif options.respond_async:
             attachment.detach()
-            self._accept_job(record, self._admission_share(workspace), exchange)
+            self._accept_job(record, self._make_admission_share(workspace), exchange)
         else:
-            request = self._hub.accept(record, self._admission_share(workspace))
+            request = self._hub.accept(record, self._make_admission_share(workspace))
             request.attach(attachment)
             self._hub.start_ready_requests()
 
-    def _admission_share(self, workspace: Workspace) -> WorkspaceShare:
+    def _make_admission_share(self, workspace: Workspace) -> WorkspaceShare:
         limit = self._workspace_limit(workspace)
         return WorkspaceShare(workspace.name, workspace.weight, workspace.priority, limit)
 
--- a/flamingofront/request/guard.py
+++ b/flamingofront/request/guard.py
@@ -181,7 +181,9 @@
         return frozenset(
             each.endpoint_id
             for each in self._active()
-            if each is not request and each.is_sent and self._must_separate(request, each)
+            if each is not request
+            and each.has_attempt_in_flight
+            and self._must_separate(request, each)
         )
 
     def _must_separate(self, request: "ActiveRequest", other: "ActiveRequest") -> bool:
--- a/flamingofront/request/hub.py
+++ b/flamingofront/request/hub.py
@@ -336,7 +336,7 @@
             each
             for each in self.active.values()
             if isinstance(each, ForwardedRequest)
-            and each.is_sent
+            and each.has_attempt_in_flight
             and self.directory.zone_of(each.endpoint_id) == zone
         ]
 
--- a/flamingofront/request/keyed.py
+++ b/flamingofront/request/keyed.py
@@ -20,9 +20,9 @@
     ClaimKey,
     ClaimOutcome,
     acquire_claim,
+    compute_request_digest,
     reassign_claim,
     release_claim,
-    request_digest,
     store_claim_result,
 )
 from flamingofront.request.hub import RequestHub
@@ -98,7 +98,7 @@
             request.attach(attachment)
         request.defer_start()
         self._claiming[key] = request.request_id
-        digest = request_digest(req.method, req.path, req.body)
+        digest = compute_request_digest(req.method, req.path, req.body)
         task = self._claim(key, record, digest)
         self._tasks.start(
             task, lambda outcome: self._on_claim_outcome(key, request, outcome, exchange)
@@ -159,7 +159,7 @@
     ) -> None:
         """Reject a job whose row may exist; its key stays claimed, as an adopter may run it."""
         task = store_claim_result(
-            self._documents, key, request.request_id, None, self._rng, self._answer_expiry()
+            self._documents, key, request.request_id, None, self._rng, self._compute_expiry()
         )
         self._tasks.start(task, lambda _: self._claiming.pop(key, None))
         exc = RequestError(ErrorKind.STORE_UNAVAILABLE, ran=Ran.UNKNOWN)
@@ -218,7 +218,7 @@
             self._claiming.pop(key, None)
             return
         task = store_claim_result(
-            self._documents, key, request.request_id, answer, self._rng, self._answer_expiry()
+            self._documents, key, request.request_id, answer, self._rng, self._compute_expiry()
         )
         self._tasks.start(task, lambda _: self._claiming.pop(key, None))
 
@@ -287,7 +287,7 @@
         """Return True while the answer of a job is being stored."""
         return request_id in self._jobs_being_stored
 
-    def _answer_expiry(self) -> float:
+    def _compute_expiry(self) -> float:
         """Return the expiry time of an answer that is stored now, in seconds since the epoch."""
         return self._hub.timers.wall() + KEPT_SECONDS
 
@@ -300,6 +300,6 @@
             answer = StoredAnswer(status, "application/json", error_body(exc, request_id))
         self._jobs_being_stored.add(request_id)
         task = store_job_result(
-            self._documents, request_id, self._vm_id, answer, self._rng, self._answer_expiry()
+            self._documents, request_id, self._vm_id, answer, self._rng, self._compute_expiry()
         )
         self._tasks.start(task, lambda _: self._jobs_being_stored.discard(request_id))
--- a/flamingofront/request/model_request.py
+++ b/flamingofront/request/model_request.py
@@ -18,7 +18,7 @@
     StartAttempt,
 )
 from flamingofront.request.active import ActiveRequest
-from flamingofront.request.attachments import whole_completion
+from flamingofront.request.attachments import make_completion_answer
 from flamingofront.request.host import RequestHost
 from flamingofront.request.prefixes import block_hashes
 from flamingofront.request.records import ModelWork, RequestRecord
@@ -131,7 +131,7 @@
         # Reading the response to its end keeps the connection reusable.
         self._end_call(cancel=False)
         tokens = self.machine.assembler.tokens
-        self._finish(whole_completion(self.request_id, self.work, tokens), None)
+        self._finish(make_completion_answer(self.request_id, self.work, tokens), None)
 
 
 class _FrameReader:
--- a/flamingofront/request/reattach.py
+++ b/flamingofront/request/reattach.py
@@ -20,8 +20,8 @@
     RELAY_HEADERS,
     Attachment,
     RelayAttachment,
+    ResponseAttachment,
     StreamAttachment,
-    WholeAttachment,
     respond_error,
 )
 from flamingofront.request.hub import RequestHub
@@ -120,7 +120,7 @@
             attachment: Attachment = StreamAttachment(exchange, request_id, work, offset)
             attachment.send_tokens(offset, finished.tokens[offset:])
         else:
-            attachment = WholeAttachment(exchange, request_id)
+            attachment = ResponseAttachment(exchange, request_id)
         attachment.detach()
         attachment.send_answer(finished.answer)
         return True
@@ -277,7 +277,7 @@
         self._reattachment._hub.metrics.count("reattachments_total", result="relayed")
         if self._stream and work.model:
             return StreamAttachment(self._exchange, self.request_id, work, self._offset)
-        return WholeAttachment(self._exchange, self.request_id)
+        return ResponseAttachment(self._exchange, self.request_id)
 
 
 class _RelayReader:
--- a/flamingofront/request/tests/test_attempts.py
+++ b/flamingofront/request/tests/test_attempts.py
@@ -79,7 +79,7 @@
         machine.freeze()
         assert machine.accept_frame(Frame("r", start.attempt_id, 1, ("y",), True)) == []
         assert machine.handle_attempt_failure(start.attempt_id, "e", Ran.UNKNOWN, 1.0) == []
-        assert machine.start() == machine.expire() == machine.handle_disconnect() == []
+        assert machine.start() == machine.expire() == machine.end_without_answer() == []
         assert machine.assembler.tokens == ["x"]
 
 
@@ -173,7 +173,7 @@
     def request_ends(self, end):
         ends = {
             "deadline": self.machine.expire,
-            "gone": self.machine.handle_disconnect,
+            "gone": self.machine.end_without_answer,
             "freeze": self.machine.freeze,
         }
         if self.now > 20:
