--- a/bench/answer_mutations.py
+++ b/bench/answer_mutations.py
@@ -43,14 +43,14 @@
     Mutation(
         "Limit: the own part only after silence",
         "process/forwarding/limit_arbiter.py",
-        "-math.inf) < SILENCE_SECONDS:",
+        "-math.inf) < RECENT_REPLY_SECONDS:",
         "-math.inf) < 0:",
         LIMITS,
     ),
     Mutation(
         "Limit: a process that stops does not decide",
         "process/forwarding/limit_members.py",
-        "if not (self._is_stopping() and ip == self._own_ip)]",
+        "if not (self._is_stopping() and ip == self._local_ip)]",
         "if ip]",
         LIMITS,
     ),
@@ -64,7 +64,7 @@
     Mutation(
         "Leave: an answer ends new work",
         "process/forwarding/endpoints.py",
-        "        self.put(replace(row, ready=False), by_peer=True)\n",
+        "        self.merge_row(replace(row, ready=False), from_peer=True)\n",
         "        pass\n",
         LEAVING,
     ),
@@ -72,7 +72,7 @@
         "Leave: leaving is final though the row had gone",
         "process/forwarding/endpoints.py",
         "if row.born == before.born and not before.ready and row.ready:",
-        "if is_known and row.born == before.born and not before.ready and row.ready:",
+        "if is_present and row.born == before.born and not before.ready and row.ready:",
         LEAVING,
     ),
     Mutation(
--- a/bench/entries.py
+++ b/bench/entries.py
@@ -18,11 +18,11 @@
     ChoicePolicy,
     CostChoice,
     WorkEstimate,
+    filter_usable,
     report_weight,
-    usable,
 )
 from flamingofront.decisions.retry import EndpointHealth, PacedRetryBudget, RetryBudget
-from flamingofront.errors import Ran, RequestError
+from flamingofront.errors import Executed, RequestError
 from flamingofront.messages import (
     CancelAttempt,
     Complete,
@@ -96,7 +96,7 @@
     def candidates(self, blocks):
         engines = self.sim.reachable(self.zone)
         ids = tuple(each.engine_id for each in engines)
-        out = self.health.ejected(ids, self.sim.now) if self.policies.ejection else frozenset()
+        out = self.health.list_ejected(ids, self.sim.now) if self.policies.ejection else frozenset()
         known = sorted(self.paces.values())
         usual = known[len(known) // 2] if known else 0.0
         own = sum(self.in_flight.get(each, 0) for each in ids)
@@ -104,7 +104,7 @@
         share = 1.0 / self.sim.sharers(self.zone)
         return [
             replace(
-                self._candidate(each, blocks, out, usual), own_share=share, report_weight=weight
+                self._candidate(each, blocks, out, usual), local_share=share, report_weight=weight
             )
             for each in engines
         ]
@@ -119,9 +119,9 @@
             "",
             price=engine.price,
             slots=SLOTS,
-            own_in_flight=self.in_flight.get(engine_id, 0),
+            local_in_flight=self.in_flight.get(engine_id, 0),
             reported_load=load,
-            own_at_report=own,
+            local_at_report=own,
             cached_tokens=self.prefixes.cached_tokens(engine_id, blocks),
             reclaim_risk=0.05 if engine.reclaimable else 0.0,
             slowness=max(0.5, min(20.0, pace / usual)) if pace and usual else 1.0,
@@ -142,16 +142,16 @@
             self.sim.result.refused_at_door += 1
             self.sim.refused(call, exc.retry_after)
             return
-        self.budget.accepted(now)
+        self.budget.record_request(now)
         self.jobs[ticket.request_id] = Job(self, call, ticket)
         self.pump()
 
     def pump(self):
-        while (ticket := self.admission.next_ready(self.sim.now)) is not None:
+        while (ticket := self.admission.start_next(self.sim.now)) is not None:
             self.jobs[ticket.request_id].carry(self.jobs[ticket.request_id].machine.start())
 
     def expire(self):
-        for ticket in self.admission.expired(self.sim.now):
+        for ticket in self.admission.drop_expired(self.sim.now):
             job = self.jobs.pop(ticket.request_id)
             job.machine.end_without_answer()
             self.sim.result.refused_late += 1
@@ -160,7 +160,7 @@
 
     def ended(self, job):
         if self.jobs.pop(job.ticket.request_id, None) is not None:
-            self.admission.finished(job.ticket, self.sim.now)
+            self.admission.release(job.ticket, self.sim.now)
             self.pump()
 
     def notice(self, engine, seconds):
@@ -276,8 +276,8 @@
             self.entry.zone,
         )
         candidates = self.entry.candidates(self.blocks)
-        pool = list(usable(candidates, None, exclude)) or list(
-            usable(candidates, None, frozenset())
+        pool = list(filter_usable(candidates, None, exclude)) or list(
+            filter_usable(candidates, None, frozenset())
         )
         chosen = self.entry.choice.choose(pool, work, self.entry.rng)
         return None if chosen is None else self.sim.engine(chosen.endpoint_id)
@@ -315,7 +315,7 @@
 
     def done(self):
         engine = self.engine
-        self.entry.health.succeeded(engine.engine_id)
+        self.entry.health.record_success(engine.engine_id)
         shared = int(self.call.prompt * self.call.kind.shared)
         engine.remember(self.call.group, shared)
         if self.entry.rng.random() < 0.9:  # one cache event in ten is lost
@@ -333,9 +333,9 @@
         self._collect()
         engine_id, attempt = self.engine.engine_id, self.machine.attempt_id
         self.leave()
-        self.entry.health.failed(engine_id, self.sim.now)
+        self.entry.health.record_failure(engine_id, self.sim.now)
         self.carry(
-            self.machine.handle_attempt_failure(attempt, engine_id, Ran.UNKNOWN, self.sim.now)
+            self.machine.handle_attempt_failure(attempt, engine_id, Executed.UNKNOWN, self.sim.now)
         )
 
     def move(self, attempt):
--- a/bench/knowledge_mutations.py
+++ b/bench/knowledge_mutations.py
@@ -28,7 +28,7 @@
     Mutation(
         "Know: few copies are sent at a time",
         "process/forwarding/document_copies.py",
-        "if self._busy_until - now > LONGEST_BUSY_SECONDS:",
+        "if self._busy_until - now > MAX_BACKLOG_SECONDS:",
         "if False:",
         LARGE,
     ),
@@ -49,14 +49,14 @@
     Mutation(
         "Know: a failed look pauses the next",
         "process/forwarding/freshness.py",
-        "        if self._timers.now() < self._next_look_at:\n",
+        "        if self._timers.now() < self._next_poll_at:\n",
         "        if False:\n",
         FRESHNESS,
     ),
     Mutation(
         "Know: a process without word asks the store",
         "process/forwarding/exchange.py",
-        "        self._knowledge.look_now()\n",
+        "        self._store_view.poll_store()\n",
         "        return\n",
         LARGE,
     ),
@@ -70,7 +70,7 @@
     Mutation(
         "Know: what vanished about an own outage is compared",
         "process/forwarding/knowledge.py",
-        "        for endpoint_id in self.endpoints.missing() - present:\n",
+        "        for endpoint_id in self.endpoints.missing_ids() - present:\n",
         "        for endpoint_id in ():\n",
         READERS,
     ),
--- a/bench/known_failure_mutations.py
+++ b/bench/known_failure_mutations.py
@@ -28,7 +28,7 @@
     Mutation(
         "S the time left is looked at again before an attempt",
         "request/forwarded_request.py",
-        "if rejection is None or self.machine.ran is not Ran.NO:",
+        "if rejection is None or self.machine.ran is not Executed.NO:",
         "if True:",
         STOPPING,
     ),
@@ -63,7 +63,7 @@
     Mutation(
         "S what is allowed is charged at once",
         "process/forwarding/quota_arbiter.py",
-        "            self._quota.charge_ahead(workspace, question.units, is_alone, now)",
+        "            self._quota.charge_grant(workspace, question.units, is_alone, now)",
         "            pass",
         ARBITER,
     ),
@@ -77,14 +77,14 @@
     Mutation(
         "S numbers go on in the next life",
         "process/forwarding/inquiries.py",
-        "inquirer.incarnation * NUMBERS_A_MILLISECOND + 1",
+        "inquirer.incarnation * NUMBERS_PER_MILLISECOND + 1",
         "1",
         ARBITER,
     ),
     Mutation(
         "S only who would be asked decides",
         "process/forwarding/quota_arbiter.py",
-        "return self._view.own_ip in self._view.ranked(name) and not self._view.knows_less()",
+        "return self._view.local_ip in self._view.rank_arbiters(name) and not self._view.should_defer()",
         "return True",
         ARBITER,
     ),
--- a/bench/mutations.py
+++ b/bench/mutations.py
@@ -40,15 +40,15 @@
     Mutation(
         "2 no retry of work that must not repeat",
         "request/attempts.py",
-        "if not self.facts.repeatable and executed is not Ran.NO:",
+        "if not self.facts.repeatable and executed is not Executed.NO:",
         "if False:",
         "request/tests/test_at_most_once.py",
     ),
     Mutation(
         "2 written is not 'not run'",
         "request/active.py",
-        "executed = Ran.UNKNOWN if event.wrote else Ran.NO",
-        "executed = Ran.NO",
+        "executed = Executed.UNKNOWN if event.wrote else Executed.NO",
+        "executed = Executed.NO",
         "request/tests/test_at_most_once.py",
     ),
     Mutation(
@@ -75,7 +75,7 @@
     Mutation(
         "all no retry of work that must not repeat",
         "request/attempts.py",
-        "if not self.facts.repeatable and executed is not Ran.NO:",
+        "if not self.facts.repeatable and executed is not Executed.NO:",
         "if False:",
         "tests/test_everything_at_once.py",
     ),
@@ -159,7 +159,7 @@
     Mutation(
         "8 one request at a time on a connection",
         "connection/server.py",
-        "        if self._answering:\n            self._hold(data)\n            return\n",
+        "        if self._responding:\n            self._buffer_data(data)\n            return\n",
         "",
         "connection/tests/test_server.py",
     ),
--- a/bench/platform_mutations.py
+++ b/bench/platform_mutations.py
@@ -26,7 +26,7 @@
     Mutation(
         "P a status that says not run needs evidence",
         "platform/requests.py",
-        "if status in NOT_RUN_STATUSES and exc.ran is not Ran.NO:",
+        "if status in NOT_RUN_STATUSES and exc.ran is not Executed.NO:",
         "if False:",
         "platform/tests/test_adapter.py",
     ),
@@ -68,29 +68,29 @@
     Mutation(
         "P rows that lapsed in an outage have grace",
         "process/forwarding/endpoints.py",
-        "if not self._away and self._timers.now() >= self._grace_until:",
+        "if not self._store_unreachable and self._timers.now() >= self._grace_until:",
         "if True:",
         FORWARDING,
     ),
     Mutation(
         "P an old row revives nothing",
         "process/forwarding/endpoints.py",
-        "return row.position <= before.position",
+        "return row.order_key <= before.order_key",
         "return False",
         "process/forwarding/tests/test_endpoints.py",
     ),
     Mutation(
         "P peers tell a process that the store turns away",
         "process/forwarding/exchange.py",
-        "if cut_off or rests or waited >= CONFIGURATION_LEAD_SECONDS:",
+        "if is_unreachable or rests or waited >= CONFIGURATION_GRACE_SECONDS:",
         "if False:",
         FORWARDING,
     ),
     Mutation(
         "P the store's return is not hidden by a waiting call",
         "process/forwarding/follower.py",
-        "wait = 0.0 if self._failures or self._look_once else self._wait",
-        "wait = 0.0 if self._look_once else self._wait",
+        "wait = 0.0 if self._failures or self._poll_requested else self._wait",
+        "wait = 0.0 if self._poll_requested else self._wait",
         FORWARDING,
     ),
     Mutation(
@@ -103,17 +103,17 @@
     Mutation(
         "P the wait is looked at again behind the read",
         "process/forwarding/duty.py",
-        "if not self.state.holder or self._is_own_row() or self._has_waited():",
-        "if not self.state.holder or self._is_own_row() or known is not None:",
+        "if not self.state.holder or self._is_held_by_vm() or self._has_expired():",
+        "if not self.state.holder or self._is_held_by_vm() or known is not None:",
         FUZZ,
     ),
     Mutation(
         "P the lease is written on condition of its version",
         "process/forwarding/duty.py",
-        "outcome = yield from self._store.transact(DUTY_PART, (condition,), (write,))",
-        "condition = RowCondition(DUTY_TABLE, DUTY_KEY, (yield from self._store.read(DUTY_TABLE,"
-        " DUTY_PART)).version)\n        "
-        "outcome = yield from self._store.transact(DUTY_PART, (condition,), (write,))",
+        "outcome = yield from self._store.transact(LEADER_PARTITION, (condition,), (write,))",
+        "condition = RowCondition(LEADER_TABLE, LEADER_KEY, (yield from self._store.read(LEADER_TABLE,"
+        " LEADER_PARTITION)).version)\n        "
+        "outcome = yield from self._store.transact(LEADER_PARTITION, (condition,), (write,))",
         FUZZ,
     ),
     Mutation(
@@ -133,7 +133,7 @@
     Mutation(
         "P counts of processes that are gone are told on",
         "process/forwarding/usage.py",
-        "if process not in alive and (process in found or len(found) < MAX_TOLD):",
+        "if process not in alive and (process in found or len(found) < MAX_DEPARTED):",
         "if process == self._process:",
         DUTIES,
     ),
@@ -154,7 +154,7 @@
     Mutation(
         "P a new holder waits for the counts of all",
         "process/forwarding/usage.py",
-        "window = self._due() if knows_counts else None",
+        "window = self._due() if has_all_counts else None",
         "window = self._due()",
         REPORTS,
     ),
@@ -168,22 +168,22 @@
     Mutation(
         "P nobody rests without hearing those that follow",
         "process/forwarding/readers.py",
-        "return sum(each.follows for each in able) >= HEARD_READERS",
+        "return sum(each.watches_store for each in candidates) >= MIN_LIVE_WATCHERS",
         "return True",
         READERS,
     ),
     Mutation(
         "P the end of grace is told to those that rest",
         "process/forwarding/knowledge.py",
-        "self._history.changed(endpoint_id, max(mark, self._history.mark))",
+        "self._history.record_change(endpoint_id, max(change_number, self._history.change_number))",
         "pass",
         READERS,
     ),
     Mutation(
         "P the whole table is read after a peer's word",
         "process/forwarding/follower.py",
-        "self._told_by_peer, self._version = False, None",
-        "self._told_by_peer = False",
+        "self._needs_reload, self._version = False, None",
+        "self._needs_reload = False",
         READERS,
     ),
     Mutation(
@@ -203,7 +203,7 @@
     Mutation(
         "P an idle connection is closed behind what has arrived",
         "connection/server.py",
-        "        self._sockets.read_now(sock)\n",
+        "        self._sockets.read_available(sock)\n",
         "",
         SERVER,
     ),
@@ -217,7 +217,7 @@
     Mutation(
         "P bytes behind an answer end the connection",
         "connection/client.py",
-        "reusable = self._head.keep_alive and not self._unsent and not beyond",
+        "reusable = self._head.keep_alive and not self._unsent and not trailing",
         "reusable = self._head.keep_alive and not self._unsent",
         CLIENT,
     ),
@@ -245,7 +245,7 @@
     Mutation(
         "P placements are told to peers at once",
         "process/forwarding/observations.py",
-        "        self._hub.directory.on_load_change = self._load_changed\n",
+        "        self._hub.directory.on_load_change = self._record_load_change\n",
         "",
         REPORTS,
     ),
@@ -259,21 +259,21 @@
     Mutation(
         "P two tellers of one sum count once",
         "process/forwarding/streams.py",
-        "                return Step.MARK\n",
-        "                return Step.COUNT\n",
+        "                return SumAction.RECORD\n",
+        "                return SumAction.COUNT\n",
         DIGESTS,
     ),
     Mutation(
         "P a late teller's place is not taken at once",
         "process/forwarding/streams.py",
-        "return Step.HOLD if is_known else Step.MARK",
-        "return Step.MARK",
+        "return SumAction.IGNORE if is_known else SumAction.RECORD",
+        "return SumAction.RECORD",
         DIGESTS,
     ),
     Mutation(
         "P silent relays are passed over",
         "process/forwarding/zone_relays.py",
-        "if vm_id != self._own_id and now - quiet_since > PATIENCE_SECONDS:",
+        "if vm_id != self._own_id and now - quiet_since > RELAY_TIMEOUT_SECONDS:",
         "if False:",
         DIGESTS,
     ),
@@ -287,15 +287,15 @@
     Mutation(
         "P what a process runs itself is not taken for others' work",
         "process/forwarding/relay_hearing.py",
-        "own = self._told.get(best.digest.acknowledged)",
+        "own = self._sent_reports.get(best.digest.acknowledged)",
         "own = None",
         REPORTS,
     ),
     Mutation(
         "P a new holder is told all windows",
         "process/forwarding/relaying.py",
-        "windows = KEPT_WINDOWS if self._whole_left > 0 else NEWEST_WINDOWS",
-        "windows = NEWEST_WINDOWS",
+        "windows = KEPT_WINDOWS if self._full_usage_left > 0 else RECENT_WINDOWS",
+        "windows = RECENT_WINDOWS",
         REPORTS,
     ),
     Mutation(
@@ -322,15 +322,15 @@
     Mutation(
         "P late work stands back",
         "decisions/lateness.py",
-        "    return LOOK_SECONDS if waited < LONGEST_PART * deadline else 0.0\n",
+        "    return RECHECK_SECONDS if waited < MAX_YIELD_FRACTION * deadline else 0.0\n",
         "    return 0.0\n",
         "decisions/tests/test_lateness.py",
     ),
     Mutation(
         "P work that stands back goes before its deadline is lost",
         "decisions/lateness.py",
-        "    return LOOK_SECONDS if waited < LONGEST_PART * deadline else 0.0\n",
-        "    return LOOK_SECONDS\n",
+        "    return RECHECK_SECONDS if waited < MAX_YIELD_FRACTION * deadline else 0.0\n",
+        "    return RECHECK_SECONDS\n",
         "decisions/tests/test_lateness.py",
     ),
     Mutation(
--- a/bench/quarantine_mutations.py
+++ b/bench/quarantine_mutations.py
@@ -94,7 +94,7 @@
     Mutation(
         "Q what is held is refused at once",
         "request/guard.py",
-        "        if self.quarantine_status(fingerprint) is Standing.HELD:\n            raise",
+        "        if self.quarantine_status(fingerprint) is QuarantineStatus.QUARANTINED:\n            raise",
         "        if False:\n            raise",
         WORLD,
     ),
@@ -108,7 +108,7 @@
     Mutation(
         "Q processes of the product tell one another",
         "process/node.py",
-        "        self.gossip.on_word = guard.merge_update\n",
+        "        self.gossip.on_quarantine_update = guard.merge_update\n",
         "",
         PRODUCT,
     ),
@@ -150,7 +150,7 @@
     Mutation(
         "Q an endpoint that still listens has not ended",
         "request/endpoint_ends.py",
-        "if reach is Reach.CONNECTED and not self._directory.is_replaced(endpoint_id):",
+        "if reach is ConnectResult.CONNECTED and not self._directory.is_replaced(endpoint_id):",
         "if False:",
         RECORDER,
     ),
--- a/bench/restart_mutations.py
+++ b/bench/restart_mutations.py
@@ -34,7 +34,7 @@
     Mutation(
         "R a row that vanishes after the return has less grace",
         "process/forwarding/endpoints.py",
-        "if not self._away and not self._first_answer:",
+        "if not self._store_unreachable and not self._in_first_answer:",
         "if False:",
         ENDPOINTS,
     ),
@@ -62,8 +62,8 @@
     Mutation(
         "R digests that cannot be counted are left out",
         "process/forwarding/relaying.py",
-        "if of_all and digest.acknowledged not in self._told:",
-        "if of_all and digest.acknowledged not in self._told and not digest.spent:",
+        "if of_all and digest.acknowledged not in self._sent_reports:",
+        "if of_all and digest.acknowledged not in self._sent_reports and not digest.spent:",
         REPORTS + "::TestRestartOfAll",
     ),
     Mutation(
@@ -102,16 +102,16 @@
         ROLLOUTS,
     ),
     Mutation(
-        "R a version whose order was replaced is withheld",
+        "R a version whose order was replaced is blocked",
         "process/forwarding/rollouts.py",
-        "    return (known.withheld | {known.order.version}) - {order.version}",
+        "    return (known.blocked | {known.order.version}) - {order.version}",
         "    return frozenset()",
         ROLLOUTS,
     ),
     Mutation(
         "R a process that starts looks up how far a roll-out is",
         "process/forwarding/node.py",
-        "self.rollouts.on_order = lambda: self.tasks.start(rollout_duty.look_up())",
+        "self.rollouts.on_order = lambda: self.tasks.start(rollout_controller.load_status())",
         "pass",
         ROLLOUTS,
     ),
--- a/flamingofront/decisions/admission.py
+++ b/flamingofront/decisions/admission.py
@@ -20,7 +20,7 @@
     "FirstComeAdmission",
     "Ticket",
     "WorkspaceShare",
-    "shared_limit",
+    "compute_limit_share",
 ]
 
 MIN_RETRY_SECONDS = 0.5
@@ -74,7 +74,7 @@
     cancelled: bool = False
 
 
-def shared_limit(
+def compute_limit_share(
     limit: int, own_demand: float, heard: Mapping[str, float], members: int, unheard: int
 ) -> int:
     """Return this process's part of a limit that all entry VMs share.
@@ -114,7 +114,7 @@
         """Take a new request in or raise `RequestError`."""
 
     @abstractmethod
-    def next_ready(self, now: float) -> Ticket | None:
+    def start_next(self, now: float) -> Ticket | None:
         """Return the next request that may start, None if there is none."""
 
     @abstractmethod
@@ -209,7 +209,7 @@
         self._queue.append(ticket)
         self._waiting_cost += ticket.cost
 
-    def next_ready(self, now: float) -> Ticket | None:
+    def start_next(self, now: float) -> Ticket | None:
         """Return the oldest request if a slot is free."""
         if self._running >= self._slots or not self._queue:
             return None
@@ -312,7 +312,7 @@
         else:
             self._waiting_by_workspace.pop(name, None)
 
-    def next_ready(self, now: float) -> Ticket | None:
+    def start_next(self, now: float) -> Ticket | None:
         """Return the request that comes next if a slot is free."""
         while self._heap and self._running < self._slots:
             _, ticket = heapq.heappop(self._heap)
--- a/flamingofront/decisions/choice.py
+++ b/flamingofront/decisions/choice.py
@@ -23,7 +23,7 @@
     "LeastReportedChoice",
     "RoundRobinChoice",
     "WorkEstimate",
-    "usable",
+    "filter_usable",
 ]
 
 
@@ -37,11 +37,11 @@
         Cost per hour of its VM.
     slots : int
         Requests that it runs at the same time within the target.
-    own_in_flight : int
+    local_in_flight : int
         Attempts of this process that run there now.
     reported_load : float
         Requests in its last load report.
-    own_at_report : int
+    local_at_report : int
         Attempts of this process that ran there when the report was made.
     cached_tokens : int
         Prompt tokens that its prefix cache is believed to hold for this request.
@@ -51,7 +51,7 @@
         Expected reclaims per hour of its VM; 0 for on-demand VMs.
     slowness : float
         Observed time relative to the other endpoints of the service; 1 is usual.
-    own_share : float
+    local_share : float
         This process's part of all attempts on the service.
     report_weight : float
         Weight of the report against the extrapolation from own attempts, 0 to 1.
@@ -65,9 +65,9 @@
     side: str = ""
     price: float = 1.0
     slots: int = 16
-    own_in_flight: int = 0
+    local_in_flight: int = 0
     reported_load: float = 0.0
-    own_at_report: int = 0
+    local_at_report: int = 0
     cached_tokens: int = 0
     backlog_tokens: int = 0
     reclaim_risk: float = 0.0
@@ -75,12 +75,12 @@
     leaving: bool = False
     ejected: bool = False
     reachable: bool = True
-    own_share: float = 1.0
+    local_share: float = 1.0
     report_weight: float = 1.0
     closed: bool = False
 
     @property
-    def barred(self) -> bool:
+    def is_unavailable(self) -> bool:
         """True if it must not get new work, whatever else is left."""
         return self.leaving or self.closed
 
@@ -95,10 +95,10 @@
         all attempts it estimates the whole, the better the more there is of it.
         """
         reported = max(
-            float(self.own_in_flight),
-            self.reported_load + self.own_in_flight - self.own_at_report,
+            float(self.local_in_flight),
+            self.reported_load + self.local_in_flight - self.local_at_report,
         )
-        extrapolated = self.own_in_flight / self.own_share
+        extrapolated = self.local_in_flight / self.local_share
         return self.report_weight * reported + (1.0 - self.report_weight) * extrapolated
 
 
@@ -126,12 +126,12 @@
     rates: EngineRates = EngineRates()
 
 
-def report_weight(own_in_flight: int, endpoints: int) -> float:
+def report_weight(local_in_flight: int, endpoints: int) -> float:
     """Return the weight of load reports, from 0 up to 1.
 
     Parameters
     ----------
-    own_in_flight : int
+    local_in_flight : int
         Attempts of this process on all endpoints of the service.
     endpoints : int
         Number of those endpoints.
@@ -141,11 +141,11 @@
     With a few own attempts on each endpoint they tell more than a late report; with hardly any
     (many entry VMs before many endpoints) the report is all there is.
     """
-    mean = own_in_flight / max(1, endpoints)
+    mean = local_in_flight / max(1, endpoints)
     return 1.0 / (1.0 + mean) ** 2
 
 
-def usable(
+def filter_usable(
     candidates: Iterable[Candidate], side: str | None, exclude: frozenset[str]
 ) -> Iterator[Candidate]:
     """Pass on the candidates that may get new work.
@@ -156,7 +156,7 @@
     ejected, passes only through `relaxed` in the caller when nothing else is left.
     """
     for each in candidates:
-        if each.barred or not each.reachable:
+        if each.is_unavailable or not each.reachable:
             continue
         if side is not None and each.side != side:
             continue
--- a/flamingofront/decisions/demand.py
+++ b/flamingofront/decisions/demand.py
@@ -9,7 +9,7 @@
 import math
 from dataclasses import dataclass
 
-__all__ = ["Demand", "Work", "WorkMeter"]
+__all__ = ["Demand", "OfferedLoad", "LoadMeter"]
 
 # Time constants of the two means. A clump lasts one to three seconds; a wave 40.
 FAST_SECONDS = 2.0
@@ -19,14 +19,14 @@
 
 
 @dataclass(frozen=True)
-class Work:
+class OfferedLoad:
     """Offered work in busy endpoints: seconds of one endpoint that a second of requests takes."""
 
     fast: float = 0.0
     slow: float = 0.0
 
     def __add__(self, other: "Work") -> "Work":
-        return Work(self.fast + other.fast, self.slow + other.slow)
+        return OfferedLoad(self.fast + other.fast, self.slow + other.slow)
 
 
 @dataclass(frozen=True)
@@ -45,7 +45,7 @@
 
     in_flight: float
     slots: int
-    work: Work = Work()
+    work: OfferedLoad = OfferedLoad()
     known: bool = True
 
 
@@ -78,7 +78,7 @@
         return self._sum * self._decay(now - self._updated) / (self._seconds * seen)
 
 
-class WorkMeter:
+class LoadMeter:
     """Work that this process places, by service."""
 
     def __init__(self):
@@ -94,8 +94,9 @@
         for rate in self._rates[service]:
             rate.add(seconds, now)
 
-    def work(self, now: float) -> dict[str, Work]:
+    def work(self, now: float) -> dict[str, OfferedLoad]:
         """Return the work by service."""
         return {
-            name: Work(fast.get(now), slow.get(now)) for name, (fast, slow) in self._rates.items()
+            name: OfferedLoad(fast.get(now), slow.get(now))
+            for name, (fast, slow) in self._rates.items()
         }
--- a/flamingofront/decisions/fleet_plan.py
+++ b/flamingofront/decisions/fleet_plan.py
@@ -21,10 +21,10 @@
 
 @dataclass(frozen=True)
 class FleetCounts:
-    """Wanted endpoints of one service by zone; `reclaimable` and `firm` ones are ordered apart."""
+    """Wanted endpoints of one service by zone; `reclaimable` and `on_demand` ones are ordered apart."""
 
     reclaimable: Counts
-    firm: Counts
+    on_demand: Counts
 
 
 @dataclass(frozen=True)
@@ -42,8 +42,8 @@
     """
 
     reclaimable: Counts = field(default_factory=dict)
-    firm: Counts = field(default_factory=dict)
-    dry: frozenset[str] = frozenset()
+    on_demand: Counts = field(default_factory=dict)
+    exhausted_zones: frozenset[str] = frozenset()
     found: Counts = field(default_factory=dict)
 
 
@@ -70,7 +70,7 @@
     """
 
     lasting: int
-    firm: int
+    on_demand: int
     surviving: int
 
 
@@ -130,10 +130,10 @@
     def _need(self, demand: Demand) -> _Need:
         peak = max(demand.work.fast, demand.work.slow)
         full = demand.in_flight / demand.slots
-        firm = _count(_staffed(peak, self.firm_spare), full / self.slot_use)
+        on_demand = _count(_staffed(peak, self.firm_spare), full / self.slot_use)
         return _Need(
-            lasting=max(firm, _count(_staffed(demand.work.slow, self.spare))),
-            firm=firm,
+            lasting=max(on_demand, _count(_staffed(demand.work.slow, self.spare))),
+            on_demand=on_demand,
             surviving=_count(peak / self.survivor_utilization, full),
         )
 
@@ -150,11 +150,11 @@
     ) -> Iterator[dict[str, int]]:
         """Yield ever more reclaimable endpoints, spread evenly; dry zones keep what they have."""
         counts = {
-            zone: state.reclaimable.get(zone, 0) if zone in state.dry else least[zone]
+            zone: state.reclaimable.get(zone, 0) if zone in state.exhausted_zones else least[zone]
             for zone in zones
         }
         yield dict(counts)
-        open_zones = [zone for zone in zones if zone not in state.dry]
+        open_zones = [zone for zone in zones if zone not in state.exhausted_zones]
         while any(counts[zone] < limits.most for zone in open_zones):
             fewest = min(open_zones, key=lambda zone: (counts[zone], zones.index(zone)))
             counts[fewest] += 1
@@ -176,14 +176,14 @@
         A zone without reclaimable endpoints keeps the least number of firm ones in any case: the
         platform starts them where nobody orders them, and then later.
         """
-        firm = {zone: max(0, limits.least - reclaimable[zone]) for zone in zones}
-        missing = cls._missing(reclaimable, need, state) - sum(firm.values())
+        on_demand = {zone: max(0, limits.least - reclaimable[zone]) for zone in zones}
+        missing = cls._missing(reclaimable, need, state) - sum(on_demand.values())
         for zone in zones:
-            room = limits.most - reclaimable[zone] - firm[zone]
+            room = limits.most - reclaimable[zone] - on_demand[zone]
             more = max(0, min(missing, room))
-            firm[zone] += more
+            on_demand[zone] += more
             missing -= more
-        return FleetCounts(reclaimable, firm)
+        return FleetCounts(reclaimable, on_demand)
 
     @staticmethod
     def _missing(reclaimable: Counts, need: _Need, state: FleetState) -> int:
@@ -196,9 +196,9 @@
         """
         total = sum(reclaimable.values())
         survivors = total - max(reclaimable.values())
-        lasting = need.firm if state.dry else need.lasting
+        lasting = need.on_demand if state.exhausted_zones else need.lasting
         serving = sum(min(each, reclaimable[zone]) for zone, each in state.reclaimable.items())
-        uncovered = min(sum(state.firm.values()), need.firm - serving)
+        uncovered = min(sum(state.on_demand.values()), need.on_demand - serving)
         return max(0, lasting - total, need.surviving - survivors, uncovered)
 
     @classmethod
@@ -207,10 +207,10 @@
     ) -> tuple[int, float]:
         """Return the endpoints that a plan lacks, then its price; the least is best."""
         missing = cls._missing(plan.reclaimable, need, state)
-        lacking = max(0, missing - sum(plan.firm.values()))
+        lacking = max(0, missing - sum(plan.on_demand.values()))
         price = sum(
             limits.zone_prices[zone] * (limits.reclaimable_price * plan.reclaimable[zone] + count)
-            for zone, count in plan.firm.items()
+            for zone, count in plan.on_demand.items()
         )
         return lacking, price
 
--- a/flamingofront/decisions/lateness.py
+++ b/flamingofront/decisions/lateness.py
@@ -9,16 +9,16 @@
 from dataclasses import dataclass
 from enum import IntEnum
 
-__all__ = ["Expectation", "Urgency", "postponement", "urgency"]
+__all__ = ["LatencyEstimate", "Urgency", "compute_yield_delay", "classify_urgency"]
 
 # Work that is late in any case goes to an engine with no more than this to read before it, in
 # seconds: a tenth to a third of the objectives seen, so that what comes next is still in time.
 IDLE_SECONDS = 0.05
 # Pause between two looks for such an engine: about the time in which it reads one prompt.
-LOOK_SECONDS = 0.06
+RECHECK_SECONDS = 0.06
 # Part of the time until the deadline after which late work goes on in any case: the rest is for
 # reading it behind others and for the answer.
-LONGEST_PART = 0.4
+MAX_YIELD_FRACTION = 0.4
 
 
 class Urgency(IntEnum):
@@ -30,7 +30,7 @@
 
 
 @dataclass(frozen=True)
-class Expectation:
+class LatencyEstimate:
     """What is expected of an attempt, in seconds.
 
     Parameters
@@ -48,14 +48,16 @@
     resumed: bool = False
 
 
-def urgency(expected: Expectation) -> Urgency:
+def classify_urgency(expected: LatencyEstimate) -> Urgency:
     """Return the urgency of an attempt."""
     if expected.resumed:
         return Urgency.RESUMED
     return Urgency.IN_TIME if expected.first_event <= expected.left else Urgency.LATE
 
 
-def postponement(expected: Expectation, ahead: float, waited: float, deadline: float) -> float:
+def compute_yield_delay(
+    expected: LatencyEstimate, ahead: float, waited: float, deadline: float
+) -> float:
     """Return the seconds for which an attempt stands back; 0 if it goes now.
 
     Parameters
@@ -70,4 +72,4 @@
     in_time = expected.first_event <= expected.left
     if expected.resumed or in_time or ahead <= IDLE_SECONDS:
         return 0.0
-    return LOOK_SECONDS if waited < LONGEST_PART * deadline else 0.0
+    return RECHECK_SECONDS if waited < MAX_YIELD_FRACTION * deadline else 0.0
--- a/flamingofront/decisions/quarantine.py
+++ b/flamingofront/decisions/quarantine.py
@@ -25,23 +25,23 @@
 from dataclasses import dataclass, field, replace
 
 from flamingofront.decisions.quarantine_facts import (
-    SUSPECTED_SECONDS,
+    EVIDENCE_LIFETIME_SECONDS,
     TRIAL_SECONDS,
-    EndpointEnd,
-    Hold,
-    QuarantineWord,
-    RecordedSends,
+    EndpointCrash,
+    IntentSummary,
+    QuarantineEntry,
+    QuarantineStatus,
+    QuarantineUpdate,
     Release,
-    Standing,
-    is_forgotten,
-    is_over,
+    is_entry_expired,
+    is_expired,
 )
 
 __all__ = [
     "ENDS_TO_HOLD",
-    "MAX_HOLDS",
+    "MAX_ENTRIES",
     "Quarantine",
-    "is_about_restart",
+    "is_near_restart",
 ]
 
 # Ends under a request from which on it is not run any more. A fleet is lost at nine ends within
@@ -54,7 +54,7 @@
 ENDS_ALONE = 2
 # Ends of one request that are kept in the store at once: with them one more is enough after a
 # restart of all. A single end is kept if nothing has cleared the request once word has settled.
-ENDS_KEPT = 2
+CRASHES_TO_PERSIST = 2
 # Word of what ran beside it at other processes has come by then, also through relays.
 SETTLED_SECONDS = 1.0
 # Tellings of one end by several processes, whose clocks differ; an endpoint takes longer to start.
@@ -64,12 +64,12 @@
 # A process that began so shortly before or after an end may have had requests there in the life
 # before, of which nobody knows: a killed one is back within seconds, and a row lapses after four.
 RESTART_SECONDS = 8.0
-MAX_UNWITNESSED = 64
-NOT_RECORDED = RecordedSends()
+MAX_UNOBSERVED = 64
+NOT_RECORDED = IntentSummary()
 # Memory: 1.6 MB with all suspects at 512 ends (traced).
 MAX_SUSPECTS = 4096
 MAX_ENDS = 512
-MAX_HOLDS = 1024
+MAX_ENTRIES = 1024
 MAX_RELEASED = 1024
 # How long what is new is told to others, and at most how much of it: a report to 16 peers stays
 # small enough to be sent to all of them at once.
@@ -84,7 +84,7 @@
     zone: str
     at: float
     requests: set[str] = field(default_factory=set)
-    untold: int = 0
+    omitted: int = 0
     explained_by: set[str] = field(default_factory=set)
 
     def explained_for(self, fingerprint: str) -> bool:
@@ -98,11 +98,11 @@
     def __init__(self):
         self._ends: OrderedDict[tuple[str, float], _End] = OrderedDict()
         self._suspects: OrderedDict[str, list[_End]] = OrderedDict()
-        self._holds: OrderedDict[str, Hold] = OrderedDict()
+        self._holds: OrderedDict[str, QuarantineEntry] = OrderedDict()
         self._released: OrderedDict[str, float] = OrderedDict()
-        self._unwitnessed: deque[tuple[str, float]] = deque(maxlen=MAX_UNWITNESSED)
+        self._unwitnessed: deque[tuple[str, float]] = deque(maxlen=MAX_UNOBSERVED)
         # What the records of a request tell, which outlast the processes that sent it.
-        self._recorded: OrderedDict[str, RecordedSends] = OrderedDict()
+        self._recorded: OrderedDict[str, IntentSummary] = OrderedDict()
 
     def __bool__(self) -> bool:
         """True while there is evidence against any request, or a record of its sends."""
@@ -110,15 +110,15 @@
 
     # Evidence
 
-    def ended(self, end: EndpointEnd, now: float) -> bool:
+    def ended(self, end: EndpointCrash, now: float) -> bool:
         """Take note of an end; True if it told anything new."""
-        if now - end.at > SUSPECTED_SECONDS:
+        if now - end.at > EVIDENCE_LIFETIME_SECONDS:
             return False
         known = self._same_end(end)
         is_new = known is None
         if known is None:
             known = self._ends[end.endpoint_id, end.at] = _End(end.endpoint_id, end.zone, end.at)
-        known.untold = max(known.untold, end.untold)
+        known.omitted = max(known.omitted, end.omitted)
         for fingerprint in end.requests:
             if fingerprint in known.requests or self._answered_since(fingerprint, known.at):
                 continue
@@ -126,12 +126,12 @@
             known.requests.add(fingerprint)
             self._suspects.setdefault(fingerprint, []).append(known)
             self._suspects.move_to_end(fingerprint)
-            if fingerprint in self._holds and not self._holds[fingerprint].lifted:
+            if fingerprint in self._holds and not self._holds[fingerprint].is_released:
                 known.explained_by.add(fingerprint)
         self._bound()
         return is_new
 
-    def _same_end(self, end: EndpointEnd) -> _End | None:
+    def _same_end(self, end: EndpointCrash) -> _End | None:
         for known in reversed(self._ends.values()):
             if known.endpoint_id == end.endpoint_id and abs(known.at - end.at) < SAME_END_SECONDS:
                 return known
@@ -145,7 +145,7 @@
             self._drop_suspect(next(iter(self._suspects)))
         while len(self._ends) > MAX_ENDS:
             self._drop_end(next(iter(self._ends)))
-        while len(self._holds) > MAX_HOLDS:
+        while len(self._holds) > MAX_ENTRIES:
             self._holds.popitem(last=False)
         while len(self._released) > MAX_RELEASED:
             self._released.popitem(last=False)
@@ -166,11 +166,11 @@
         """Take note of an endpoint that ended while no request of a known process was there."""
         self._unwitnessed.append((endpoint_id, at))
 
-    def take_record(self, fingerprint: str, recorded: RecordedSends) -> None:
+    def take_record(self, fingerprint: str, recorded: IntentSummary) -> None:
         """Take what is recorded of a request that no endpoint has answered."""
         self._recorded[fingerprint] = recorded
         self._recorded.move_to_end(fingerprint)
-        while len(self._recorded) > MAX_HOLDS:
+        while len(self._recorded) > MAX_ENTRIES:
             self._recorded.popitem(last=False)
 
     def ended_endpoints(self) -> frozenset[str]:
@@ -180,11 +180,11 @@
     def is_unexplained(self, endpoint_id: str) -> bool:
         """Tell whether all that is known of an endpoint's end is that nobody knows of a request."""
         ends = [each for (name, _), each in self._ends.items() if name == endpoint_id]
-        return bool(ends) and not any(each.requests or each.untold for each in ends)
+        return bool(ends) and not any(each.requests or each.omitted for each in ends)
 
     def evidence(
         self, fingerprints: Iterable[str], least: int
-    ) -> dict[str, tuple[EndpointEnd, ...]]:
+    ) -> dict[str, tuple[EndpointCrash, ...]]:
         """Return the ends of those requests that have so many, or more, and are not held yet.
 
         Notes
@@ -196,15 +196,15 @@
             ends = self._suspects.get(fingerprint, ())
             if len(ends) >= least and self.hold(fingerprint) is None:
                 found[fingerprint] = tuple(
-                    EndpointEnd(each.endpoint_id, each.zone, each.at, (fingerprint,), untold=1)
+                    EndpointCrash(each.endpoint_id, each.zone, each.at, (fingerprint,), omitted=1)
                     for each in ends
                 )
         return found
 
-    def ends_under(self, fingerprint: str) -> tuple[EndpointEnd, ...]:
+    def ends_under(self, fingerprint: str) -> tuple[EndpointCrash, ...]:
         """Return the ends that are evidence against a request, in the order of their telling."""
         return tuple(
-            EndpointEnd(each.endpoint_id, each.zone, each.at, (fingerprint,))
+            EndpointCrash(each.endpoint_id, each.zone, each.at, (fingerprint,))
             for each in self._unexplained(fingerprint)
         )
 
@@ -248,7 +248,7 @@
         if now - max(each.at for each in ends) < SETTLED_SECONDS:
             return False
         others = set.intersection(*(each.requests for each in ends))
-        return others == {fingerprint} and not any(each.untold for each in ends)
+        return others == {fingerprint} and not any(each.omitted for each in ends)
 
     def _is_unanswered(self, fingerprint: str) -> bool:
         """Tell whether no recorded send was ever answered, and earlier ends had no witness.
@@ -261,20 +261,26 @@
         recorded = self._recorded.get(fingerprint, NOT_RECORDED)
         return recorded.sends >= ENDS_TO_HOLD and bool(recorded.unseen)
 
-    def standing(self, fingerprint: str, now: float) -> Standing:
+    def standing(self, fingerprint: str, now: float) -> QuarantineStatus:
         """Return what is known of a request, by holds and by the evidence against it."""
         hold = self._holds.get(fingerprint)
-        if hold is not None and not hold.lifted:
-            return Standing.TRIAL_DUE if self._trial_due(hold, now) else Standing.HELD
-        return Standing.SUSPECTED if self._unexplained(fingerprint) else Standing.CLEAR
+        if hold is not None and not hold.is_released:
+            return (
+                QuarantineStatus.TRIAL_DUE
+                if self._trial_due(hold, now)
+                else QuarantineStatus.QUARANTINED
+            )
+        return (
+            QuarantineStatus.SUSPECTED if self._unexplained(fingerprint) else QuarantineStatus.CLEAR
+        )
 
     @staticmethod
-    def _trial_due(hold: Hold, now: float) -> bool:
+    def _trial_due(hold: QuarantineEntry, now: float) -> bool:
         return hold.trials < len(TRIAL_SECONDS) and now >= hold.next_trial
 
     # Verdicts
 
-    def judge(self, now: float, restarts: Sequence[float] = ()) -> tuple[Hold, ...]:
+    def judge(self, now: float, restarts: Sequence[float] = ()) -> tuple[QuarantineEntry, ...]:
         """Hold back what is proved by now and return it; the rest of what ran there is cleared.
 
         Parameters
@@ -287,7 +293,7 @@
         Those with the most ends go first: what ran beside one of them at fewer ends was there by
         chance. Of several with equally many none is cleared by the others.
         """
-        found: list[Hold] = []
+        found: list[QuarantineEntry] = []
         while proved := self._proved(now):
             most = max(len(self._suspects[each]) for each in proved)
             worst = sorted(each for each in proved if len(self._suspects[each]) == most)
@@ -304,11 +310,11 @@
             if len(ends) >= ENDS_ALONE and self.hold(each) is None and self._is_proved(each, now)
         ]
 
-    def _new_hold(self, fingerprint: str, restarts: Sequence[float]) -> Hold:
+    def _new_hold(self, fingerprint: str, restarts: Sequence[float]) -> QuarantineEntry:
         ends = self._suspects[fingerprint]
         since = max(each.at for each in ends)
         names = tuple(dict.fromkeys(each.endpoint_id for each in ends))
-        hold = Hold(fingerprint, names, since, next_trial=since + TRIAL_SECONDS[0])
+        hold = QuarantineEntry(fingerprint, names, since, next_trial=since + TRIAL_SECONDS[0])
         # Each end later than the third one has used up a trial, and so has a send without answer.
         recorded = self._recorded.get(fingerprint, NOT_RECORDED)
         unseen = self._unseen_ends(recorded.unseen, names, restarts)
@@ -320,42 +326,44 @@
     ) -> int:
         """Return how many other endpoints may have ended under a request that nobody remembers."""
         ends = [*self._unwitnessed, *((each.endpoint_id, each.at) for each in self._ends.values())]
-        near = {endpoint_id for endpoint_id, at in ends if is_about_restart(at, restarts)}
+        near = {endpoint_id for endpoint_id, at in ends if is_near_restart(at, restarts)}
         return len(near.union(recorded).difference(names))
 
-    def _put(self, hold: Hold) -> None:
+    def _put(self, hold: QuarantineEntry) -> None:
         self._holds[hold.fingerprint] = hold
         self._holds.move_to_end(hold.fingerprint)
-        if not hold.lifted:
+        if not hold.is_released:
             for end in self._suspects.get(hold.fingerprint, ()):
                 end.explained_by.add(hold.fingerprint)
         self._bound()
 
-    def hold(self, fingerprint: str) -> Hold | None:
+    def hold(self, fingerprint: str) -> QuarantineEntry | None:
         """Return the hold of a request that is not run; None if it is run."""
         hold = self._holds.get(fingerprint)
-        return None if hold is None or hold.lifted else hold
+        return None if hold is None or hold.is_released else hold
 
-    def holds(self) -> tuple[Hold, ...]:
+    def holds(self) -> tuple[QuarantineEntry, ...]:
         """Return all holds, the oldest first."""
-        return tuple(each for each in self._holds.values() if not each.lifted)
+        return tuple(each for each in self._holds.values() if not each.is_released)
 
-    def take_hold(self, hold: Hold, now: float) -> bool:
+    def take_hold(self, hold: QuarantineEntry, now: float) -> bool:
         """Take a hold that another process told or that was kept; True if it is news."""
         known = self._holds.get(hold.fingerprint)
-        if is_forgotten(hold, now):
+        if is_entry_expired(hold, now):
             return False
         if known is not None and hold.rank <= known.rank:
             return False
         self._put(hold)
-        if hold.lifted:
+        if hold.is_released:
             self.answered(hold.fingerprint, hold.since)
         return True
 
     def suspects(self, now: float) -> frozenset[str]:
         """Return the requests that are suspected, and run."""
         return frozenset(
-            each for each in self._suspects if self.standing(each, now) is Standing.SUSPECTED
+            each
+            for each in self._suspects
+            if self.standing(each, now) is QuarantineStatus.SUSPECTED
         )
 
     # What clears a request
@@ -367,7 +375,7 @@
             return False
         hold = self.hold(fingerprint)
         if hold is not None:
-            self._holds[fingerprint] = replace(hold, lifted=True)
+            self._holds[fingerprint] = replace(hold, is_released=True)
         for end in self._suspects.get(fingerprint, ()):
             end.explained_by.discard(fingerprint)
         self._drop_suspect(fingerprint)
@@ -387,20 +395,20 @@
 
     def forget(self, now: float) -> tuple[str, ...]:
         """Drop what is too old, and return the requests that were held back until now."""
-        for key in [key for key, end in self._ends.items() if is_over(end.at, now)]:
+        for key in [key for key, end in self._ends.items() if is_expired(end.at, now)]:
             self._drop_end(key)
-        old = [each for each in self._holds.values() if is_forgotten(each, now)]
+        old = [each for each in self._holds.values() if is_entry_expired(each, now)]
         for hold in old:
             del self._holds[hold.fingerprint]
-        for name in [name for name, at in self._released.items() if is_over(at, now)]:
+        for name in [name for name, at in self._released.items() if is_expired(at, now)]:
             del self._released[name]
-        while self._unwitnessed and is_over(self._unwitnessed[0][1], now):
+        while self._unwitnessed and is_expired(self._unwitnessed[0][1], now):
             self._unwitnessed.popleft()
-        return tuple(each.fingerprint for each in old if not each.lifted)
+        return tuple(each.fingerprint for each in old if not each.is_released)
 
     # Word between processes
 
-    def word(self, now: float) -> QuarantineWord | None:
+    def word(self, now: float) -> QuarantineUpdate | None:
         """Return what others have to be told; None if that is nothing."""
         fresh = [each for each in self._ends.values() if now - each.at <= TOLD_SECONDS]
         holds = tuple(self._holds.values())[-MAX_TOLD_HOLDS:]
@@ -409,9 +417,9 @@
         )
         if not fresh and not holds and not released:
             return None
-        return QuarantineWord(self._told(fresh), holds, released[-MAX_TOLD_REQUESTS:])
+        return QuarantineUpdate(self._told(fresh), holds, released[-MAX_TOLD_REQUESTS:])
 
-    def _told(self, ends: list[_End]) -> tuple[EndpointEnd, ...]:
+    def _told(self, ends: list[_End]) -> tuple[EndpointCrash, ...]:
         """Return ends with as many of their requests as may be told: the most suspected ones."""
         ranked = sorted(
             {each for end in ends for each in end.requests},
@@ -420,7 +428,7 @@
         told = frozenset(ranked[:MAX_TOLD_REQUESTS])
         return tuple(_message(each, told) for each in ends)
 
-    def hear(self, word: QuarantineWord, now: float) -> bool:
+    def hear(self, word: QuarantineUpdate, now: float) -> bool:
         """Take what another process tells; True if anything was news."""
         news = [self.ended(each, now) for each in word.ends]
         news += [self.take_hold(each, now) for each in word.holds]
@@ -428,15 +436,15 @@
         return any(news)
 
 
-def is_about_restart(at: float, restarts: Sequence[float]) -> bool:
+def is_near_restart(at: float, restarts: Sequence[float]) -> bool:
     """Tell whether something happened so close to a restart that its witness may be gone."""
     return any(abs(at - began) <= RESTART_SECONDS for began in restarts)
 
 
-def _message(end: _End, told: frozenset[str]) -> EndpointEnd:
+def _message(end: _End, told: frozenset[str]) -> EndpointCrash:
     requests = tuple(sorted(end.requests & told))
-    untold = max(end.untold, len(end.requests) - len(requests))
-    return EndpointEnd(end.endpoint_id, end.zone, end.at, requests, untold)
+    omitted = max(end.omitted, len(end.requests) - len(requests))
+    return EndpointCrash(end.endpoint_id, end.zone, end.at, requests, omitted)
 
 
 def _clusters(ends: Iterable[_End]) -> list[list[_End]]:
--- a/flamingofront/decisions/quarantine_facts.py
+++ b/flamingofront/decisions/quarantine_facts.py
@@ -4,26 +4,26 @@
 from enum import StrEnum
 
 __all__ = [
-    "EndpointEnd",
-    "Hold",
-    "QuarantineWord",
-    "RecordedSends",
+    "EndpointCrash",
+    "QuarantineEntry",
+    "QuarantineUpdate",
+    "IntentSummary",
     "Release",
-    "Standing",
+    "QuarantineStatus",
     "TRIAL_SECONDS",
-    "is_forgotten",
-    "is_over",
+    "is_entry_expired",
+    "is_expired",
 ]
 
 # Pauses before the trials of a request that is held back: several times the start of an endpoint,
 # and six times longer after each that ended one. After the last it is held until it is forgotten.
 TRIAL_SECONDS = (20.0, 120.0, 720.0)
-FORGOTTEN_SECONDS = 86_400.0
+ENTRY_LIFETIME_SECONDS = 86_400.0
 # Suspicion of a request under which no further endpoint has ended for so long is dropped.
-SUSPECTED_SECONDS = 600.0
+EVIDENCE_LIFETIME_SECONDS = 600.0
 
 
-class Standing(StrEnum):
+class QuarantineStatus(StrEnum):
     """What is known of a request."""
 
     CLEAR = "clear"
@@ -37,7 +37,7 @@
 
 
 @dataclass(frozen=True)
-class EndpointEnd:
+class EndpointCrash:
     """An endpoint that ended without notice, and the requests that were there.
 
     Parameters
@@ -54,11 +54,11 @@
     zone: str
     at: float
     requests: tuple[str, ...]
-    untold: int = 0
+    omitted: int = 0
 
 
 @dataclass(frozen=True)
-class Hold:
+class QuarantineEntry:
     """A request that is not run.
 
     Parameters
@@ -80,14 +80,14 @@
     since: float
     trials: int = 0
     next_trial: float = 0.0
-    lifted: bool = False
+    is_released: bool = False
 
     @property
     def rank(self) -> tuple[float, int, bool, float]:
         """Order in which holds of the same request supersede each other."""
-        return self.since, self.trials, self.lifted, self.next_trial
+        return self.since, self.trials, self.is_released, self.next_trial
 
-    def claimed(self, now: float) -> "Hold":
+    def with_claimed_trial(self, now: float) -> "Hold":
         """Return the hold with a further trial claimed."""
         return self._after(self.trials + 1, now)
 
@@ -98,11 +98,11 @@
     def _after(self, trials: int, now: float) -> "Hold":
         if trials < len(TRIAL_SECONDS):
             return replace(self, trials=trials, next_trial=now + TRIAL_SECONDS[trials])
-        return replace(self, trials=trials, next_trial=self.since + FORGOTTEN_SECONDS)
+        return replace(self, trials=trials, next_trial=self.since + ENTRY_LIFETIME_SECONDS)
 
 
 @dataclass(frozen=True)
-class RecordedSends:
+class IntentSummary:
     """What is recorded of a request that no endpoint has answered.
 
     Parameters
@@ -126,19 +126,19 @@
 
 
 @dataclass(frozen=True)
-class QuarantineWord:
+class QuarantineUpdate:
     """What one process tells others: what is new, and all that is held back."""
 
-    ends: tuple[EndpointEnd, ...] = ()
-    holds: tuple[Hold, ...] = ()
-    released: tuple[Release, ...] = ()
+    ends: tuple[EndpointCrash, ...] = ()
+    holds: tuple[QuarantineEntry, ...] = ()
+    releases: tuple[Release, ...] = ()
 
 
-def is_forgotten(hold: Hold, now: float) -> bool:
+def is_entry_expired(hold: QuarantineEntry, now: float) -> bool:
     """Tell whether a hold is so old that it counts no more."""
-    return now - hold.since > FORGOTTEN_SECONDS
+    return now - hold.since > ENTRY_LIFETIME_SECONDS
 
 
-def is_over(at: float, now: float) -> bool:
+def is_expired(at: float, now: float) -> bool:
     """Tell whether an end is so old that it is no evidence any more."""
-    return now - at > SUSPECTED_SECONDS
+    return now - at > EVIDENCE_LIFETIME_SECONDS
--- a/flamingofront/decisions/quota.py
+++ b/flamingofront/decisions/quota.py
@@ -21,7 +21,7 @@
 from abc import ABC, abstractmethod
 from collections.abc import Callable, Iterable, Mapping
 
-from flamingofront.decisions.quota_facts import QuotaRule, QuotaRules, QuotaState
+from flamingofront.decisions.quota_facts import QuotaLimits, QuotaRejectReason, QuotaState
 from flamingofront.decisions.quota_ledger import (
     MIN_RETRY_SECONDS,
     STEP_SECONDS,
@@ -32,7 +32,7 @@
 )
 from flamingofront.version.forwarding import ForwardedWorkspace
 
-__all__ = ["QuotaPolicy", "QuotaRules", "QuotaState", "SharedQuota", "UnlimitedQuota"]
+__all__ = ["QuotaPolicy", "QuotaLimits", "QuotaState", "SharedQuota", "UnlimitedQuota"]
 
 # Part of the allowance by which a quota may be exceeded that is given to callers, so that clumps of
 # requests within the quota are not refused. The rest covers large requests and late word around a
@@ -126,7 +126,7 @@
     def __init__(
         self,
         heard_share: Callable[[], float],
-        rules: QuotaRules | None = None,
+        rules: QuotaLimits | None = None,
         lag: Callable[[], float] = lambda: 0.0,
         rng: random.Random | None = None,
         members: Callable[[], int] | None = None,
@@ -138,7 +138,7 @@
         self._ahead: dict[str, AllowedAhead] = {}
         self._own_parts: dict[str, OwnPart] = {}
         self._heard_share = heard_share
-        self._rules = rules or QuotaRules()
+        self._rules = rules or QuotaLimits()
         self._lag = lag
         self._extra = self._rules.allowance * USED_ALLOWANCE
         self._taken: dict[str, TakenUnits] = {}
@@ -146,9 +146,11 @@
         self._spent: dict[str, float] = {}
         self._heard: dict[tuple[str, str], float] = {}
         self._peaks: dict[str, tuple[float, float]] = {}
-        self._decided_by: dict[str, QuotaRule] = {}
+        self._decided_by: dict[str, QuotaRejectReason] = {}
 
-    def _refuse(self, workspace: ForwardedWorkspace, rule: QuotaRule, seconds: float) -> float:
+    def _refuse(
+        self, workspace: ForwardedWorkspace, rule: QuotaRejectReason, seconds: float
+    ) -> float:
         """Note what a request is refused for, and return the seconds until it may pass."""
         self._decided_by[workspace.name] = rule
         return max(MIN_RETRY_SECONDS, seconds)
@@ -183,7 +185,9 @@
         if silent > 0 and name in self._taken:
             bucket.level -= silent * self._taken[name].since(now - NOTICED_SECONDS)
 
-    def wait_as_newcomer(self, workspace: ForwardedWorkspace, units: float, now: float) -> float:
+    def get_wait_as_newcomer(
+        self, workspace: ForwardedWorkspace, units: float, now: float
+    ) -> float:
         """Return the seconds until a request may pass, if others know what was taken before.
 
         Notes
@@ -198,7 +202,7 @@
         part = (FIRST_LEVEL * workspace.burst + workspace.rate * age) / self._members()
         since = now - self._rules.window
         is_within = self._is_within_part(workspace.name, units, part, since, now)
-        return 0.0 if is_within else self._refuse(workspace, QuotaRule.PART, self._lag())
+        return 0.0 if is_within else self._refuse(workspace, QuotaRejectReason.PART, self._lag())
 
     def wait(self, workspace: ForwardedWorkspace, units: float, now: float) -> float:
         """Return 0 if the bucket holds a part of the request, else the seconds until it will.
@@ -219,16 +223,16 @@
         lacking = HELD_PART * min(units, workspace.burst) - self._bucket(workspace, now).level
         if lacking <= 0:
             return 0.0
-        return self._refuse(workspace, QuotaRule.BUCKET, lacking / workspace.rate)
+        return self._refuse(workspace, QuotaRejectReason.BUCKET, lacking / workspace.rate)
 
     # Decisions for all processes
 
-    def begin_as_arbiter(self, workspace: ForwardedWorkspace, now: float) -> None:
+    def start_as_arbiter(self, workspace: ForwardedWorkspace, now: float) -> None:
         """Forget what the bucket has filled with while others may have decided unheard."""
         bucket = self._bucket(workspace, now)
         bucket.level = min(bucket.level, SETTLED_LEVEL * workspace.burst)
 
-    def wait_as_arbiter(self, workspace: ForwardedWorkspace, units: float, now: float) -> float:
+    def get_wait_as_arbiter(self, workspace: ForwardedWorkspace, units: float, now: float) -> float:
         """Return the seconds until a request may pass, if nothing is taken without this process."""
         if workspace.rate <= 0:
             return 0.0
@@ -238,14 +242,14 @@
         excess = total + units - self._rules.limit(workspace) * self._heard_share()
         if excess > 0:
             taken = self._taken.get(workspace.name)
-            self._decided_by[workspace.name] = QuotaRule.WINDOW
+            self._decided_by[workspace.name] = QuotaRejectReason.WINDOW
             return taken.wait(excess, now) if total else self._rules.window
         since_start = self._left_since_start(workspace, total, now)
         if since_start > 0:
             return 0.0
-        return self._refuse(workspace, QuotaRule.START, -since_start / workspace.rate)
+        return self._refuse(workspace, QuotaRejectReason.START, -since_start / workspace.rate)
 
-    def wait_as_new_arbiter(
+    def get_wait_as_new_arbiter(
         self, workspace: ForwardedWorkspace, units: float, sides: int, now: float
     ) -> float:
         """Return the seconds until a request may pass, if others may decide on it, too.
@@ -271,14 +275,14 @@
         since = now - UNSETTLED_SECONDS
         if self._is_within_part(workspace.name, units, left / sides, since, now):
             return 0.0
-        return self._refuse(workspace, QuotaRule.PART, MIN_RETRY_SECONDS)
+        return self._refuse(workspace, QuotaRejectReason.PART, MIN_RETRY_SECONDS)
 
     def _total(self, name: str, now: float) -> float:
         """Return what all processes that are heard took of a workspace within the window."""
         taken = self._taken.get(name)
         return taken.sum(now) if taken is not None else 0.0
 
-    def charge_ahead(
+    def charge_grant(
         self, workspace: ForwardedWorkspace, units: float, is_alone: bool, now: float
     ) -> None:
         """Take out what another process was allowed; its own word of it is not counted again.
@@ -311,7 +315,7 @@
             limit=round(self._rules.limit(workspace) * share),
             heard_share=round(share, 3),
             lag=round(self._lag(), 3),
-            decided_by=self._decided_by.get(workspace.name, QuotaRule.NONE),
+            decided_by=self._decided_by.get(workspace.name, QuotaRejectReason.NONE),
             left_since_start=None if math.isinf(since_start) else round(since_start),
         )
 
@@ -325,17 +329,17 @@
             # Of what the others take now this process hears later.
             unheard = self._lag() * taken.since(now - RATE_SECONDS) / RATE_SECONDS
             if unheard > left - units:
-                self._decided_by[workspace.name] = QuotaRule.WINDOW
+                self._decided_by[workspace.name] = QuotaRejectReason.WINDOW
                 return taken.wait(unheard - left + units, now)
             if self._is_rationed(workspace, left - units, now):
-                return self._refuse(workspace, QuotaRule.RATIONED, self._lag())
+                return self._refuse(workspace, QuotaRejectReason.RATIONED, self._lag())
         since_start = self._left_since_start(workspace, total, now)
         if since_start <= 0:
-            return self._refuse(workspace, QuotaRule.START, -since_start / workspace.rate)
+            return self._refuse(workspace, QuotaRejectReason.START, -since_start / workspace.rate)
         left = min(left, since_start, self._left_while_pressing(workspace, now))
         part, since = left / members, now - UNHEARD_PART * self._lag() - STEP_SECONDS
         if members > 1 and not self._is_within_part(workspace.name, units, part, since, now):
-            return self._refuse(workspace, QuotaRule.PART, self._lag())
+            return self._refuse(workspace, QuotaRejectReason.PART, self._lag())
         return 0.0
 
     def _left_since_start(self, workspace: ForwardedWorkspace, total: float, now: float) -> float:
--- a/flamingofront/decisions/quota_facts.py
+++ b/flamingofront/decisions/quota_facts.py
@@ -5,11 +5,11 @@
 
 from flamingofront.version.forwarding import ForwardedWorkspace
 
-__all__ = ["QuotaRule", "QuotaRules", "QuotaState"]
+__all__ = ["QuotaRejectReason", "QuotaLimits", "QuotaState"]
 
 
 @dataclass(frozen=True)
-class QuotaRules:
+class QuotaLimits:
     """How much may be taken in any span of time.
 
     Parameters
@@ -38,7 +38,7 @@
         return workspace.rate * self.window + workspace.burst
 
 
-class QuotaRule(StrEnum):
+class QuotaRejectReason(StrEnum):
     """What a request is refused for."""
 
     NONE = ""
@@ -70,7 +70,7 @@
         Part of the processes that is heard.
     lag : float
         Age of the word of the others, in seconds.
-    decided_by : QuotaRule
+    decided_by : QuotaRejectReason
         What the last refusal of the workspace was for, where it was decided.
     left_since_start : float or None
         What may still be taken while it is not known what was taken before the start of the process
@@ -82,5 +82,5 @@
     limit: float = 0.0
     heard_share: float = 1.0
     lag: float = 0.0
-    decided_by: QuotaRule = QuotaRule.NONE
+    decided_by: QuotaRejectReason = QuotaRejectReason.NONE
     left_since_start: float | None = None
--- a/flamingofront/decisions/rollout.py
+++ b/flamingofront/decisions/rollout.py
@@ -18,20 +18,20 @@
 from flamingofront.process.membership import Fact
 
 __all__ = [
-    "EXPOSED_PART",
-    "Evidence",
+    "EXPOSED_FRACTION",
+    "RolloutEvidence",
     "Phase",
-    "RolloutOrder",
+    "RolloutSpec",
     "RolloutStatus",
     "Tally",
     "VersionRule",
     "next_phase",
-    "seems_bad",
+    "is_worse",
 ]
 
 # Part of the share that a bad version may get that is used: requests come unevenly, those that are
 # tried again reach it beside those that were counted, and word of the order may come late.
-EXPOSED_PART = 0.4
+EXPOSED_FRACTION = 0.4
 # Bad answers from which on a version can seem bad, and by how much its share of them must be over
 # that of the old version: twice as much and this besides.
 BAD_ANSWERS = 6
@@ -72,7 +72,7 @@
 
 
 @dataclass(frozen=True)
-class RolloutOrder:
+class RolloutSpec:
     """An operator's order.
 
     Parameters
@@ -111,7 +111,7 @@
     version: str
     phase: Phase
     since: float
-    withheld: frozenset[str] = frozenset()
+    blocked: frozenset[str] = frozenset()
 
 
 @dataclass(frozen=True)
@@ -133,7 +133,7 @@
 
 
 @dataclass(frozen=True)
-class Evidence:
+class RolloutEvidence:
     """What is known of a roll-out, over all entry processes that are heard.
 
     Parameters
@@ -152,16 +152,16 @@
     clear: float = 0.0
 
 
-def seems_bad(new: Tally, old: Tally) -> bool:
+def is_worse(new: Tally, old: Tally) -> bool:
     """Tell whether a new version does worse than the old one."""
     return new.bad >= BAD_ANSWERS and new.bad_share > 2 * old.bad_share + BAD_MARGIN
 
 
-def next_phase(phase: Phase, order: RolloutOrder, evidence: Evidence) -> Phase:
+def next_phase(phase: Phase, order: RolloutSpec, evidence: RolloutEvidence) -> Phase:
     """Return the phase that follows from what is known; the same one if none does yet."""
     if phase.is_final:
         return phase
-    if evidence.age >= order.seconds or seems_bad(evidence.new, evidence.old):
+    if evidence.age >= order.seconds or is_worse(evidence.new, evidence.old):
         return Phase.ROLLED_BACK
     if phase is Phase.ORDERED:
         return Phase.RUNNING
@@ -170,7 +170,7 @@
     return Phase.COMPLETED if evidence.clear >= CLEAR_SECONDS else phase
 
 
-def _is_proved(order: RolloutOrder, evidence: Evidence) -> bool:
+def _is_proved(order: RolloutSpec, evidence: RolloutEvidence) -> bool:
     """Tell whether a version has done well for long enough."""
     latest = order.seconds - ENDING_SECONDS
     watched = min(WATCHED_PART * order.seconds, latest)
@@ -196,7 +196,7 @@
 
     version: str
     exposed: bool
-    withheld: frozenset[str] = frozenset()
+    blocked: frozenset[str] = frozenset()
 
     def select(self, facts: Mapping[str, Fact]) -> dict[str, Fact]:
         """Return the endpoints among which may be chosen.
@@ -208,7 +208,7 @@
         withheld, the order is to go back to the version from which one of them was to lead away.
         """
         new = {name: fact for name, fact in facts.items() if fact.side == self.version}
-        held = {name for name, fact in facts.items() if fact.side in self.withheld}
+        held = {name for name, fact in facts.items() if fact.side in self.blocked}
         old = {name: fact for name, fact in facts.items() if name not in new and name not in held}
         goes_back = bool(held) and not old
         return new if new and (self.exposed or goes_back) else old
--- a/flamingofront/decisions/send_intents.py
+++ b/flamingofront/decisions/send_intents.py
@@ -83,7 +83,7 @@
         """Return the record without a send."""
         return replace(self, sends=tuple(each for each in self.sends if each != intent))
 
-    def with_unseen(self, endpoint_ids: frozenset[str]) -> "IntentRecord":
+    def with_unobserved(self, endpoint_ids: frozenset[str]) -> "IntentRecord":
         """Return the record with further ends that had no witness."""
         own = {each.endpoint_id for each in self.sends}
         unseen = dict.fromkeys((*self.unseen, *sorted(endpoint_ids)))
@@ -106,7 +106,7 @@
         self._unseen: OrderedDict[str, None] = OrderedDict()
         self._answered: OrderedDict[str, None] = OrderedDict()
 
-    def unseen_end(self, endpoint_id: str, service: str, now: float) -> bool:
+    def record_unobserved_crash(self, endpoint_id: str, service: str, now: float) -> bool:
         """Take note of an end with no witness; True if records were not made for its service.
 
         Parameters
@@ -142,18 +142,18 @@
             self._answered.popitem(last=False)
 
     @staticmethod
-    def must_wait(record: IntentRecord, seen_alive: Mapping[str, float]) -> bool:
+    def must_wait(record: IntentRecord, last_alive: Mapping[str, float]) -> bool:
         """Tell whether a request has too many unanswered sends for a further one now.
 
         Parameters
         ----------
-        seen_alive : mapping of str to float
+        last_alive : mapping of str to float
             Wall clock seconds at which endpoints were found to be there: one that has outlived a
             send by so much was not ended by it.
         """
         unanswered = [
             each
             for each in record.sends
-            if seen_alive.get(each.endpoint_id, each.at) - each.at < UNANSWERED_WAIT_SECONDS
+            if last_alive.get(each.endpoint_id, each.at) - each.at < UNANSWERED_WAIT_SECONDS
         ]
         return len(unanswered) >= MAX_UNANSWERED
--- a/flamingofront/decisions/shares.py
+++ b/flamingofront/decisions/shares.py
@@ -14,7 +14,13 @@
 from collections.abc import Mapping, Sequence
 from dataclasses import dataclass
 
-__all__ = ["FIRST_ENDPOINTS", "NOTED_SECONDS", "NotedPrompts", "Placement", "first_endpoints"]
+__all__ = [
+    "FIRST_ENDPOINTS",
+    "NOTED_SECONDS",
+    "RemotePrompts",
+    "RingPosition",
+    "select_preferred_endpoints",
+]
 
 # Endpoints that a process looks at first. In a simulation of 90 processes before 24 and 30 engines
 # at about half of what they can read, two that are known exactly left no request late, where two
@@ -25,7 +31,7 @@
 
 
 @dataclass(frozen=True)
-class Placement:
+class RingPosition:
     """Where a process stands on the ring.
 
     Parameters
@@ -41,8 +47,8 @@
     count: int
 
 
-def first_endpoints(
-    place: Placement, zones: Sequence[str], endpoints: Mapping[str, str]
+def select_preferred_endpoints(
+    place: RingPosition, zones: Sequence[str], endpoints: Mapping[str, str]
 ) -> tuple[str, ...]:
     """Return the endpoints that a process uses first.
 
@@ -63,7 +69,7 @@
     return tuple(ring[(start + step) % len(ring)] for step in range(count))
 
 
-class NotedPrompts:
+class RemotePrompts:
     """Prompts that other processes have just told of, by endpoint."""
 
     def __init__(self):
--- a/flamingofront/decisions/stopping.py
+++ b/flamingofront/decisions/stopping.py
@@ -10,7 +10,7 @@
 from collections import deque
 from dataclasses import dataclass
 
-__all__ = ["CompletionBounds", "StreamBound", "StreamTimes", "ends_in_time"]
+__all__ = ["CompletionBounds", "StreamBound", "StreamTimes", "can_complete"]
 
 # Answers whose times are kept for a service: a change of its endpoints shows after so many.
 KEPT_ANSWERS = 128
@@ -80,7 +80,7 @@
         return self._services.setdefault(service, StreamBound())
 
 
-def ends_in_time(deadline_left: float, bound: float, stop_left: float) -> bool:
+def can_complete(deadline_left: float, bound: float, stop_left: float) -> bool:
     """Tell whether a request that begins now ends before the process does.
 
     Parameters
--- a/flamingofront/decisions/tests/test_admission.py
+++ b/flamingofront/decisions/tests/test_admission.py
@@ -6,7 +6,12 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from flamingofront.decisions.admission import FairAdmission, Ticket, WorkspaceShare, shared_limit
+from flamingofront.decisions.admission import (
+    FairAdmission,
+    Ticket,
+    WorkspaceShare,
+    compute_limit_share,
+)
 from flamingofront.decisions.choice import Candidate, CostChoice, WorkEstimate
 from flamingofront.decisions.retry import EndpointHealth, PacedRetryBudget
 from flamingofront.errors import ErrorKind, RequestError
@@ -21,7 +26,7 @@
 
 def started(admission, now=0.0):
     found = []
-    while (each := admission.next_ready(now)) is not None:
+    while (each := admission.start_next(now)) is not None:
         found.append(each)
     return found
 
@@ -81,7 +86,7 @@
             elif step == "x" and held:
                 each = held.pop(next(iter(held)))
                 running = [one for one in running if one is not each]
-                admission.finished(each, 0.0)
+                admission.release(each, 0.0)
             for each in started(admission):
                 assert each.request_id in held and each not in running
                 running.append(each)
@@ -134,7 +139,7 @@
     def test_parts_add_up_to_at_most_the_limit(self, limit, demands):
         members = len(demands)
         parts = [
-            shared_limit(
+            compute_limit_share(
                 limit,
                 demand,
                 {str(j): other for j, other in enumerate(demands) if j != i},
@@ -151,7 +156,7 @@
         total = 0
         for size in (left, members - left):
             heard = {str(index): 50.0 for index in range(size - 1)}
-            total += size * shared_limit(limit, 50.0, heard, members, members - size)
+            total += size * compute_limit_share(limit, 50.0, heard, members, members - size)
         assert total <= max(limit, members)
 
 
@@ -171,12 +176,12 @@
         assert self.choose(dear, cheap) == "cheap"
 
     def test_crowded_endpoint_is_avoided_although_cheap(self):
-        crowded = self.candidate("crowded", price=1.0, own_in_flight=15)
+        crowded = self.candidate("crowded", price=1.0, local_in_flight=15)
         assert self.choose(crowded, self.candidate("idle", price=1.5)) == "idle"
 
     def test_long_cached_prefix_wins(self):
-        cold = self.candidate("cold", own_in_flight=2)
-        warm = self.candidate("warm", own_in_flight=3, cached_tokens=3000)
+        cold = self.candidate("cold", local_in_flight=2)
+        warm = self.candidate("warm", local_in_flight=3, cached_tokens=3000)
         assert self.choose(cold, warm, prompt_tokens=3000) == "warm"
 
     def test_slow_endpoint_is_avoided(self):
@@ -184,7 +189,7 @@
         assert self.choose(slow, self.candidate("usual")) == "usual"
 
     def test_full_endpoints_are_not_chosen(self):
-        full = self.candidate("full", own_in_flight=16)
+        full = self.candidate("full", local_in_flight=16)
         assert CostChoice().choose([full], WorkEstimate(), random.Random(1)) is None
 
 
@@ -192,16 +197,16 @@
     def test_failing_endpoint_is_ejected_and_returns(self):
         health = EndpointHealth(random.Random(1))
         for _ in range(3):
-            health.failed("e1", 0.0)
-        assert health.ejected(("e1", "e2"), 0.1) == {"e1"}
-        assert health.ejected(("e1", "e2"), 10.0) == frozenset()
+            health.record_failure("e1", 0.0)
+        assert health.list_ejected(("e1", "e2"), 0.1) == {"e1"}
+        assert health.list_ejected(("e1", "e2"), 10.0) == frozenset()
 
     def test_never_more_than_half_are_out(self):
         health = EndpointHealth(random.Random(1))
         for name in ("e1", "e2", "e3", "e4"):
             for _ in range(3):
-                health.failed(name, 0.0)
-        assert len(health.ejected(("e1", "e2", "e3", "e4"), 0.1)) == 2
+                health.record_failure(name, 0.0)
+        assert len(health.list_ejected(("e1", "e2", "e3", "e4"), 0.1)) == 2
 
     def test_quickly_refusing_endpoint_does_not_draw_all_work(self):
         world = demo_world(engines_per_zone=3)
--- a/flamingofront/decisions/tests/test_engine_rates.py
+++ b/flamingofront/decisions/tests/test_engine_rates.py
@@ -5,7 +5,7 @@
 import pytest
 
 from flamingofront.decisions.choice import BacklogChoice, Candidate, WorkEstimate
-from flamingofront.decisions.demand import WorkMeter
+from flamingofront.decisions.demand import LoadMeter
 from flamingofront.decisions.engine_rates import EngineRates, LearnedRates, LinearFit, ServiceRates
 
 
@@ -23,14 +23,14 @@
     def test_engines_of_any_speed_are_learned_from_sixty_answers(self, token_seconds, seed):
         rates = ServiceRates()
         answers(rates, token_seconds, 60, seed)
-        assert rates.now().token_seconds == pytest.approx(token_seconds, rel=0.25)
-        assert rates.now().is_learned
+        assert rates.estimate().token_seconds == pytest.approx(token_seconds, rel=0.25)
+        assert rates.estimate().is_learned
 
     def test_change_shows_within_a_hundred_answers(self):
         rates = ServiceRates()
         answers(rates, 9e-6, 200)
         answers(rates, 3e-5, 100)
-        assert rates.now().token_seconds == pytest.approx(3e-5, rel=0.25)
+        assert rates.estimate().token_seconds == pytest.approx(3e-5, rel=0.25)
 
     def test_one_answer_in_ten_that_takes_seconds_moves_it_little(self):
         rates = ServiceRates()
@@ -39,20 +39,20 @@
             answers(rates, 9e-6, 1, number)
             if number % 10 == 0:
                 rates.first_event(rng.expovariate(1 / 4000), 5.0)
-        assert 0.5e-5 < rates.now().token_seconds < 2e-5
-        assert rates.now().base_seconds < 0.1
+        assert 0.5e-5 < rates.estimate().token_seconds < 2e-5
+        assert rates.estimate().base_seconds < 0.1
 
     def test_prior_holds_until_there_are_answers(self):
         rates = ServiceRates()
-        assert not rates.now().is_learned
-        assert rates.now().token_seconds == pytest.approx(EngineRates().token_seconds)
+        assert not rates.estimate().is_learned
+        assert rates.estimate().token_seconds == pytest.approx(EngineRates().token_seconds)
 
     def test_answers_of_one_size_leave_the_estimate_positive(self):
         rates = ServiceRates()
         for _ in range(300):
             rates.first_event(1000.0, 0.05)
-        assert rates.now().token_seconds > 0
-        assert rates.now().first_event(1000.0) == pytest.approx(0.05, rel=0.05)
+        assert rates.estimate().token_seconds > 0
+        assert rates.estimate().first_event(1000.0) == pytest.approx(0.05, rel=0.05)
 
     def test_falling_line_is_bounded(self):
         fit = LinearFit(0.02, 1e-5, 3000.0)
@@ -67,7 +67,7 @@
         for _ in range(200):
             rates.pause(0.02)
         rates.pause(30.0)
-        assert rates.now().pause_seconds < 0.025
+        assert rates.estimate().pause_seconds < 0.025
 
 
 class TestPlacement:
@@ -88,7 +88,7 @@
 
 class TestWork:
     def test_means_tell_the_busy_endpoints(self):
-        meter, now = WorkMeter(), 0.0
+        meter, now = LoadMeter(), 0.0
         for _ in range(400):
             meter.add("engines", 0.15, now)
             now += 0.1
@@ -97,13 +97,13 @@
         assert work.slow == pytest.approx(1.5, rel=0.1)
 
     def test_slow_mean_tells_the_work_after_three_seconds(self):
-        meter = WorkMeter()
+        meter = LoadMeter()
         for number in range(30):
             meter.add("engines", 0.15, number * 0.1)
         assert meter.work(3.0)["engines"].slow == pytest.approx(1.5, rel=0.15)
 
     def test_burst_shows_in_the_fast_mean_first_and_is_forgotten(self):
-        meter = WorkMeter()
+        meter = LoadMeter()
         for number in range(300):
             meter.add("engines", 0.1, number * 0.1)
         for number in range(10):
@@ -113,7 +113,7 @@
         assert meter.work(50.0)["engines"].fast < 0.01
 
     def test_first_request_is_no_flood(self):
-        meter = WorkMeter()
+        meter = LoadMeter()
         meter.add("engines", 0.1, 5.0)
         assert meter.work(5.0)["engines"].fast <= 0.1
 
--- a/flamingofront/decisions/tests/test_lateness.py
+++ b/flamingofront/decisions/tests/test_lateness.py
@@ -9,10 +9,10 @@
 
 from flamingofront.decisions.lateness import (
     IDLE_SECONDS,
-    LONGEST_PART,
-    Expectation,
+    MAX_YIELD_FRACTION,
+    LatencyEstimate,
     Urgency,
-    postponement,
+    compute_yield_delay,
     urgency,
 )
 from flamingofront.platform.requests import PlatformProtocol
@@ -34,7 +34,7 @@
         ],
     )
     def test_it_follows_from_what_is_expected(self, first_event, left, resumed, expected):
-        assert urgency(Expectation(first_event, left, resumed)) is expected
+        assert urgency(LatencyEstimate(first_event, left, resumed)) is expected
 
     @pytest.mark.parametrize(("each", "sent"), [(Urgency.LATE, ["8"]), (Urgency.IN_TIME, [])])
     def test_engines_are_told_what_is_not_usual(self, each, sent):
@@ -47,22 +47,22 @@
 
 
 class TestPostponement:
-    late = Expectation(2.0, OBJECTIVE)
+    late = LatencyEstimate(2.0, OBJECTIVE)
 
     def test_late_work_stands_back_while_others_wait_to_be_read(self):
-        assert postponement(self.late, 1.0, 0.0, DEADLINE) > 0
+        assert compute_yield_delay(self.late, 1.0, 0.0, DEADLINE) > 0
 
     def test_it_goes_at_once_where_nothing_waits(self):
-        assert postponement(self.late, IDLE_SECONDS, 0.0, DEADLINE) == 0
+        assert compute_yield_delay(self.late, IDLE_SECONDS, 0.0, DEADLINE) == 0
 
     def test_it_goes_at_once_when_it_can_be_in_time(self):
-        assert postponement(Expectation(0.3, OBJECTIVE), 0.25, 0.0, DEADLINE) == 0
+        assert compute_yield_delay(LatencyEstimate(0.3, OBJECTIVE), 0.25, 0.0, DEADLINE) == 0
 
     def test_stream_that_has_begun_never_stands_back(self):
-        assert postponement(Expectation(2.0, -1.0, True), 1.0, 0.0, DEADLINE) == 0
+        assert compute_yield_delay(LatencyEstimate(2.0, -1.0, True), 1.0, 0.0, DEADLINE) == 0
 
     def test_it_goes_before_the_deadline_is_lost(self):
-        assert postponement(self.late, 1.0, LONGEST_PART * DEADLINE, DEADLINE) == 0
+        assert compute_yield_delay(self.late, 1.0, MAX_YIELD_FRACTION * DEADLINE, DEADLINE) == 0
 
 
 @dataclass
@@ -95,8 +95,8 @@
             engine = min(range(len(self._free_at)), key=lambda each: self._free_at[each])
             ahead = max(0.0, self._free_at[engine] - now)
             reading = tokens * self.TOKEN_SECONDS
-            expected = Expectation(self.BASE + ahead + reading, OBJECTIVE - (now - came))
-            wait = postponement(expected, ahead, now - came, DEADLINE)
+            expected = LatencyEstimate(self.BASE + ahead + reading, OBJECTIVE - (now - came))
+            wait = compute_yield_delay(expected, ahead, now - came, DEADLINE)
             if wait > 0 and self._stands_back:
                 later = now + wait * (0.5 + self._rng.random())
                 heapq.heappush(looks, (later, next(order), came, tokens))
--- a/flamingofront/decisions/tests/test_quota.py
+++ b/flamingofront/decisions/tests/test_quota.py
@@ -8,7 +8,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from flamingofront.decisions.quota import QuotaRules, SharedQuota
+from flamingofront.decisions.quota import QuotaLimits, SharedQuota
 from flamingofront.decisions.shared_retry import SharedRetryBudget
 from flamingofront.errors import ErrorKind
 from flamingofront.tests.forwarding_world import ready_world
@@ -57,8 +57,8 @@
         for index, quota in enumerate(quotas):
             if now < begin or rng.random() >= demands[index] * 0.01:
                 continue
-            if quota.wait(workspace, units, now) == 0:
-                quota.spend(workspace, units, now)
+            if quota.get_wait(workspace, units, now) == 0:
+                quota.consume(workspace, units, now)
                 taken.append(now)
         if now - told_at >= lag:
             told_at = now
@@ -94,7 +94,7 @@
 
     def test_sides_of_a_partition_get_their_parts_where_no_window_binds(self):
         """The bucket alone: the limit of the window is far away."""
-        taken = played([90.0] * 4, [[0, 1], [2, 3]], rules=QuotaRules(8.0, 10.0, 0.0))
+        taken = played([90.0] * 4, [[0, 1], [2, 3]], rules=QuotaLimits(8.0, 10.0, 0.0))
         assert most_in_window(taken) <= (RATE * 8 + RATE) * 1.1
 
     def test_what_is_asked_below_the_quota_passes_wherever_it_comes_in(self):
@@ -108,7 +108,7 @@
     )
     def test_window_limit_holds_for_large_requests_and_late_word(self, demands, size, lag):
         """The bucket runs into debt with each request; the limit of the window holds."""
-        rules = QuotaRules(8.0, 0.1, 3 * RATE)
+        rules = QuotaLimits(8.0, 0.1, 3 * RATE)
         units = size * RATE
         taken = played(demands, [[0, 1, 2, 3]], 30.0, rules, units, lag=lag)
         limit = rules.limit(WORKSPACE)
@@ -120,7 +120,7 @@
     def test_limit_holds_when_all_processes_restart(self, restart):
         """They forget what was taken, while the window still counts it."""
         workspace = replace(WORKSPACE, burst=4 * RATE)
-        rules = QuotaRules(8.0, 0.1, 0.5 * RATE)
+        rules = QuotaLimits(8.0, 0.1, 0.5 * RATE)
         # The bucket is full when three times the rate comes, at 20 seconds.
         taken = played(
             [20.0] * 4,
@@ -135,56 +135,56 @@
         assert most_in_window(taken) * 4.0 <= rules.limit(workspace)
 
     def test_clumps_within_the_allowance_are_not_refused(self):
-        quota = SharedQuota(lambda: 1.0, QuotaRules(8.0, 0.1, 3 * RATE))
-        quota.prepare((WORKSPACE,), 0.0)
+        quota = SharedQuota(lambda: 1.0, QuotaLimits(8.0, 0.1, 3 * RATE))
+        quota.start_buckets((WORKSPACE,), 0.0)
         for _ in range(int(1.0 * RATE + 0.8 * RATE)):
-            assert quota.wait(WORKSPACE, 1.0, 20.0) == 0
-            quota.spend(WORKSPACE, 1.0, 20.0)
+            assert quota.get_wait(WORKSPACE, 1.0, 20.0) == 0
+            quota.consume(WORKSPACE, 1.0, 20.0)
 
     def test_wait_for_the_window_ends_when_the_request_passes(self):
-        quota = SharedQuota(lambda: 1.0, QuotaRules(8.0, 0.0, 0.0))
-        quota.prepare((WORKSPACE,), 0.0)
+        quota = SharedQuota(lambda: 1.0, QuotaLimits(8.0, 0.0, 0.0))
+        quota.start_buckets((WORKSPACE,), 0.0)
         now, large = 10.0, 4 * RATE
-        while quota.wait(WORKSPACE, large, now) == 0:
-            quota.spend(WORKSPACE, large, now)
+        while quota.get_wait(WORKSPACE, large, now) == 0:
+            quota.consume(WORKSPACE, large, now)
             now += 4.1
-        wait = quota.wait(WORKSPACE, large, now)
+        wait = quota.get_wait(WORKSPACE, large, now)
         assert 0 < wait <= 8.0
-        assert quota.wait(WORKSPACE, large, now + wait + 0.3) == 0
+        assert quota.get_wait(WORKSPACE, large, now + wait + 0.3) == 0
 
     def test_full_window_tells_when_its_oldest_requests_leave_it(self):
-        quota = SharedQuota(lambda: 1.0, QuotaRules(8.0, 0.0, 0.0))
-        quota.prepare((WORKSPACE,), 0.0)
+        quota = SharedQuota(lambda: 1.0, QuotaLimits(8.0, 0.0, 0.0))
+        quota.start_buckets((WORKSPACE,), 0.0)
         for now in (10.0, 13.5):
-            assert quota.wait(WORKSPACE, 4 * RATE, now) == 0
-            quota.spend(WORKSPACE, 4 * RATE, now)
-        wait = quota.wait(WORKSPACE, 4 * RATE, 17.3)
+            assert quota.get_wait(WORKSPACE, 4 * RATE, now) == 0
+            quota.consume(WORKSPACE, 4 * RATE, now)
+        wait = quota.get_wait(WORKSPACE, 4 * RATE, 17.3)
         assert 0.8 <= wait <= 1.1
-        assert quota.wait(WORKSPACE, 4 * RATE, 17.3 + wait - 0.1) > 0
-        assert quota.wait(WORKSPACE, 4 * RATE, 17.3 + wait + 0.01) == 0
+        assert quota.get_wait(WORKSPACE, 4 * RATE, 17.3 + wait - 0.1) > 0
+        assert quota.get_wait(WORKSPACE, 4 * RATE, 17.3 + wait + 0.01) == 0
 
     def test_time_to_come_back_is_when_it_passes(self):
         quota = SharedQuota(lambda: 1.0)
-        quota.prepare((WORKSPACE,), 0.0)
-        quota.spend(WORKSPACE, 150.0, 1.0)
-        wait = quota.wait(WORKSPACE, 20.0, 1.0)
-        assert wait > 0 and quota.wait(WORKSPACE, 20.0, 1.0 + wait + 0.001) == 0
+        quota.start_buckets((WORKSPACE,), 0.0)
+        quota.consume(WORKSPACE, 150.0, 1.0)
+        wait = quota.get_wait(WORKSPACE, 20.0, 1.0)
+        assert wait > 0 and quota.get_wait(WORKSPACE, 20.0, 1.0 + wait + 0.001) == 0
 
     def test_request_larger_than_the_burst_passes_and_is_paid_for(self):
         quota = SharedQuota(lambda: 1.0)
-        quota.prepare((WORKSPACE,), 0.0)
-        assert quota.wait(WORKSPACE, 5 * RATE, 0.5) == 0
-        quota.spend(WORKSPACE, 5 * RATE, 0.5)
-        wait = quota.wait(WORKSPACE, 1.0, 0.5)
+        quota.start_buckets((WORKSPACE,), 0.0)
+        assert quota.get_wait(WORKSPACE, 5 * RATE, 0.5) == 0
+        quota.consume(WORKSPACE, 5 * RATE, 0.5)
+        wait = quota.get_wait(WORKSPACE, 1.0, 0.5)
         assert 3.5 < wait < 5.0
-        assert quota.wait(WORKSPACE, 1.0, 0.5 + wait + 0.001) == 0
+        assert quota.get_wait(WORKSPACE, 1.0, 0.5 + wait + 0.001) == 0
 
     def test_word_of_a_process_that_was_out_of_hearing_is_no_debt(self):
         quota = SharedQuota(lambda: 1.0)
-        quota.prepare((WORKSPACE,), 0.0)
-        quota.heard("other/1", {"desk": 10.0}, True, 0.0)
-        quota.heard("other/1", {"desk": 5000.0}, False, 2.0)
-        assert quota.wait(WORKSPACE, 50.0, 2.0) == 0
+        quota.start_buckets((WORKSPACE,), 0.0)
+        quota.merge_consumed("other/1", {"desk": 10.0}, True, 0.0)
+        quota.merge_consumed("other/1", {"desk": 5000.0}, False, 2.0)
+        assert quota.get_wait(WORKSPACE, 50.0, 2.0) == 0
 
 
 class TestSharedRetryBudget:
@@ -263,7 +263,7 @@
         callers = [world.ask("front-1", "/read/x") for _ in range(12)]
         world.finish(*callers)
         assert refused and {each.kind for each in refused} == {ErrorKind.LIMIT_EXCEEDED}
-        inputs = refused[-1].inputs
+        inputs = refused[-1].log_fields
         assert (inputs["workspace"], inputs["rate"], inputs["burst"]) == ("desk", 2.0, 2.0)
         assert inputs["bucket"] < inputs["burst"] and inputs["taken"] > 0
         assert {"units", "limit", "heard_share", "lag"} <= set(inputs)
@@ -279,7 +279,7 @@
         world.run_until(lambda: all(each.ready for each in world.fronts.values()))
         refused = []
         for front in world.fronts.values():
-            front.gateway.record_rejection = lambda exc, req=None: refused.append(exc.inputs)
+            front.gateway.record_rejection = lambda exc, req=None: refused.append(exc.log_fields)
         for _ in range(30):
             world.ask("front-1", "/read/x")
             world.run(0.05)
@@ -307,7 +307,7 @@
     MEMBERS = 24
     REQUEST = 8_000.0
     WORKSPACE = ForwardedWorkspace("hot", ("k",), rate=250e3, burst=500e3, counts_tokens=True)
-    RULES = QuotaRules(8.0, 0.1, 140e3)
+    RULES = QuotaLimits(8.0, 0.1, 140e3)
     STEP = 0.005
 
     def __init__(self, factor, lag, seed):
@@ -353,8 +353,8 @@
             units = min(54_600, self.rng.lognormvariate(math.log(self.REQUEST) - 0.5, 1.0))
             quota = self.rng.choice(self.quotas)
             self.asked += units
-            if quota.wait(self.WORKSPACE, units, now) == 0:
-                quota.spend(self.WORKSPACE, units, now)
+            if quota.get_wait(self.WORKSPACE, units, now) == 0:
+                quota.consume(self.WORKSPACE, units, now)
                 self.taken.append((now, units))
 
     def word_arrives(self, now):
@@ -362,7 +362,7 @@
             _, sender, spent = self.told.pop(0)
             for index, quota in enumerate(self.quotas):
                 if index != sender:
-                    quota.heard(f"{sender}/{self.starts}", spent, True, now)
+                    quota.merge_consumed(f"{sender}/{self.starts}", spent, True, now)
 
     def worst_window(self):
         """Return the most that was taken in a window, in parts of the limit."""
--- a/flamingofront/decisions/tests/test_send_intents.py
+++ b/flamingofront/decisions/tests/test_send_intents.py
@@ -31,8 +31,8 @@
 
     def test_requests_to_the_service_of_an_end_that_nobody_saw_are(self):
         policy = IntentPolicy()
-        assert policy.unseen_end("e-1", "engines", 50.0)
-        assert not policy.unseen_end("e-2", "engines", 50.5)
+        assert policy.record_unobserved_crash("e-1", "engines", 50.0)
+        assert not policy.record_unobserved_crash("e-2", "engines", 50.5)
         assert policy.is_recorded("f-1", "engines", 50.5 + WARY_SECONDS - 0.1)
         assert not policy.is_recorded("f-1", "records", 51.0)
         assert not policy.is_recorded("f-1", "engines", 50.5 + WARY_SECONDS)
@@ -40,7 +40,7 @@
 
     def test_requests_to_any_service_are_if_that_of_the_endpoint_is_not_known(self):
         policy = IntentPolicy()
-        policy.unseen_end("e-1", "", 50.0)
+        policy.record_unobserved_crash("e-1", "", 50.0)
         assert policy.is_recorded("f-1", "engines", 51.0)
 
     def test_what_was_answered_needs_no_record(self):
@@ -53,7 +53,7 @@
         policy = IntentPolicy(began=0.0)
         for number in range(10_000):
             policy.answered(f"f-{number}")
-            policy.unseen_end(f"e-{number}", "engines", 1.0)
+            policy.record_unobserved_crash(f"e-{number}", "engines", 1.0)
         assert len(policy.unseen()) == MAX_UNSEEN
         assert policy.is_recorded("f-0", "engines", 1.0)
 
@@ -83,11 +83,11 @@
             record = record.with_sends((each,)).with_sends((each,))
         assert [each.endpoint_id for each in record.sends][-1] == f"e-{MAX_SENDS + 2}"
         assert len(record.sends) == MAX_SENDS
-        assert record.without(record.sends[0]).sends == record.sends[1:]
+        assert record.without_send(record.sends[0]).sends == record.sends[1:]
 
     def test_unseen_ends_are_others_than_those_of_its_own_sends(self):
         record = IntentRecord("f-1", (send("e-1"),), ("e-0",))
-        record = record.with_unseen(frozenset({"e-1", "e-2"}))
-        assert record.unseen == ("e-0", "e-2")
-        many = record.with_unseen(frozenset(f"u-{each}" for each in range(50)))
+        record = record.with_unobserved(frozenset({"e-1", "e-2"}))
+        assert record.unobserved == ("e-0", "e-2")
+        many = record.with_unobserved(frozenset(f"u-{each}" for each in range(50)))
         assert len(many.unseen) == MAX_UNSEEN
--- a/flamingofront/decisions/tests/test_shares.py
+++ b/flamingofront/decisions/tests/test_shares.py
@@ -7,9 +7,9 @@
 from flamingofront.decisions.shares import (
     FIRST_ENDPOINTS,
     NOTED_SECONDS,
-    NotedPrompts,
-    Placement,
-    first_endpoints,
+    RemotePrompts,
+    RingPosition,
+    select_preferred_endpoints,
 )
 
 ZONES = ("zone-a", "zone-b", "zone-c")
@@ -27,7 +27,7 @@
 
 def everybody(endpoints, per_zone=PER_ZONE):
     return [
-        first_endpoints(Placement(zone, index, per_zone), ZONES, endpoints)
+        select_preferred_endpoints(RingPosition(zone, index, per_zone), ZONES, endpoints)
         for zone in ZONES
         for index in range(per_zone)
     ]
@@ -46,30 +46,37 @@
         endpoints = fleet(10, 10, 10)
         for zone in ZONES:
             for index in range(PER_ZONE):
-                first, *_ = first_endpoints(Placement(zone, index, PER_ZONE), ZONES, endpoints)
+                first, *_ = select_preferred_endpoints(
+                    RingPosition(zone, index, PER_ZONE), ZONES, endpoints
+                )
                 assert endpoints[first] == zone
 
     def test_a_zone_without_endpoints_uses_those_of_others(self):
-        assert len(first_endpoints(Placement("zone-a", 3, 9), ZONES, fleet(0, 4, 4))) == 2
+        assert (
+            len(select_preferred_endpoints(RingPosition("zone-a", 3, 9), ZONES, fleet(0, 4, 4)))
+            == 2
+        )
 
-    @pytest.mark.parametrize("place", [Placement("zone-a", 0, 0), Placement("new", 0, 5)])
+    @pytest.mark.parametrize("place", [RingPosition("zone-a", 0, 0), RingPosition("new", 0, 5)])
     def test_who_has_no_place_yet_uses_none_first(self, place):
-        assert first_endpoints(place, ZONES, fleet(3, 3, 3)) == ()
+        assert select_preferred_endpoints(place, ZONES, fleet(3, 3, 3)) == ()
 
     def test_there_are_never_more_than_endpoints(self):
-        assert first_endpoints(Placement("zone-a", 0, 5), ZONES, fleet(1, 0, 0)) == ("zone-a-0",)
-        assert first_endpoints(Placement("zone-a", 0, 5), ZONES, {}) == ()
+        assert select_preferred_endpoints(RingPosition("zone-a", 0, 5), ZONES, fleet(1, 0, 0)) == (
+            "zone-a-0",
+        )
+        assert select_preferred_endpoints(RingPosition("zone-a", 0, 5), ZONES, {}) == ()
 
 
 class TestNotedPrompts:
     def test_they_count_for_a_while(self):
-        noted = NotedPrompts()
+        noted = RemotePrompts()
         noted.add("e", 1, 900, 1.0)
         noted.add("e", 1, 100, 1.1)
-        assert noted.at("e", 1.2) == (2, 1000)
-        assert noted.at("e", 1.05 + NOTED_SECONDS) == (1, 100)
-        assert noted.at("e", 1.1 + NOTED_SECONDS) == (0, 0)
-        assert noted.at("f", 2.0) == (0, 0)
+        assert noted.get_counts("e", 1.2) == (2, 1000)
+        assert noted.get_counts("e", 1.05 + NOTED_SECONDS) == (1, 100)
+        assert noted.get_counts("e", 1.1 + NOTED_SECONDS) == (0, 0)
+        assert noted.get_counts("f", 2.0) == (0, 0)
 
 
 class TestPlacement:
@@ -100,12 +107,12 @@
         return late / count
 
     def test_shared_out_endpoints_that_are_known_at_once_leave_none_late(self):
-        def own_share(rng, endpoints):
-            place = Placement(rng.choice(ZONES), rng.randrange(PER_ZONE), PER_ZONE)
-            return first_endpoints(place, ZONES, endpoints)
+        def local_share(rng, endpoints):
+            place = RingPosition(rng.choice(ZONES), rng.randrange(PER_ZONE), PER_ZONE)
+            return select_preferred_endpoints(place, ZONES, endpoints)
 
         assert FIRST_ENDPOINTS == 2
-        shared = max(self.run(own_share, knows_at_once=True, seed=seed) for seed in range(3))
+        shared = max(self.run(local_share, knows_at_once=True, seed=seed) for seed in range(3))
         at_random = min(
             self.run(lambda rng, endpoints: rng.sample(sorted(endpoints), 1), False, seed)
             for seed in range(3)
--- a/flamingofront/decisions/tests/test_zone_reach.py
+++ b/flamingofront/decisions/tests/test_zone_reach.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from flamingofront.decisions.zone_reach import CUT_OFF_SECONDS, SPOKE_SECONDS, ZoneReach
+from flamingofront.decisions.zone_reach import CUT_OFF_SECONDS, SPOKE_SECONDS, ZoneReachability
 from flamingofront.process.forwarding.reports import PeerReport, PeerTable
 from flamingofront.tests.forwarding_world import ForwardingWorld
 
@@ -10,8 +10,8 @@
 class TestSigns:
     def silent(self):
         """Return the signs of a zone with silent peers, and an answer that does not come."""
-        reach = ZoneReach()
-        reach.peers_silent({"b"})
+        reach = ZoneReachability()
+        reach.set_unresponsive_zones({"b"})
         reach.awaited("b", 10.0 - SPOKE_SECONDS, 10.0)
         return reach
 
@@ -19,21 +19,21 @@
         reach = self.silent()
         assert reach.is_cut_off("b", 10.0) and not reach.is_cut_off("a", 10.0)
         assert not reach.is_cut_off("b", 10.1 + CUT_OFF_SECONDS)
-        reach.peers_silent(())
+        reach.set_unresponsive_zones(())
         assert not reach.is_cut_off("b", 10.0)
 
     @pytest.mark.parametrize("sign", ["none", "an answer that is not late yet"])
     def test_silent_peers_alone_tell_nothing(self, sign):
-        reach = ZoneReach()
-        reach.peers_silent({"b"})
+        reach = ZoneReachability()
+        reach.set_unresponsive_zones({"b"})
         if sign != "none":
             reach.awaited("b", 9.9, 10.0)
         assert not reach.is_cut_off("b", 10.0)
 
     def test_one_failed_connection_is_enough_where_peers_are_silent(self):
-        reach = ZoneReach()
+        reach = ZoneReachability()
         reach.failed("b", "e1", 10.0)
-        reach.peers_silent({"b"})
+        reach.set_unresponsive_zones({"b"})
         assert reach.is_cut_off("b", 10.0)
 
     def test_endpoint_that_speaks_outweighs_its_zone_s_silent_peers(self):
@@ -44,7 +44,7 @@
         assert reach.is_cut_off("b", 10.0 + 1.1 * SPOKE_SECONDS)
 
     def test_two_endpoints_that_cannot_be_connected_to_tell_a_cut_for_a_while(self):
-        reach = ZoneReach()
+        reach = ZoneReachability()
         reach.failed("b", "e1", 10.0)
         assert not reach.is_cut_off("b", 10.0)
         reach.failed("b", "e2", 10.5)
@@ -52,7 +52,7 @@
         assert not reach.is_cut_off("b", 10.6 + CUT_OFF_SECONDS)
 
     def test_answer_forgets_failures(self):
-        reach = ZoneReach()
+        reach = ZoneReachability()
         for endpoint in ("e1", "e2"):
             reach.failed("b", endpoint, 10.0)
         reach.spoke("b", 10.1)
@@ -63,27 +63,29 @@
     def table(self, **heard):
         """Return a table that heard members ``zone_number`` at some times, each 0.25 s."""
         table = PeerTable("own")
-        table.expect_every(0.25)
+        table.set_report_period(0.25)
         for name, at in heard.items():
             zone = name.partition("_")[0]
-            table.take(PeerReport(name, 1, 1, zone, "ip", "ip:1", leaving=name.endswith("x")), at)
+            table.store_report(
+                PeerReport(name, 1, 1, zone, "ip", "ip:1", leaving=name.endswith("x")), at
+            )
         return table
 
     def test_zone_is_silent_when_all_of_its_members_are(self):
         table = self.table(b_1=9.0, b_2=9.1, c_1=9.9, c_2=9.0)
-        assert table.silent_zones(10.0) == {"b"}
+        assert table.unreachable_zones(10.0) == {"b"}
 
     def test_one_member_alone_may_have_been_killed(self):
-        assert self.table(b_1=9.0).silent_zones(10.0) == frozenset()
+        assert self.table(b_1=9.0).unreachable_zones(10.0) == frozenset()
 
     def test_members_that_were_leaving_or_are_long_gone_count_for_nothing(self):
-        assert self.table(b_1=9.0, b_2x=9.0).silent_zones(10.0) == frozenset()
-        assert self.table(b_1=1.0, b_2=1.0).silent_zones(10.0) == frozenset()
+        assert self.table(b_1=9.0, b_2x=9.0).unreachable_zones(10.0) == frozenset()
+        assert self.table(b_1=1.0, b_2=1.0).unreachable_zones(10.0) == frozenset()
 
     def test_many_members_are_heard_less_often(self):
         table = self.table(b_1=9.0, b_2=9.0)
-        table.expect_every(1.0)
-        assert table.silent_zones(10.0) == frozenset()
+        table.set_report_period(1.0)
+        assert table.unreachable_zones(10.0) == frozenset()
 
 
 class TestCut:
@@ -130,10 +132,10 @@
         world.cut("zone-a", "zone-b")
         front.directory.record_connect_failure("engine-zone-b-1", front.timers.now())
         world.run(1.5)
-        assert front.directory.zones.is_cut_off("zone-b", front.timers.now())
+        assert front.directory.zones.is_partitioned("zone-b", front.timers.now())
         world.heal()
         world.run(0.6)
-        assert not front.directory.zones.is_cut_off("zone-b", front.timers.now())
+        assert not front.directory.zones.is_partitioned("zone-b", front.timers.now())
 
     def test_zone_whose_processes_were_all_killed_is_used_while_its_endpoints_answer(self):
         world = self.world()
--- a/flamingofront/decisions/zone_reach.py
+++ b/flamingofront/decisions/zone_reach.py
@@ -11,7 +11,7 @@
 
 from collections.abc import Collection
 
-__all__ = ["ZoneReach"]
+__all__ = ["ZoneReachability"]
 
 # A zone in which so many endpoints could not be reached within this time, and none was, is taken to
 # be cut off: the others there are not tried one by one, at a connect timeout each.
@@ -22,7 +22,7 @@
 SPOKE_SECONDS = 0.4
 
 
-class ZoneReach:
+class ZoneReachability:
     """Signs of zones that are cut off; times in seconds."""
 
     def __init__(self):
@@ -41,7 +41,7 @@
         self._unanswered.pop(zone, None)
         self._spoke[zone] = now
 
-    def peers_silent(self, zones: Collection[str]) -> None:
+    def set_unresponsive_zones(self, zones: Collection[str]) -> None:
         """Take the zones all of whose entry processes have fallen silent."""
         self._silent = frozenset(zones)
 
--- a/flamingofront/forward_daemon.py
+++ b/flamingofront/forward_daemon.py
@@ -18,12 +18,12 @@
 from flamingofront.platform.endpoints import ENDPOINT_TABLE, decode_endpoint
 from flamingofront.platform.requests import PlatformProtocol
 from flamingofront.platform.rollouts import ROLLOUT_ROWS
-from flamingofront.platform.settings import SETTINGS_VARIABLE, read_settings, settings_path
+from flamingofront.platform.settings import SETTINGS_VARIABLE, get_settings_path, read_settings
 from flamingofront.platform.store import PlatformTableStore
 from flamingofront.process.forwarding.knowledge import SharedTables
 from flamingofront.process.forwarding.node import Dependencies, ForwardingNode
 from flamingofront.process.forwarding.settings import DeploymentSettings
-from flamingofront.process.forwarding.shutdown import GracefulStop
+from flamingofront.process.forwarding.shutdown import GracefulShutdown
 from flamingofront.process.logs import Log, NonBlockingStream, set_up_logs
 from flamingofront.process.settings import Address
 from flamingofront.version.forwarding import ForwardingConfiguration
@@ -78,12 +78,12 @@
             control = self._server(settings.control_bind, self.node.handle_control, "control")
             servers["control"] = control
         self._ports = {name: server.port for name, server in servers.items()}
-        self._stop = GracefulStop(
+        self._stop = GracefulShutdown(
             self.node,
             self.callers,
             settings.stop_grace,
             self.runtime.stop,
-            self.callers.refuse_unread,
+            self.callers.reject_incomplete,
         )
 
     def _dependencies(self) -> Dependencies:
@@ -101,7 +101,7 @@
         )
 
     def _datagram(self, data: bytes, ip: str) -> None:
-        self.node.peers.received(data, ip)
+        self.node.peers.receive_datagram(data, ip)
 
     def _server(self, bind: Address, handler, channel: str) -> HTTPServer:
         return HTTPServer(
@@ -169,7 +169,7 @@
     :param metrics_port: port for metrics on the VM's address, 0 to let the kernel pick
     """
     set_up_logs(log_level, NonBlockingStream(sys.stdout.fileno()))
-    path = settings_path(os.environ) or None
+    path = get_settings_path(os.environ) or None
     try:
         if path is None:
             raise SettingsError(f"{SETTINGS_VARIABLE} is not set: it names the settings file")
--- a/flamingofront/platform/requests.py
+++ b/flamingofront/platform/requests.py
@@ -2,9 +2,9 @@
 
 import re
 
-from flamingofront.connection.server import RenderedError, error_body
+from flamingofront.connection.server import RenderedError, encode_error
 from flamingofront.decisions.lateness import Urgency
-from flamingofront.errors import ANSWERS, ErrorKind, Ran, RequestError
+from flamingofront.errors import ERROR_RESPONSES, ErrorKind, Executed, RequestError
 from flamingofront.messages import InboundRequest, ResponseHead
 from flamingofront.request.forward_work import (
     AttemptFacts,
@@ -145,14 +145,14 @@
 
     def render_error(self, exc: RequestError) -> RenderedError:
         """Return an error answer; a status that says "not run" is only given with evidence."""
-        status = ANSWERS[exc.kind].status
-        if status in NOT_RUN_STATUSES and exc.ran is not Ran.NO:
+        status = ERROR_RESPONSES[exc.kind].status
+        if status in NOT_RUN_STATUSES and exc.ran is not Executed.NO:
             status = STATUS_MAY_HAVE_RUN
         fields: Fields = (("Content-Type", "application/json"),)
         if exc.retry_after is not None and status in NOT_RUN_STATUSES:
             # Seconds, which may have a fraction here.
             fields += (("Retry-After", f"{exc.retry_after:.3f}"),)
-        return status, fields, error_body(exc)
+        return status, fields, encode_error(exc)
 
 
 def _without(fields: Fields, names: frozenset[str]) -> Fields:
--- a/flamingofront/platform/rollouts.py
+++ b/flamingofront/platform/rollouts.py
@@ -4,7 +4,7 @@
 
 import orjson
 
-from flamingofront.decisions.rollout import Phase, RolloutOrder, RolloutStatus
+from flamingofront.decisions.rollout import Phase, RolloutSpec, RolloutStatus
 from flamingofront.errors import PlatformError
 from flamingofront.process.forwarding.rollouts import RolloutRows
 
@@ -31,7 +31,7 @@
     return _KEY + service
 
 
-def decode_rollout(service: str, data: bytes, number: int) -> RolloutOrder:
+def decode_rollout(service: str, data: bytes, number: int) -> RolloutSpec:
     """Return the order in a row; its number is the version of the row.
 
     Raises
@@ -51,7 +51,7 @@
             raise ValueError(f"the order is for {doc['service']!r:.60}")
     except (KeyError, TypeError, ValueError, AttributeError) as exc:
         raise PlatformError(f"malformed roll-out of {service}: {exc!r:.200}") from exc
-    return RolloutOrder(service, version, float(seconds), number)
+    return RolloutSpec(service, version, float(seconds), number)
 
 
 def encode_status(service: str, status: RolloutStatus) -> bytes:
@@ -64,7 +64,7 @@
         "order": status.number,
         "phase": status.phase.name.lower(),
         "since": status.since,
-        "withheld": sorted(status.withheld),
+        "withheld": sorted(status.blocked),
     }
     return orjson.dumps(doc)
 
--- a/flamingofront/process/control.py
+++ b/flamingofront/process/control.py
@@ -96,14 +96,14 @@
         raise RequestError(ErrorKind.NOT_FOUND, f"no such path {path[:80]!r}")
 
     def _digest(self, req: InboundRequest, exchange: Exchange) -> None:
-        respond_json(exchange, self._links.take_digest(_parse(req)))
+        respond_json(exchange, self._links.handle_digest(_parse(req)))
 
     def _push(self, req: InboundRequest, exchange: Exchange) -> None:
-        self._links.take_push(_parse(req))
+        self._links.handle_push(_parse(req))
         respond_json(exchange, {})
 
     def _peer_rows(self, req: InboundRequest, exchange: Exchange) -> None:
-        respond_json(exchange, {"rows": self._rows.of(_parse(req)["subject"])})
+        respond_json(exchange, {"rows": self._rows.build_rows(_parse(req)["subject"])})
 
     def _handover(self, req: InboundRequest, exchange: Exchange) -> None:
         if not self._takes_work():
--- a/flamingofront/process/forwarding/control.py
+++ b/flamingofront/process/forwarding/control.py
@@ -13,10 +13,10 @@
 if TYPE_CHECKING:
     from flamingofront.process.forwarding.node import ForwardingNode
 
-__all__ = ["ControlCalls"]
+__all__ = ["ControlHandler"]
 
 
-class ControlCalls:
+class ControlHandler:
     """Answers what does not come from callers."""
 
     def __init__(self, node: "ForwardingNode"):
@@ -26,7 +26,7 @@
 
     def handle(self, req: InboundRequest, exchange: Exchange) -> None:
         """Take a request of an operator or a peer."""
-        knowledge = self._node.knowledge
+        knowledge = self._node.store_view
         if req.path == "/metrics":
             self._respond_metrics(exchange)
         elif req.path == "/operate":
@@ -42,7 +42,7 @@
 
     def _respond_configuration(self, req: InboundRequest, exchange: Exchange) -> None:
         """Answer with a copy for the version that the peer has, or with the whole document."""
-        knowledge, after = self._node.knowledge, req.query.get("after", "")
+        knowledge, after = self._node.store_view, req.query.get("after", "")
         if after.isdigit():
             copy = knowledge.configuration_copy(int(after))
             # Nothing, if this process has no more or is busy: the peer asks another one.
@@ -61,19 +61,19 @@
         gauge("requests_in_flight", len(node.hub.active))
         gauge("requests_waiting", node.hub.count_queued())
         gauge("requests_suspected", len(node.hub.guard.suspects()))
-        gauge("requests_held", len(node.hub.guard.quarantine.holds()))
+        gauge("requests_held", len(node.hub.guard.quarantine.list_entries()))
         gauge("endpoints_limited", len(node.hub.limits.rates_by_endpoint()))
         gauge("configuration_revision", node.configuration.version)
         gauge("store_era", node.store.era)
         gauge("ready", int(node.ready))
-        gauge("peers_heard", node.peers.heard_count())
-        lease = node.lease.holding()
+        gauge("peers_heard", node.peers.live_count())
+        lease = node.lease.valid_lease()
         gauge("duty_fencing", lease.fencing if lease is not None else 0)
-        for follower in node.knowledge.followers:
+        for follower in node.store_view.watchers:
             age = follower.age()
             if age is not None:
                 gauge("store_age_seconds", age, table=follower.table)
-        knowledge = node.knowledge
+        knowledge = node.store_view
         ages = {"configuration": knowledge.configuration_age()}
         ages["endpoints"] = knowledge.endpoints_age()
         for subject, age in ages.items():
--- a/flamingofront/process/forwarding/digests.py
+++ b/flamingofront/process/forwarding/digests.py
@@ -15,10 +15,13 @@
     PeerReport,
     ProcessCounts,
     decode_ages,
+    decode_rollouts,
     decode_starts,
-    rollout_word,
 )
-from flamingofront.process.quarantine_codec import decode_word, encode_word
+from flamingofront.process.quarantine_codec import (
+    decode_quarantine_update,
+    encode_quarantine_update,
+)
 
 __all__ = [
     "ALL_ZONES",
@@ -127,7 +130,7 @@
         relay = digest.relay
         identity = [relay.vm_id, relay.incarnation, relay.sequence, relay.zone, relay.ip]
         state = [relay.address, relay.configuration, relay.endpoints, relay.rollouts]
-        flags = [relay.cut_off, relay.follows, relay.leaving]
+        flags = [relay.store_unreachable, relay.follows, relay.leaving]
         claim = digest.claim
         values = [
             identity,
@@ -146,7 +149,7 @@
             digest.relays,
             digest.usage,
             digest.told_until,
-            encode_word(relay.quarantine),
+            encode_quarantine_update(relay.quarantine),
             encode_limits(relay.limits),
             relay.leaving_endpoints,
             [relay.position, relay.ages],
@@ -199,8 +202,8 @@
         cut_off=bool(cut_off),
         follows=bool(follows),
         leaving=bool(leaving),
-        rollouts=rollout_word(rollouts),
-        quarantine=decode_word(quarantine),
+        rollouts=decode_rollouts(rollouts),
+        quarantine=decode_quarantine_update(quarantine),
         # A relay of an earlier version tells none.
         limits=decode_limits(*values[17:18] or ((),)),
         leaving_endpoints=decode_starts(*values[18:19] or ((),)),
--- a/flamingofront/process/forwarding/document_copies.py
+++ b/flamingofront/process/forwarding/document_copies.py
@@ -19,7 +19,7 @@
 # What one process sends of copies, in bytes a second: two thirds of the smallest link of a VM.
 PACE_BYTES = 400_000.0
 # Whoever asks while copies for a longer time are on their way is to ask another process.
-LONGEST_BUSY_SECONDS = 0.15
+MAX_BACKLOG_SECONDS = 0.15
 # Copies up to this size are not counted.
 FREE_BYTES = 4096
 # Longest document that is unpacked: many times one of 10,000 routes.
@@ -129,7 +129,7 @@
         if size <= FREE_BYTES:
             return True
         now = self._now()
-        if self._busy_until - now > LONGEST_BUSY_SECONDS:
+        if self._busy_until - now > MAX_BACKLOG_SECONDS:
             return False
         self._busy_until = max(self._busy_until, now) + size / PACE_BYTES
         return True
--- a/flamingofront/process/forwarding/duty.py
+++ b/flamingofront/process/forwarding/duty.py
@@ -20,14 +20,14 @@
 from flamingofront.messages import Sleep
 from flamingofront.process.forwarding.reports import PeerReport
 from flamingofront.process.logs import Log
-from flamingofront.process.store import RowCondition, RowWrite, StoredRow, TableStore, era_of
+from flamingofront.process.store import RowCondition, RowWrite, StoredRow, TableStore, get_era
 from flamingofront.process.tasks import Task
 
-__all__ = ["DutyLease", "DutyState", "HeldLease"]
+__all__ = ["LeaderLease", "LeaseState", "HeldLease"]
 
-DUTY_TABLE = "duties"
-DUTY_PART = "duties"
-DUTY_KEY = "all"
+LEADER_TABLE = "duties"
+LEADER_PARTITION = "duties"
+LEADER_KEY = "all"
 RENEWALS_PER_LEASE = 3
 # A call of the last holder may still be on its way for as long as it waits for an answer (1 s).
 TAKEOVER_MARGIN_SECONDS = 1.2
@@ -46,7 +46,7 @@
 
 
 @dataclass(frozen=True)
-class DutyState:
+class LeaseState:
     """The row: who holds the duties and what was reported.
 
     Parameters
@@ -83,7 +83,7 @@
     valid_until: float
 
 
-class DutyLease:
+class LeaderLease:
     """Takes, keeps and gives up the duty lease.
 
     Parameters
@@ -93,7 +93,7 @@
 
     Attributes
     ----------
-    state : DutyState
+    state : LeaseState
         The row as it was seen last.
     released : int
         Fencing number of the lease that this process has given up; 0 if it has not.
@@ -109,7 +109,7 @@
         rng: random.Random,
         log: Log,
     ):
-        self.state = DutyState()
+        self.state = LeaseState()
         self._store = store
         self._vm_id = vm_id
         self._incarnation = incarnation
@@ -184,7 +184,7 @@
             if self._now() < self._lease.valid_until or not (yield from self._lost_in_a_copy()):
                 yield from self.renew()
             return
-        if self._version is None or self._has_waited():
+        if self._version is None or self._has_expired():
             yield from self._look()
 
     def _lost_in_a_copy(self) -> Task:
@@ -197,17 +197,17 @@
         successor.
         """
         era = self._era
-        found = yield from self._store.read(DUTY_TABLE, DUTY_PART)
-        if era_of(found.version) == era:
+        found = yield from self._store.read(LEADER_TABLE, LEADER_PARTITION)
+        if get_era(found.version) == era:
             return False
         self._log.warning("duty lease lost", fencing=self._lease.fencing, era=era)
         self._lease = None
-        row = next((each for each in found.rows if each.key == DUTY_KEY), None)
+        row = next((each for each in found.rows if each.key == LEADER_KEY), None)
         self._saw(row, found.version)
         self._evidence_at = self._now()
         return True
 
-    def _has_waited(self) -> bool:
+    def _has_expired(self) -> bool:
         """Tell whether the last sign of the holder is older than its lease can be."""
         waited = self._now() - self._evidence_at
         return waited >= self._duration + TAKEOVER_MARGIN_SECONDS
@@ -215,13 +215,13 @@
     def _look(self) -> Task:
         """Read the row and take the lease if it is free."""
         known, self._version = self._version, None
-        found = yield from self._store.read(DUTY_TABLE, DUTY_PART)
-        row = next((each for each in found.rows if each.key == DUTY_KEY), None)
+        found = yield from self._store.read(LEADER_TABLE, LEADER_PARTITION)
+        row = next((each for each in found.rows if each.key == LEADER_KEY), None)
         self._saw(row, found.version)
         if known is None or self._version not in (known, self._announced):
             self._evidence_at = self._now()
         # Word of a new holder may have come while the row was read, so the wait is looked at again.
-        if not self.state.holder or self._is_own_row() or self._has_waited():
+        if not self.state.holder or self._is_held_by_vm() or self._has_expired():
             yield from self._take()
 
     def _saw(self, row: StoredRow | None, version: int) -> None:
@@ -232,7 +232,7 @@
         A store that came back from a copy lacks what was written since. Reports that this process
         knows to have been there may have been sent, and stand.
         """
-        self._era = max(self._era, era_of(version))
+        self._era = max(self._era, get_era(version))
         self._version = row.version if row is not None else 0
         state = _decode(row)
         self._highest_fencing = max(self._highest_fencing, state.fencing)
@@ -243,7 +243,7 @@
         self._known_reports = {**state.reports, **self._known_reports}
         self.state = replace(state, reports=dict(self._known_reports))
 
-    def _is_own_row(self) -> bool:
+    def _is_held_by_vm(self) -> bool:
         """Tell whether an earlier process of this VM held the lease: it is gone for sure."""
         return self.state.holder == self._vm_id
 
@@ -317,19 +317,19 @@
             reports = None
         return False
 
-    def _write(self, state: DutyState) -> Task:
+    def _write(self, state: LeaseState) -> Task:
         """Write the row if it is as it was seen last; if not, take over what it holds now."""
         state = replace(state, era=self._era)
-        condition = RowCondition(DUTY_TABLE, DUTY_KEY, self._version or 0)
-        write = RowWrite(DUTY_TABLE, DUTY_KEY, _encode(state))
-        outcome = yield from self._store.transact(DUTY_PART, (condition,), (write,))
+        condition = RowCondition(LEADER_TABLE, LEADER_KEY, self._version or 0)
+        write = RowWrite(LEADER_TABLE, LEADER_KEY, _encode(state))
+        outcome = yield from self._store.transact(LEADER_PARTITION, (condition,), (write,))
         if outcome.ok:
-            self._era = max(self._era, era_of(outcome.version))
+            self._era = max(self._era, get_era(outcome.version))
             self._version, self.state = outcome.version, state
             self._highest_fencing = max(self._highest_fencing, state.fencing)
             self._known_reports = dict(state.reports)
             return True
-        row = next((each for each in outcome.rows if each.key == DUTY_KEY), None)
+        row = next((each for each in outcome.rows if each.key == LEADER_KEY), None)
         self._saw(row, outcome.version)
         return False
 
@@ -337,7 +337,7 @@
         """Tell whether the row is what a copy had before this process took its lease."""
         return self.state.era < self._era and self.state.fencing < fencing
 
-    def _is_mine(self, found: DutyState, fencing: int) -> bool:
+    def _is_mine(self, found: LeaseState, fencing: int) -> bool:
         own = (self._vm_id, self._incarnation, fencing)
         return (found.holder, found.incarnation, found.fencing) == own
 
@@ -363,16 +363,16 @@
             self._log.info("duty lease runs out by itself", detail=str(exc))
 
 
-def _encode(state: DutyState) -> bytes:
+def _encode(state: LeaseState) -> bytes:
     return orjson.dumps(state)
 
 
-def _decode(row: StoredRow | None) -> DutyState:
+def _decode(row: StoredRow | None) -> LeaseState:
     """Return the state in a row; a malformed one counts as held by nobody known."""
     if row is None or row.value is None:
-        return DutyState()
+        return LeaseState()
     try:
         values = orjson.loads(row.value)
-        return DutyState(**{**values, "past": tuple(values.get("past", ()))})
+        return LeaseState(**{**values, "past": tuple(values.get("past", ()))})
     except (TypeError, orjson.JSONDecodeError) as exc:
         raise PlatformError(f"malformed duty row: {exc}") from exc
--- a/flamingofront/process/forwarding/endpoints.py
+++ b/flamingofront/process/forwarding/endpoints.py
@@ -43,7 +43,7 @@
         Shared with the directory of endpoints.
     on_leaving : callable
         Gets the row of each endpoint that begins to leave.
-    on_gone : callable
+    on_removed : callable
         Gets the last row of each endpoint whose row vanished or cannot be read.
     on_restarted : callable
         Gets the first row that is seen of a later start of an endpoint, and the last one before it.
@@ -56,7 +56,7 @@
         metrics: Metrics,
         log: Log,
         on_leaving: Callable[[EndpointRow], None] = lambda row: None,
-        on_gone: Callable[[EndpointRow], None] = lambda row: None,
+        on_removed: Callable[[EndpointRow], None] = lambda row: None,
         on_restarted: Callable[[EndpointRow, EndpointRow], None] = lambda row, before: None,
     ):
         self._facts = facts
@@ -64,7 +64,7 @@
         self._metrics = metrics
         self._log = log
         self._on_leaving = on_leaving
-        self._on_gone = on_gone
+        self._on_gone = on_removed
         self._on_restarted = on_restarted
         self._rows: dict[str, EndpointRow] = {}
         # The last row of each endpoint that has gone, and those that went for an unreadable row.
@@ -73,8 +73,8 @@
         self._missing: set[str] = set()
         # When endpoints that leave were learned of, by their answers or rows, while it is told.
         self._left_at: dict[str, float] = {}
-        self._away = False
-        self._first_answer = False
+        self._store_unreachable = False
+        self._in_first_answer = False
         self._grace_until = 0.0
 
     def rows(self) -> tuple[EndpointRow, ...]:
@@ -112,11 +112,11 @@
             endpoint=endpoint_id,
             source=source,
             row_sequence=row.sequence,
-            store_away=self._away,
+            store_away=self._store_unreachable,
             request=request,
         )
         self._left_at[endpoint_id] = self._timers.now()
-        self.put(replace(row, ready=False), by_peer=True)
+        self.merge_row(replace(row, ready=False), from_peer=True)
 
     def merge_leaving(self, told: Iterable[tuple[str, int]]) -> None:
         """Take word of a peer of endpoints that leave, with their starts."""
@@ -134,20 +134,20 @@
 
     def store_lost(self) -> None:
         """Note that the store cannot be reached: rows may lapse without their endpoints."""
-        self._away = True
+        self._store_unreachable = True
 
     def store_back(self) -> None:
         """Note that the store answers again."""
-        if self._away:
-            self._away = False
-            self._first_answer = True
+        if self._store_unreachable:
+            self._store_unreachable = False
+            self._in_first_answer = True
             self._grace_until = self._timers.now() + LAPSE_GRACE_SECONDS
             self._timers.once(0.0, self._first_answer_taken)
             self._timers.once(LAPSE_GRACE_SECONDS, self._end_grace)
 
     def _first_answer_taken(self) -> None:
         """Go on after the answer that showed the store's return: what it told is taken in now."""
-        self._first_answer = False
+        self._in_first_answer = False
 
     def replace_all(self, rows: Iterable[EndpointRow], confirmed: bool = False) -> None:
         """Take the whole table in.
@@ -160,19 +160,19 @@
         """
         found = {each.endpoint_id: each for each in rows}
         for row in found.values():
-            self.put(row, by_peer=confirmed)
+            self.merge_row(row, from_peer=confirmed)
         for endpoint_id in [each for each in self._rows if each not in found]:
             if confirmed:
                 self._drop(endpoint_id, Source.PEER)
             else:
                 self.remove(endpoint_id)
 
-    def put(self, row: EndpointRow, by_peer: bool = False) -> None:
+    def put(self, row: EndpointRow, from_peer: bool = False) -> None:
         """Take one row in.
 
         Parameters
         ----------
-        by_peer : bool
+        from_peer : bool
             True if a peer tells it. A row whose grace runs here may still have grace there too:
             only a newer one shows that the endpoint is back.
         """
@@ -180,14 +180,14 @@
         before = self._rows.get(endpoint_id) or self._last.get(endpoint_id)
         if before is not None and self._is_old(row, before):
             return
-        newer = endpoint_id not in self._rows or row.position > before.position
-        if newer or not by_peer:
+        newer = endpoint_id not in self._rows or row.order_key > before.order_key
+        if newer or not from_peer:
             self._missing.discard(endpoint_id)
         self._rows[endpoint_id] = row
         self._last.pop(endpoint_id, None)
         self._unreadable.discard(endpoint_id)
         restarted = before is not None and row.born > before.born
-        source = Source.PEER if by_peer else Source.STORE
+        source = Source.PEER if from_peer else Source.STORE
         self._merge_row(row, restarted, newer, source)
         if restarted:
             self._log.info("endpoint started again", endpoint=endpoint_id, born=row.born)
@@ -202,12 +202,12 @@
         the store may have come back from a copy in which it was ready. A later row that says the
         same may tell when it leaves.
         """
-        is_known = row.endpoint_id in self._rows
+        is_present = row.endpoint_id in self._rows
         if row.born == before.born and not before.ready and row.ready:
             return True
-        if is_known or row.endpoint_id in self._unreadable:
-            return row.position < before.position
-        return row.position <= before.position
+        if is_present or row.endpoint_id in self._unreadable:
+            return row.order_key < before.order_key
+        return row.order_key <= before.order_key
 
     def _merge_row(self, row: EndpointRow, restarted: bool, newer: bool, source: Source) -> None:
         """Merge the fact of a row; a newer one revives an endpoint that was taken for gone.
@@ -251,7 +251,7 @@
                 endpoint=row.endpoint_id,
                 state=state.value,
                 source=source,
-                store_away=self._away,
+                store_away=self._store_unreachable,
                 row=str(row),
             )
             if state is VmState.LEAVING:
@@ -263,11 +263,11 @@
         """Take note that a row vanished."""
         if endpoint_id not in self._rows:
             return
-        if not self._away and self._timers.now() >= self._grace_until:
+        if not self._store_unreachable and self._timers.now() >= self._grace_until:
             self._drop(endpoint_id)
             return
         self._missing.add(endpoint_id)
-        if not self._away and not self._first_answer:
+        if not self._store_unreachable and not self._in_first_answer:
             self._timers.once(VANISHED_GRACE_SECONDS, lambda: self._end_grace_of(endpoint_id))
 
     def confirm_gone(self, endpoint_id: str) -> None:
@@ -279,7 +279,7 @@
             self._end_grace_of(endpoint_id)
 
     def _end_grace_of(self, endpoint_id: str) -> None:
-        if not self._away and endpoint_id in self._missing:
+        if not self._store_unreachable and endpoint_id in self._missing:
             self._drop(endpoint_id)
 
     def _drop(self, endpoint_id: str, source: Source = Source.STORE) -> None:
--- a/flamingofront/process/forwarding/exchange.py
+++ b/flamingofront/process/forwarding/exchange.py
@@ -3,23 +3,23 @@
 import random
 from collections.abc import Callable
 
-from flamingofront.messages import OutboundCall, Sleep, WholeResponse
+from flamingofront.messages import BufferedResponse, OutboundCall, Sleep
 from flamingofront.process.forwarding.document_copies import apply_copy
-from flamingofront.process.forwarding.knowledge import Knowledge
+from flamingofront.process.forwarding.knowledge import StoreView
 from flamingofront.process.forwarding.news import EndpointNews, decode_news
 from flamingofront.process.forwarding.provenance import Provenance, Source
 from flamingofront.process.forwarding.reports import PeerReport
-from flamingofront.process.forwarding.version_word import VersionWord
+from flamingofront.process.forwarding.version_word import VersionTracker
 from flamingofront.process.logs import Log
 from flamingofront.process.tasks import Task, TaskRunner
 
-__all__ = ["CONFIGURATION_PATH", "ENDPOINTS_PATH", "KnowledgeExchange"]
+__all__ = ["CONFIGURATION_PATH", "ENDPOINTS_PATH", "PeerSync"]
 
 ASK_TIMEOUT = 1.0
 # What a peer knows is asked for when the store has not brought it by itself meanwhile, in seconds.
 # A silent store is noticed after a waiting call of some seconds only, and others may rest on this
 # process all the while. The second is longer than the pause after which a relay asks it again.
-CONFIGURATION_LEAD_SECONDS = 0.25
+CONFIGURATION_GRACE_SECONDS = 0.25
 ENDPOINTS_LEAD_SECONDS = 1.1
 # A process that others follow the store for asks it by itself if no peer has told a configuration
 # that is known of for so long, in seconds.
@@ -37,12 +37,12 @@
 # Pause between two such looks.
 LOOK_SECONDS = 1.0
 # Pause between two checks of whether one is due.
-WATCH_SECONDS = 0.2
+STALENESS_CHECK_SECONDS = 0.2
 CONFIGURATION_PATH = "/forwarding/configuration"
 ENDPOINTS_PATH = "/forwarding/endpoints"
 
 
-class KnowledgeExchange:
+class PeerSync:
     """Compares what peers report with what is known here.
 
     A process that follows the store asks its peers only while the store does not answer it, or not
@@ -64,7 +64,7 @@
 
     def __init__(
         self,
-        knowledge: Knowledge,
+        knowledge: StoreView,
         tasks: TaskRunner,
         now: Callable[[], float],
         rng: random.Random,
@@ -72,38 +72,38 @@
     ):
         self.distant: Callable[[], list[str]] = lambda: []
         self.near: Callable[[], list[str]] = lambda: []
-        self._knowledge = knowledge
+        self._store_view = knowledge
         self._tasks = tasks
         self._now = now
         self._rng = rng
         self._log = log
         self._asking = self._asking_missing = self._is_asking_others = False
         self._asked_for_configuration: set[str] = set()
-        self._endpoints = VersionWord()
+        self._endpoints = VersionTracker()
         self._reader_heard_at = now()
         self._looked_at = now()
 
     def compare(self, report: PeerReport) -> None:
         """Ask a peer for what it knows better, if the store does not bring it in time."""
         now = self._now()
-        self._knowledge.hear_of_configuration(report.configuration, report.vm_id)
-        self._knowledge.confirm_by_peer(report)
-        waited = self._knowledge.configuration_missing_for() or 0.0
-        reached = report.follows and not report.cut_off
+        self._store_view.hear_of_configuration(report.configuration, report.vm_id)
+        self._store_view.confirm_by_peer(report)
+        waited = self._store_view.configuration_missing_for() or 0.0
+        reached = report.watches_store and not report.store_unreachable
         if reached:
             self._reader_heard_at = now
-        mark = self._knowledge.endpoints_mark()
+        mark = self._store_view.endpoints_mark()
         self._endpoints.told(report.endpoints if reached else 0, report.vm_id, mark, now)
         lagged = self._endpoints.missing_for(mark, now) or 0.0
         newer_endpoints = reached and report.endpoints > mark
-        cut_off, rests = self._knowledge.cut_off, self._knowledge.rests
-        if report.configuration > self._knowledge.configuration.version:
-            if cut_off or rests or waited >= CONFIGURATION_LEAD_SECONDS:
+        cut_off, rests = self._store_view.is_store_unreachable, self._store_view.is_standby
+        if report.configuration > self._store_view.configuration.version:
+            if cut_off or rests or waited >= CONFIGURATION_GRACE_SECONDS:
                 self._ask_configuration(report.vm_id, report.address)
                 self._ask_others_too()
             if rests and waited >= STORE_LEAD_SECONDS:
-                self._knowledge.read_configuration_now()
-        if reached and report.endpoints >= mark and self._knowledge.endpoints.missing():
+                self._store_view.read_configuration_now()
+        if reached and report.endpoints >= mark and self._store_view.endpoints.missing_ids():
             self._ask_missing(report)
         if newer_endpoints and (cut_off or rests or lagged >= ENDPOINTS_LEAD_SECONDS):
             self._ask_endpoints(report.vm_id, report.address)
@@ -116,15 +116,15 @@
         To be called several times a second.
         """
         now = self._now()
-        if not self._knowledge.rests or now - self._looked_at < LOOK_SECONDS:
+        if not self._store_view.is_standby or now - self._looked_at < LOOK_SECONDS:
             return
         quiet = now - self._reader_heard_at
-        ages = (self._knowledge.configuration_age(), self._knowledge.endpoints_age())
+        ages = (self._store_view.configuration_age(), self._store_view.endpoints_age())
         if quiet < QUIET_SECONDS and all(age is None or age < OLD_SECONDS for age in ages):
             return
         self._looked_at = now
         self._log.info("store is asked without word of it", quiet=quiet, ages=ages)
-        self._knowledge.look_now()
+        self._store_view.poll_store()
         for address in self.distant()[:MAX_ASKED]:
             self._ask_configuration(address, address)
             self._ask_endpoints(address, address)
@@ -139,10 +139,10 @@
         self._is_asking_others = False
 
     def _ask_others(self) -> Task:
-        known = self._knowledge.configuration.version
-        while self._knowledge.configuration.version == known:
+        known = self._store_view.configuration.version
+        while self._store_view.configuration.version == known:
             yield Sleep(RETRY_SECONDS * (0.5 + self._rng.random()))
-            if self._knowledge.configuration_missing_for() is None:
+            if self._store_view.configuration_missing_for() is None:
                 return
             for address in self.near()[:1]:
                 self._ask_configuration(address, address)
@@ -157,7 +157,7 @@
         self._tasks.start(task, lambda _: asked.discard(peer))
 
     def _fetch_configuration(self, peer: str, address: str) -> Task:
-        base, version = self._knowledge.configuration_data, self._knowledge.configuration.version
+        base, version = self._store_view.configuration_data, self._store_view.configuration.version
         asked_at = self._now()
         data = yield from self._get(peer, address, f"{CONFIGURATION_PATH}?after={version}")
         if not data:
@@ -168,7 +168,7 @@
             self._log.error("peer's configuration refused", peer=peer, detail=str(exc))
             return
         origin = Provenance(Source.PEER, peer, self._now() - asked_at, len(data))
-        self._knowledge.take_configuration(document, origin)
+        self._store_view.take_configuration(document, origin)
 
     def _ask_endpoints(self, peer: str, address: str) -> None:
         """Ask a peer for the endpoints, unless one is being asked."""
@@ -199,10 +199,10 @@
         data = yield from self._get(report.vm_id, report.address, path)
         news = self._decoded_news(report.vm_id, data) if data else None
         if news is not None and news.whole:
-            self._knowledge.confirm_missing(news)
+            self._store_view.confirm_missing(news)
 
     def _fetch_endpoints(self, peer: str, address: str) -> Task:
-        path = f"{ENDPOINTS_PATH}?after={self._knowledge.endpoints_mark()}"
+        path = f"{ENDPOINTS_PATH}?after={self._store_view.endpoints_mark()}"
         data = yield from self._get(peer, address, path)
         if data:
             self._take_endpoints(peer, data)
@@ -211,7 +211,7 @@
         reply = yield OutboundCall(
             address, "GET", path, timeout=ASK_TIMEOUT, stall_timeout=ASK_TIMEOUT
         )
-        if isinstance(reply, WholeResponse) and reply.status == 200:
+        if isinstance(reply, BufferedResponse) and reply.status == 200:
             return reply.body
         self._log.info("peer did not answer", peer=peer, path=path, reply=str(reply)[:80])
         return b""
@@ -235,5 +235,5 @@
             rows=len(news.rows),
             gone=len(news.gone),
         )
-        if news.mark > self._knowledge.endpoints_mark():
-            self._knowledge.take_endpoints(news)
+        if news.mark > self._store_view.endpoints_mark():
+            self._store_view.take_endpoints(news)
--- a/flamingofront/process/forwarding/follower.py
+++ b/flamingofront/process/forwarding/follower.py
@@ -11,7 +11,7 @@
 from flamingofront.process.store import HistoryLostError, StoredRow, TableStore
 from flamingofront.process.tasks import Task
 
-__all__ = ["TableFollower", "TableListener"]
+__all__ = ["TableWatcher", "TableListener"]
 
 # A silent store swallows a waiting call. The wait bounds how long that goes unnoticed: with it, a
 # process that is in touch again learns of a change within the two seconds that are allowed.
@@ -45,7 +45,7 @@
     regained: Callable[[], None] = lambda: None
 
 
-class TableFollower:
+class TableWatcher:
     """Keeps up with one table.
 
     Parameters
@@ -79,8 +79,8 @@
         self._wait = wait
         self._may_rest = may_rest
         self._pause = pause
-        self._look_once = False
-        self._told_by_peer = False
+        self._poll_requested = False
+        self._needs_reload = False
         self.rests = False
         self._store = store
         self.table = table
@@ -111,7 +111,7 @@
 
     def look_once(self) -> None:
         """Ask for changes soon, also while others follow the table for this process."""
-        self._look_once = True
+        self._poll_requested = True
 
     def read_anew(self) -> None:
         """Read the whole table before its changes are followed again.
@@ -121,7 +121,7 @@
         A peer has told of some changes, and not of rows that it holds only by the grace after an
         outage. Changes since this process's own version would undo what it has learned.
         """
-        self._told_by_peer = True
+        self._needs_reload = True
 
     def run(self) -> Task:
         """Follow the table; never returns."""
@@ -130,11 +130,11 @@
             if rests != self.rests:
                 self.rests = rests
                 self._log.info("store is followed by others" if rests else "store is followed here")
-            if rests and not self._look_once:
+            if rests and not self._poll_requested:
                 yield Sleep(REST_SECONDS, relaxed=True)
                 continue
-            if self._told_by_peer:
-                self._told_by_peer, self._version = False, None
+            if self._needs_reload:
+                self._needs_reload, self._version = False, None
             try:
                 yield from self.step()
             except HistoryLostError as exc:
@@ -142,7 +142,7 @@
                 self._version = None
             except PlatformError as exc:
                 self._note_failure(exc)
-                yield Sleep(BACKOFF.delay(self._failures - 1, self._rng))
+                yield Sleep(BACKOFF.compute_delay(self._failures - 1, self._rng))
 
     def step(self) -> Task:
         """Read the table, or wait for its next changes."""
@@ -155,15 +155,15 @@
             self._listener.replaced(rows, version)
             return
         # While the store is away a waiting call would hide its return: it is asked without a wait.
-        wait = 0.0 if self._failures or self._look_once else self._wait
-        self._look_once = False
+        wait = 0.0 if self._failures or self._poll_requested else self._wait
+        self._poll_requested = False
         after = max(self._version, self._known())
-        changes = yield from self._store.changes(self.table, after, wait)
+        changes = yield from self._store.read_changes(self.table, after, wait)
         self._note_answer()
         # A large answer may have been on its way for a while; any other is as of now.
         is_large = sum(len(each.value or b"") for each in changes.rows) > QUICK_BYTES
         self.confirmed_at = asked_at if is_large else self.heard_at
-        self._look_once |= is_large
+        self._poll_requested |= is_large
         self._version = max(after, changes.version)
         if changes.rows:
             self._listener.changed(changes.rows)
--- a/flamingofront/process/forwarding/held_requests.py
+++ b/flamingofront/process/forwarding/held_requests.py
@@ -7,9 +7,9 @@
 
 from collections.abc import Callable, Iterable
 
-from flamingofront.process.forwarding.follower import TableFollower, TableListener
+from flamingofront.process.forwarding.follower import TableListener, TableWatcher
 from flamingofront.process.forwarding.peers import Peers
-from flamingofront.process.holds import HOLD_TABLE, HoldKeeper, TableHolds
+from flamingofront.process.holds import QUARANTINE_TABLE, QuarantineStore, TableQuarantine
 from flamingofront.process.intent_rows import IntentRows, TableIntents
 from flamingofront.process.intents import IntentRecorder
 from flamingofront.process.services import Services
@@ -17,7 +17,7 @@
 from flamingofront.process.tasks import Task
 from flamingofront.request.guard import RequestGuard
 
-__all__ = ["HeldRequests"]
+__all__ = ["QuarantineSync"]
 
 # Processes that began so close to the first start of a deployment began with it.
 FIRST_START_SECONDS = 2.0
@@ -30,7 +30,7 @@
 FEED_SEEN_SECONDS = 0.5
 
 
-class HeldRequests:
+class QuarantineSync:
     """Joins the guard of a process with its peers and the store.
 
     Parameters
@@ -44,7 +44,7 @@
 
     Attributes
     ----------
-    follower : TableFollower
+    follower : TableWatcher
         Follows the table of holds.
     """
 
@@ -58,18 +58,20 @@
         recording: Callable[[IntentRows, Services], IntentRecorder],
         first_start: float | None = None,
     ):
-        guard.wall = peers.true_time
-        guard.on_update = peers.tell_now
-        guard.entry_start_times = lambda: _restarts(peers.starts(), first_start)
-        self._keeper = HoldKeeper(guard, TableHolds(store), services, FEED_SEEN_SECONDS, may_rest)
-        store.on_return(self._keeper.write_again)
+        guard.wall = peers.cluster_time
+        guard.on_update = peers.broadcast_report
+        guard.entry_start_times = lambda: _restarts(peers.start_times(), first_start)
+        self._keeper = QuarantineStore(
+            guard, TableQuarantine(store), services, FEED_SEEN_SECONDS, may_rest
+        )
+        store.add_restore_listener(self._keeper.rewrite_entries)
         self._recorder = recording(TableIntents(store), services)
-        store.on_return(self._recorder.write_again)
-        self.follower = TableFollower(
+        store.add_restore_listener(self._recorder.rewrite_intents)
+        self.follower = TableWatcher(
             store,
-            HOLD_TABLE,
+            QUARANTINE_TABLE,
             TableListener(
-                lambda rows, version: self._keeper.take_rows(rows), self._keeper.take_rows
+                lambda rows, version: self._keeper.merge_rows(rows), self._keeper.merge_rows
             ),
             services.timers.now,
             services.rng,
--- a/flamingofront/process/forwarding/inquiries.py
+++ b/flamingofront/process/forwarding/inquiries.py
@@ -15,7 +15,7 @@
 from flamingofront.process.metrics import Metrics
 from flamingofront.process.timers import Timer, TimerService
 
-__all__ = ["Decider", "DecisionRequest", "Inquirer", "Inquiries", "RepliesSent"]
+__all__ = ["ArbiterProtocol", "DecisionRequest", "ArbiterContext", "ArbiterClient", "ReplyCache"]
 
 # Time for a reply: many times the way there and back between two zones, and a small part of the
 # tightest latency objective.
@@ -29,7 +29,7 @@
 # the busiest process.
 MAX_REMEMBERED = 4096
 # Questions that a process may ask in each millisecond of its life, before the next one's numbers.
-NUMBERS_A_MILLISECOND = 1 << 20
+NUMBERS_PER_MILLISECOND = 1 << 20
 
 
 class DecisionRequest(ABC):
@@ -44,7 +44,7 @@
 RequestT = TypeVar("RequestT", bound=DecisionRequest)
 
 
-class Decider(ABC, Generic[RequestT]):
+class ArbiterProtocol(ABC, Generic[RequestT]):
     """Decides on requests of one kind, and words the question to other processes."""
 
     @abstractmethod
@@ -71,12 +71,12 @@
 
 
 @dataclass(frozen=True)
-class Inquirer:
+class ArbiterContext:
     """Who asks.
 
     Parameters
     ----------
-    own_ip : str
+    local_ip : str
         IP number of this process.
     incarnation : int
         Start of this process, in milliseconds.
@@ -84,12 +84,12 @@
         Returns, for a key, the IP numbers of the processes that may decide, in their order.
     """
 
-    own_ip: str
+    local_ip: str
     incarnation: int
     ranked: Callable[[str], list[str]]
 
 
-class Inquiries(Generic[RequestT]):
+class ArbiterClient(Generic[RequestT]):
     """Questions of this process that wait for a reply.
 
     Parameters
@@ -104,8 +104,8 @@
     def __init__(
         self,
         name: str,
-        decider: Decider[RequestT],
-        inquirer: Inquirer,
+        decider: ArbiterProtocol[RequestT],
+        inquirer: ArbiterContext,
         send: Callable[[bytes, str], None],
         timers: TimerService,
         metrics: Metrics,
@@ -119,7 +119,7 @@
         self._metrics = metrics
         self._log = log
         # A process that starts again goes on with other numbers: replies are remembered by them.
-        self._numbers = itertools.count(inquirer.incarnation * NUMBERS_A_MILLISECOND + 1)
+        self._numbers = itertools.count(inquirer.incarnation * NUMBERS_PER_MILLISECOND + 1)
         self._pending: dict[int, _Inquiry[RequestT]] = {}
         self._avoided: dict[str, float] = {}
         # Matters that were decided, with the IP number of who decided; empty for this process.
@@ -148,7 +148,7 @@
             self._decider.decide_alone(inquiry.request)
             return
         inquiry.asked = inquiry.left.pop(0)
-        if inquiry.asked == self._inquirer.own_ip:
+        if inquiry.asked == self._inquirer.local_ip:
             self._end(inquiry, "")
             if not self._decider.decide_here(inquiry.request):
                 self._ask_next(inquiry)
@@ -211,7 +211,7 @@
 ReplyT = TypeVar("ReplyT")
 
 
-class RepliesSent(Generic[ReplyT]):
+class ReplyCache(Generic[ReplyT]):
     """Replies that were made, so that a question which comes twice has the same one."""
 
     def __init__(self):
--- a/flamingofront/process/forwarding/knowledge.py
+++ b/flamingofront/process/forwarding/knowledge.py
@@ -4,24 +4,24 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from flamingofront.decisions.rollout import RolloutOrder
+from flamingofront.decisions.rollout import RolloutSpec
 from flamingofront.errors import ConfigurationError, PlatformError
 from flamingofront.process.forwarding.document_copies import CopySource
 from flamingofront.process.forwarding.endpoint_row import EndpointRow
 from flamingofront.process.forwarding.endpoints import EndpointView
-from flamingofront.process.forwarding.follower import TableFollower, TableListener
+from flamingofront.process.forwarding.follower import TableListener, TableWatcher
 from flamingofront.process.forwarding.news import EndpointHistory, EndpointNews, mark_of
 from flamingofront.process.forwarding.provenance import FROM_STORE, Provenance, Source
 from flamingofront.process.forwarding.reports import PeerReport
 from flamingofront.process.forwarding.rollouts import RolloutRows
-from flamingofront.process.forwarding.version_word import VersionWord
+from flamingofront.process.forwarding.version_word import VersionTracker
 from flamingofront.process.logs import Log
 from flamingofront.process.metrics import Metrics
 from flamingofront.process.store import StoredRow, TableStore
 from flamingofront.process.tasks import Task
 from flamingofront.version.forwarding import ForwardingConfiguration
 
-__all__ = ["Knowledge", "SharedTables"]
+__all__ = ["StoreView", "SharedTables"]
 
 # Rows that cannot be read of which a line is written, until they can be read again.
 MAX_REFUSED_TOLD = 256
@@ -49,7 +49,7 @@
     rollouts: RolloutRows
 
 
-class Knowledge:
+class StoreView:
     """Configuration in force and endpoints, each with the version up to which it is known.
 
     A version never goes back within a process. A malformed configuration or row is logged, counted
@@ -84,7 +84,7 @@
         pause: Callable[[], float] = lambda: 0.0,
     ):
         self.on_change: Callable[[], None] = lambda: None
-        self.on_rollout: Callable[[RolloutOrder], None] = lambda order: None
+        self.on_rollout: Callable[[RolloutSpec], None] = lambda order: None
         self._history = EndpointHistory()
         self._refused: set[str] = set()
         self.configuration = ForwardingConfiguration()
@@ -93,7 +93,7 @@
         self.endpoints = endpoints
         self._tables = tables
         self._on_configuration = on_configuration
-        self._configuration_word = VersionWord()
+        self._configuration_word = VersionTracker()
         self._now = now
         # What peers told: when each table was known, and up to which change the configuration was.
         self._told_at: dict[str, float] = {}
@@ -110,9 +110,9 @@
             endpoints.store_lost,
             endpoints.store_back,
         )
-        self.followers = (
+        self.watchers = (
             # Without a pause: a change is rare, and may take a second of a small link.
-            TableFollower(
+            TableWatcher(
                 store,
                 tables.configuration,
                 configuration_listener,
@@ -122,7 +122,7 @@
                 may_rest,
                 known=lambda: self._told_position,
             ),
-            TableFollower(
+            TableWatcher(
                 store, tables.endpoints, endpoint_listener, now, rng, log, may_rest, pause
             ),
         )
@@ -130,26 +130,26 @@
     @property
     def cut_off(self) -> bool:
         """True while the store does not answer this process about the endpoints."""
-        return self.followers[1].is_cut_off
+        return self.watchers[1].is_cut_off
 
     @property
     def rests(self) -> bool:
         """True while other processes follow the store for this one."""
-        return self.followers[1].rests
+        return self.watchers[1].rests
 
     def read_configuration_now(self) -> None:
         """Ask the store for the configuration, also while this process does not follow it."""
-        self.followers[0].look_once()
+        self.watchers[0].look_once()
 
-    def look_now(self) -> None:
+    def poll_store(self) -> None:
         """Ask the store for both tables, also while this process does not follow it."""
-        for each in self.followers:
+        for each in self.watchers:
             each.look_once()
 
     def read_rollouts(self) -> None:
         """Read the orders for roll-outs: what peers tell of the configuration is without them."""
-        self.followers[0].read_anew()
-        self.followers[0].look_once()
+        self.watchers[0].read_anew()
+        self.watchers[0].look_once()
 
     def look_at_configuration(self) -> Task:
         """Ask the store whether there is a newer configuration, and put it in force.
@@ -161,24 +161,24 @@
         """
         asked_at = self._now()
         after = self.configuration_position()
-        changes = yield from self._store.changes(self._tables.configuration, after, 0.0)
+        changes = yield from self._store.read_changes(self._tables.configuration, after, 0.0)
         self._configuration_rows(changes.rows)
         self._told_position = max(self._told_position, changes.version)
         self._confirm(self._tables.configuration, asked_at)
 
     def configuration_position(self) -> int:
         """Return the change of the store up to which the configuration is known."""
-        return max(self.followers[0].version, self._told_position)
+        return max(self.watchers[0].version, self._told_position)
 
     def configuration_age(self) -> float | None:
         """Return the seconds since the configuration was known to be the newest; None if never."""
-        return self._age(self.followers[0])
+        return self._age(self.watchers[0])
 
     def endpoints_age(self) -> float | None:
         """Return the seconds since the endpoints were known to be current; None if never."""
-        return self._age(self.followers[1])
+        return self._age(self.watchers[1])
 
-    def _age(self, follower: TableFollower) -> float | None:
+    def _age(self, follower: TableWatcher) -> float | None:
         known = (follower.confirmed_at, self._told_at.get(follower.table))
         times = [each for each in known if each is not None]
         return self._now() - max(times) if times else None
@@ -206,17 +206,17 @@
 
     def endpoints_mark(self) -> int:
         """Return the mark of the last change of the endpoints."""
-        return self._history.mark
+        return self._history.change_number
 
     def endpoint_news(self, after: int) -> EndpointNews:
         """Return what a peer is told that knows the endpoints up to a mark."""
         rows = self.endpoints.rows()
         changed = self._history.since(after)
         if changed is None:
-            return EndpointNews(self._history.mark, True, rows)
+            return EndpointNews(self._history.change_number, True, rows)
         present = tuple(each for each in rows if each.endpoint_id in changed)
         gone = changed.difference(each.endpoint_id for each in rows)
-        return EndpointNews(self._history.mark, False, present, tuple(sorted(gone)))
+        return EndpointNews(self._history.change_number, False, present, tuple(sorted(gone)))
 
     def _configuration_rows(self, rows: tuple[StoredRow, ...]) -> None:
         for row in rows:
@@ -321,7 +321,7 @@
             else:
                 for each in self._decoded((row,)):
                     self.endpoints.put(each)
-                self._history.changed(row.key, mark_of(row.version))
+                self._history.record_change(row.key, mark_of(row.version))
         self.on_change()
 
     def endpoint_gone(self, endpoint_id: str) -> None:
@@ -332,8 +332,8 @@
         That may be after the grace that follows an outage of the store, when later changes are
         known already.
         """
-        mark = mark_of(self.followers[1].version) + 1
-        self._history.changed(endpoint_id, max(mark, self._history.mark))
+        mark = mark_of(self.watchers[1].version) + 1
+        self._history.record_change(endpoint_id, max(mark, self._history.change_number))
         self.on_change()
 
     def confirm_missing(self, news: EndpointNews) -> None:
@@ -345,22 +345,22 @@
             All endpoints that the peer knows. One that has grace there, too, is among them.
         """
         present = {each.endpoint_id for each in news.rows}
-        for endpoint_id in self.endpoints.missing() - present:
+        for endpoint_id in self.endpoints.missing_ids() - present:
             self.endpoints.confirm_gone(endpoint_id)
 
     def take_endpoints(self, news: EndpointNews) -> None:
         """Take what a peer tells that the store answers."""
-        self.followers[1].read_anew()
+        self.watchers[1].read_anew()
         if news.whole:
             self._history.restart(news.mark)
             self.endpoints.replace_all(news.rows, confirmed=True)
         else:
             for row in news.rows:
-                self.endpoints.put(row, by_peer=True)
-                self._history.changed(row.endpoint_id, news.mark)
+                self.endpoints.put(row, from_peer=True)
+                self._history.record_change(row.endpoint_id, news.mark)
             for endpoint_id in news.gone:
                 self.endpoints.confirm_gone(endpoint_id)
-                self._history.changed(endpoint_id, news.mark)
+                self._history.record_change(endpoint_id, news.mark)
             self._history.told_up_to(news.mark)
         if news.rows or news.gone:
             self._tell_on()
--- a/flamingofront/process/forwarding/limit_arbiter.py
+++ b/flamingofront/process/forwarding/limit_arbiter.py
@@ -6,19 +6,19 @@
 
 from flamingofront.decisions.rate_limits import MIN_WAIT_SECONDS, RateClaim, RateLimiter
 from flamingofront.process.forwarding.inquiries import (
-    Decider,
+    ArbiterClient,
+    ArbiterContext,
+    ArbiterProtocol,
     DecisionRequest,
-    Inquirer,
-    Inquiries,
-    RepliesSent,
+    ReplyCache,
 )
 from flamingofront.process.forwarding.limit_messages import (
-    PermitQuestion,
     PermitReply,
-    decode_permit_question,
+    PermitRequest,
     decode_permit_reply,
-    encode_permit_question,
+    decode_permit_request,
     encode_permit_reply,
+    encode_permit_request,
 )
 from flamingofront.process.forwarding.quota_messages import Verdict
 from flamingofront.process.logs import Log
@@ -27,14 +27,14 @@
 from flamingofront.request.endpoint_limits import EndpointLimit, EndpointLimits
 from flamingofront.request.rate_gate import RateDecision, RateGate
 
-__all__ = ["LimitArbiters", "LimitView"]
+__all__ = ["LimitArbiters", "LimitContext"]
 
 # Part of a limit that the second process in rank decides on, for those that do not reach the first.
 # With it both together stay well within the one and a half times that an endpoint bears.
 SECOND_PART = 0.25
 # An arbiter that has replied within so long may have let through what it could: datagrams were
 # lost, and the own part comes on top of it. In seconds.
-SILENCE_SECONDS = 0.5
+RECENT_REPLY_SECONDS = 0.5
 # Longest pause after a refusal by the own part, in seconds: an arbiter may be reached again.
 ASKED_AGAIN_SECONDS = 1.0
 # Priority in a question by which a permit is given back.
@@ -42,7 +42,7 @@
 
 
 @dataclass(frozen=True)
-class LimitView:
+class LimitContext:
     """What the arbitration needs to know of its process.
 
     Parameters
@@ -55,7 +55,7 @@
         Returns this process's part of all, by their number.
     """
 
-    inquirer: Inquirer
+    inquirer: ArbiterContext
     heard_part: Callable[[], float]
     member_part: Callable[[], float]
 
@@ -73,7 +73,7 @@
         return self.claim.endpoint_id
 
 
-class LimitArbiters(RateGate, Decider[_PermitRequest]):
+class LimitArbiters(RateGate, ArbiterProtocol[_PermitRequest]):
     """Has attempts at endpoints with a limit decided on, here or at another process.
 
     Parameters
@@ -85,7 +85,7 @@
     def __init__(
         self,
         limits: EndpointLimits,
-        view: LimitView,
+        view: LimitContext,
         send: Callable[[bytes, str], None],
         timers: TimerService,
         metrics: Metrics,
@@ -99,10 +99,10 @@
         # What is decided for all, and what only for this process.
         self._for_all = RateLimiter()
         self._alone = RateLimiter()
-        self._inquiries: Inquiries[_PermitRequest] = Inquiries(
+        self._inquiries: ArbiterClient[_PermitRequest] = ArbiterClient(
             "limit", self, view.inquirer, send, timers, metrics, log
         )
-        self._sent: RepliesSent[PermitReply] = RepliesSent()
+        self._sent: ReplyCache[PermitReply] = ReplyCache()
         self._replied_at: dict[str, float] = {}
 
     # Asking
@@ -116,7 +116,7 @@
         claim = request.claim
         known = self._limits.limit_of(claim.endpoint_id)
         limit = known or EndpointLimit(claim.endpoint_id, 0, claim.rate, 0.0)
-        return encode_permit_question(PermitQuestion(number, limit, claim.priority, claim.patience))
+        return encode_permit_request(PermitRequest(number, limit, claim.priority, claim.patience))
 
     def decide_here(self, request: _PermitRequest) -> bool:
         """Decide on an attempt for all processes; False if others are to."""
@@ -130,7 +130,7 @@
     def decide_alone(self, request: _PermitRequest) -> None:
         """Decide by the own part, since nobody who decides for all is reached."""
         now = self._timers.now()
-        if now - self._replied_at.get(request.claim.endpoint_id, -math.inf) < SILENCE_SECONDS:
+        if now - self._replied_at.get(request.claim.endpoint_id, -math.inf) < RECENT_REPLY_SECONDS:
             request.then(RateDecision(0.0, MIN_WAIT_SECONDS))
             return
         part = self._view.member_part()
@@ -140,10 +140,10 @@
     def _part(self, endpoint_id: str) -> float:
         """Return the part of a limit that this process decides on for all; 0 if it does not."""
         ranked = self._view.inquirer.ranked(endpoint_id)[:2]
-        own_ip = self._view.inquirer.own_ip
-        if own_ip not in ranked:
+        local_ip = self._view.inquirer.local_ip
+        if local_ip not in ranked:
             return 0.0
-        part = 1.0 if ranked[0] == own_ip else SECOND_PART
+        part = 1.0 if ranked[0] == local_ip else SECOND_PART
         return part * self._view.heard_part()
 
     def unused(self, endpoint_id: str, decision: RateDecision) -> None:
@@ -151,12 +151,12 @@
         if decision.arbiter:
             self._give_back(endpoint_id, decision.arbiter)
         elif decision.arbiter is not None:
-            self._for_all.give_back(endpoint_id)
+            self._for_all.return_permit(endpoint_id)
 
     def _give_back(self, endpoint_id: str, ip: str) -> None:
         limit = self._limits.limit_of(endpoint_id) or EndpointLimit(endpoint_id, 0, None, 0.0)
-        question = PermitQuestion(self._inquiries.next_number(), limit, GIVEN_BACK)
-        self._send(encode_permit_question(question), ip)
+        question = PermitRequest(self._inquiries.next_number(), limit, GIVEN_BACK)
+        self._send(encode_permit_request(question), ip)
 
     def forget(self, endpoint_id: str) -> None:
         """Forget what was let through to an endpoint."""
@@ -196,15 +196,15 @@
         ValueError
             If it is malformed.
         """
-        question = decode_permit_question(data)
+        question = decode_permit_request(data)
         if question.priority == GIVEN_BACK:
-            self._for_all.give_back(question.limit.endpoint_id)
+            self._for_all.return_permit(question.limit.endpoint_id)
             return
         reply = self._sent.once(ip, question.number, lambda: self._reply(question, ip))
         self._metrics.count("limit_replies_total", verdict=reply.verdict.name.lower())
         self._send(encode_permit_reply(reply), ip)
 
-    def _reply(self, question: PermitQuestion, ip: str) -> PermitReply:
+    def _reply(self, question: PermitRequest, ip: str) -> PermitReply:
         self._limits.merge((question.limit,))
         endpoint_id = question.limit.endpoint_id
         part = self._part(endpoint_id)
@@ -215,5 +215,5 @@
             return PermitReply(question.number, Verdict.ALLOWED)
         claim = RateClaim(endpoint_id, known.rate, question.priority, question.patience, ip)
         decided = self._for_all.decide(claim, part, self._timers.now())
-        verdict = Verdict.ALLOWED if decided.given else Verdict.REFUSED
+        verdict = Verdict.ALLOWED if decided.is_granted else Verdict.REFUSED
         return PermitReply(question.number, verdict, decided.delay, decided.wait)
--- a/flamingofront/process/forwarding/limit_members.py
+++ b/flamingofront/process/forwarding/limit_members.py
@@ -13,16 +13,16 @@
 
     Parameters
     ----------
-    own_ip : str
+    local_ip : str
         IP number of this process.
     is_stopping : callable
         Returns True once this process stops.
     """
 
     def __init__(
-        self, own_ip: str, members: QuotaMembers, peers: Peers, is_stopping: Callable[[], bool]
+        self, local_ip: str, members: QuotaMembers, peers: Peers, is_stopping: Callable[[], bool]
     ):
-        self._own_ip = own_ip
+        self._local_ip = local_ip
         self._members = members
         self._peers = peers
         self._is_stopping = is_stopping
@@ -35,9 +35,9 @@
         A process that stops leaves it to the others, who do not ask it any more: two deciders would
         give out the limit twice.
         """
-        ranked = self._members.by_hash(key)
-        return [ip for ip in ranked if not (self._is_stopping() and ip == self._own_ip)]
+        ranked = self._members.rank_by_hash(key)
+        return [ip for ip in ranked if not (self._is_stopping() and ip == self._local_ip)]
 
     def heard_part(self) -> float:
         """Return the part of the processes that is heard, if a zone is silent; else 1."""
-        return self._peers.heard_share() if self._peers.silent_zones() else 1.0
+        return self._peers.live_share() if self._peers.unreachable_zones() else 1.0
--- a/flamingofront/process/forwarding/limit_messages.py
+++ b/flamingofront/process/forwarding/limit_messages.py
@@ -10,15 +10,15 @@
 from flamingofront.request.endpoint_limits import EndpointLimit
 
 __all__ = [
-    "PermitQuestion",
+    "PermitRequest",
     "PermitReply",
     "decode_limits",
-    "decode_permit_question",
+    "decode_permit_request",
     "decode_permit_reply",
     "encode_limits",
-    "encode_permit_question",
+    "encode_permit_request",
     "encode_permit_reply",
-    "is_permit_question",
+    "is_permit_request",
     "is_permit_reply",
 ]
 
@@ -27,7 +27,7 @@
 
 
 @dataclass(frozen=True)
-class PermitQuestion:
+class PermitRequest:
     """Whether a request may be sent to an endpoint, or that a permit was not used.
 
     Parameters
@@ -66,7 +66,7 @@
     wait: float = 0.0
 
 
-def is_permit_question(data: bytes) -> bool:
+def is_permit_request(data: bytes) -> bool:
     """Tell whether a datagram is a question for a permit."""
     return data.startswith(_QUESTION)
 
@@ -105,7 +105,7 @@
     return EndpointLimit(str(endpoint_id), int(born), known, float(named_at))
 
 
-def encode_permit_question(question: PermitQuestion) -> bytes:
+def encode_permit_request(question: PermitRequest) -> bytes:
     """Return the datagram of a question."""
     (limit,) = encode_limits((question.limit,))
     patience = round(question.patience, 3)
@@ -118,7 +118,7 @@
     return _REPLY + orjson.dumps((reply.number, int(reply.verdict), *times))
 
 
-def decode_permit_question(data: bytes) -> PermitQuestion:
+def decode_permit_request(data: bytes) -> PermitRequest:
     """Return the question in a datagram; fields that a newer version has appended are ignored.
 
     Raises
@@ -128,7 +128,7 @@
     """
     try:
         number, priority, patience, limit = orjson.loads(data[len(_QUESTION) :])[:4]
-        return PermitQuestion(int(number), _limit(*limit), int(priority), float(patience))
+        return PermitRequest(int(number), _limit(*limit), int(priority), float(patience))
     except (TypeError, ValueError) as exc:
         raise ValueError(f"malformed question: {exc!r:.100}") from exc
 
--- a/flamingofront/process/forwarding/node.py
+++ b/flamingofront/process/forwarding/node.py
@@ -5,43 +5,43 @@
 from collections.abc import Callable
 from dataclasses import dataclass, replace
 
-from flamingofront.connection.client import MAX_IDLE_PER_ADDRESS
+from flamingofront.connection.client import MAX_IDLE_CONNECTIONS_PER_ADDRESS
 from flamingofront.connection.interfaces import Exchange, Transport
 from flamingofront.decisions.choice import BacklogChoice
 from flamingofront.decisions.fleet_plan import CheapestSafeFleet
 from flamingofront.decisions.quota import SharedQuota
-from flamingofront.decisions.quota_facts import QuotaRules
+from flamingofront.decisions.quota_facts import QuotaLimits
 from flamingofront.decisions.retry import RetryBudget
 from flamingofront.decisions.shared_retry import SharedRetryBudget
 from flamingofront.messages import InboundRequest
 from flamingofront.process.counted_store import CountedTableStore
-from flamingofront.process.former_sends import Sender
-from flamingofront.process.forwarding.control import ControlCalls
-from flamingofront.process.forwarding.duty import DutyLease
+from flamingofront.process.former_sends import SenderProcess
+from flamingofront.process.forwarding.control import ControlHandler
+from flamingofront.process.forwarding.duty import LeaderLease
 from flamingofront.process.forwarding.endpoint_row import EndpointRow
 from flamingofront.process.forwarding.endpoints import EndpointView
-from flamingofront.process.forwarding.exchange import WATCH_SECONDS, KnowledgeExchange
-from flamingofront.process.forwarding.freshness import ConfigurationCheck
-from flamingofront.process.forwarding.held_requests import HeldRequests
-from flamingofront.process.forwarding.inquiries import Inquirer
-from flamingofront.process.forwarding.knowledge import Knowledge, SharedTables
-from flamingofront.process.forwarding.limit_arbiter import LimitArbiters, LimitView
+from flamingofront.process.forwarding.exchange import STALENESS_CHECK_SECONDS, PeerSync
+from flamingofront.process.forwarding.freshness import FreshnessCheck
+from flamingofront.process.forwarding.held_requests import QuarantineSync
+from flamingofront.process.forwarding.inquiries import ArbiterContext
+from flamingofront.process.forwarding.knowledge import SharedTables, StoreView
+from flamingofront.process.forwarding.limit_arbiter import LimitArbiters, LimitContext
 from flamingofront.process.forwarding.limit_members import LimitMembers
 from flamingofront.process.forwarding.observations import Observations
-from flamingofront.process.forwarding.own_report import OwnReport, ReportedParts
-from flamingofront.process.forwarding.peer_word import PeerWord, WordParts
+from flamingofront.process.forwarding.own_report import LocalReport, ReportSources
+from flamingofront.process.forwarding.peer_word import PeerDispatcher, UpdateReceivers
 from flamingofront.process.forwarding.peers import Peers
-from flamingofront.process.forwarding.quota_arbiter import QuotaArbiters, QuotaView
+from flamingofront.process.forwarding.quota_arbiter import QuotaArbiters, QuotaContext
 from flamingofront.process.forwarding.quota_members import QuotaMembers
-from flamingofront.process.forwarding.readers import StoreReaders
+from flamingofront.process.forwarding.readers import ZoneWatchers
 from flamingofront.process.forwarding.relaying import RelayListener
 from flamingofront.process.forwarding.reports import PeerReport
-from flamingofront.process.forwarding.rollouts import RolloutDuty, Rollouts
-from flamingofront.process.forwarding.scaling import ScalingDuty
+from flamingofront.process.forwarding.rollouts import RolloutController, Rollouts
+from flamingofront.process.forwarding.scaling import ScalingController
 from flamingofront.process.forwarding.settings import DeploymentSettings
-from flamingofront.process.forwarding.usage import CountsHeard, UsageBook, UsageDuty
-from flamingofront.process.forwarding.vanished import VanishedEndpoints
-from flamingofront.process.forwarding.whole_load import WholeLoad
+from flamingofront.process.forwarding.usage import UsageBook, UsageCoverage, UsageReporter
+from flamingofront.process.forwarding.vanished import UnobservedRemovals
+from flamingofront.process.forwarding.whole_load import ClusterLoad
 from flamingofront.process.intent_rows import IntentRows
 from flamingofront.process.intents import IntentRecorder
 from flamingofront.process.logs import Log
@@ -120,15 +120,15 @@
             settings.ip,
             str(settings.control_bind or settings.ready_bind),
         )
-        self._report = OwnReport(own, needs.timers, rng)
+        self._report = LocalReport(own, needs.timers, rng)
         self.usage = UsageBook(own.process, settings.rules.usage_window)
         self.rollouts = Rollouts(settings.rules.expose_share, self.timers.now, rng, log)
         self._build_requests()
         self._build_peers()
         self._build_duties()
-        self.store.on_return(self.peers.register_again)
+        self.store.add_restore_listener(self.peers.register_again)
         services = Services(self.tasks, self.timers, rng, self.metrics, log)
-        self.held = HeldRequests(
+        self.held = QuarantineSync(
             self.hub.guard,
             self.peers,
             self.store,
@@ -137,25 +137,25 @@
             self._recorder,
             needs.incarnation / 1000 if settings.first_start else None,
         )
-        reported = ReportedParts(
-            self.hub, self.knowledge, self.lease, self.peers, self.rollouts, self.usage
+        reported = ReportSources(
+            self.hub, self.store_view, self.lease, self.peers, self.rollouts, self.usage
         )
-        parts = WordParts(reported, self.quota, self.exchange)
-        self._word = PeerWord(self._report, parts, self.timers, self.metrics)
-        self.handle_control = ControlCalls(self).handle
+        parts = UpdateReceivers(reported, self.quota, self.exchange)
+        self._word = PeerDispatcher(self._report, parts, self.timers, self.metrics)
+        self.handle_control = ControlHandler(self).handle
 
     def _recorder(self, rows: IntentRows, services: Services) -> IntentRecorder:
         """Return what records requests before they are sent."""
         settings = self.settings
-        sender = Sender(settings.vm_id, self._needs.incarnation, settings.first_start)
-        vanished = VanishedEndpoints(self.store, self._needs.tables)
+        sender = SenderProcess(settings.vm_id, self._needs.incarnation, settings.first_start)
+        vanished = UnobservedRemovals(self.store, self._needs.tables)
         return IntentRecorder(self.hub, rows, services, sender, self.member_share, vanished.read)
 
     def _build_requests(self) -> None:
         settings, needs = self.settings, self._needs
         self.facts = FactTable()
         self.directory = EndpointDirectory(self.facts, self._rng, settings.zone)
-        self.knowledge = Knowledge(
+        self.store_view = StoreView(
             needs.store,
             needs.tables,
             EndpointView(
@@ -164,7 +164,7 @@
                 self.metrics,
                 self.log,
                 on_leaving=self._row_leaves,
-                on_gone=self._endpoint_gone,
+                on_removed=self._endpoint_gone,
                 on_restarted=self._endpoint_restarted,
             ),
             self._configuration_changed,
@@ -173,7 +173,7 @@
             self.metrics,
             self.log,
             self._may_rest,
-            lambda: FEED_PAUSE_SECONDS if self.peers.many else 0.0,
+            lambda: FEED_PAUSE_SECONDS if self.peers.is_relayed else 0.0,
         )
         self.hub = RequestHub(
             HubSettings(
@@ -192,30 +192,32 @@
             needs.protocol,
             self._retry_budget,
         )
-        self.knowledge.on_rollout = self.rollouts.take_order
+        self.store_view.on_rollout = self.rollouts.apply_order
         self.hub.on_endpoint_leaving = self._endpoint_leaves
         self.hub.on_outcome = self._outcome
         self.hub.cache_tokens = self._cache_tokens
         self.directory.sample_size = self._sample_size
         rules = settings.rules
         self.quota = SharedQuota(
-            lambda: self.peers.heard_share(),
-            QuotaRules(rules.quota_window, rules.quota_over, rules.quota_allowance),
-            lambda: self.peers.lag(),
+            lambda: self.peers.live_share(),
+            QuotaLimits(rules.quota_window, rules.quota_over, rules.quota_allowance),
+            lambda: self.peers.propagation_delay(),
             self._rng,
             lambda: self.peers.member_count(),
         )
         self.gateway = ForwardGateway(
             self.hub, needs.protocol, self.quota, self.log, self._began_to_run
         )
-        self.gateway.version_rule = self.rollouts.rule
+        self.gateway.version_rule = self.rollouts.version_rule
 
     def _outcome(self, service: str, endpoint_id: str, is_bad: bool) -> None:
         """Count an answer for the roll-out of a service, if there is one."""
-        self.rollouts.answered(service, self.directory.version_of(endpoint_id), is_bad)
+        self.rollouts.record_response(service, self.directory.version_of(endpoint_id), is_bad)
 
     def _sample_size(self) -> int:
-        return FEW_CANDIDATES if self.peers.lag() > LATE_WORD_SECONDS else MAX_CANDIDATES
+        return (
+            FEW_CANDIDATES if self.peers.propagation_delay() > LATE_WORD_SECONDS else MAX_CANDIDATES
+        )
 
     def _endpoint_gone(self, row: EndpointRow) -> None:
         self.hub.guard.crash_detector.record_row_removal(row.endpoint_id, announced=not row.ready)
@@ -223,21 +225,21 @@
         self.hub.limits.forget(row.endpoint_id)
         self.hub.backoffs.forget(row.endpoint_id)
         self._needs.transport.drop_idle(row.address)
-        self.knowledge.endpoint_gone(row.endpoint_id)
+        self.store_view.record_removed_endpoint(row.endpoint_id)
 
     def _endpoint_leaves(self, endpoint_id: str, request: str) -> None:
         """Take word of an endpoint itself that it leaves."""
-        self.knowledge.endpoints.mark_leaving(endpoint_id, "answer", request)
+        self.store_view.endpoints.mark_leaving(endpoint_id, "answer", request)
 
     def _endpoint_restarted(self, row: EndpointRow, before: EndpointRow) -> None:
         """Forget the earlier start of an endpoint, and what ran there."""
         self.directory.forget(row.endpoint_id)
         self.hub.limits.forget(row.endpoint_id)
         self.hub.backoffs.forget(row.endpoint_id)
-        self.observations.endpoint_restarted(row.endpoint_id)
+        self.observations.discard_earlier_loads(row.endpoint_id)
         for address in {row.address, before.address}:
             self._needs.transport.drop_idle(address)
-        ago = self.peers.true_time() - row.born / 1000
+        ago = self.peers.cluster_time() - row.born / 1000
         at = self.timers.now() - ago
         # What has arrived of its last answers is read first.
         self.timers.once(
@@ -261,19 +263,19 @@
             self.settings.seeds,
             self.own_report,
             self._needs.send,
-            lambda report, gap: self._word.take_report(report, gap),
-            lambda note: self.observations.noted(note),
+            lambda report, gap: self._word.apply_report(report, gap),
+            lambda note: self.observations.apply_load_delta(note),
             RelayListener(
                 self.own_report,
-                lambda relay, claim: self._word.take_belief(relay, claim),
-                lambda process, sums, counts: self._word.take_sums(process, sums, counts),
-                lambda: self.observations.loads_told(),
-                lambda counts, told_until: self.usage.heard(counts, told_until),
-                lambda processes, windows: self.usage.counts_of(
-                    processes, self.peers.true_time(), windows
+                lambda relay, claim: self._word.apply_relay_state(relay, claim),
+                lambda process, sums, counts: self._word.apply_sums(process, sums, counts),
+                lambda: self.observations.mark_loads_stale(),
+                lambda counts, told_until: self.usage.merge_counts(counts, told_until),
+                lambda processes, windows: self.usage.collect_recent_counts(
+                    processes, self.peers.cluster_time(), windows
                 ),
-                lambda processes: self.usage.told_until(processes),
-                lambda: self.peers.true_time(),
+                lambda processes: self.usage.received_until(processes),
+                lambda: self.peers.cluster_time(),
             ),
             self._needs.store,
             self.tasks,
@@ -298,14 +300,14 @@
         )
         self.arbiters = QuotaArbiters(
             self.quota,
-            QuotaView(
+            QuotaContext(
                 self.settings.ip,
                 self._needs.incarnation,
-                self.quota_members.ranked,
+                self.quota_members.rank_arbiters,
                 lambda: self.configuration.workspaces_by_name,
                 self._knows_less_of_quotas,
-                self.quota_members.any_is_new,
-                self.quota_members.sides,
+                self.quota_members.has_recent_restart,
+                self.quota_members.partition_count,
             ),
             self.peers.send,
             self.timers,
@@ -313,31 +315,29 @@
             self.log,
         )
         self.gateway.quota_gate = self.arbiters
-        self.peers.on_question = self.arbiters.take_question
-        self.peers.on_reply = self.arbiters.take_reply
+        self.peers.on_quota_request = self.arbiters.take_question
+        self.peers.on_quota_reply = self.arbiters.take_reply
         self._build_limits()
-        self.exchange = KnowledgeExchange(
-            self.knowledge, self.tasks, self.timers.now, self._rng, self.log
-        )
-        self.exchange.distant = self._distant
-        self.exchange.near = self._near
-        self.gateway.config_freshness = ConfigurationCheck(
-            self.knowledge, self.tasks, self.timers, self.log
+        self.exchange = PeerSync(self.store_view, self.tasks, self.timers.now, self._rng, self.log)
+        self.exchange.remote_watchers = self._distant
+        self.exchange.zone_peers = self._near
+        self.gateway.config_freshness = FreshnessCheck(
+            self.store_view, self.tasks, self.timers, self.log
         )
-        self.readers = StoreReaders(
+        self.readers = ZoneWatchers(
             self.settings.vm_id,
             self.settings.zone,
-            lambda: self.peers.table.heard(self.timers.now()),
+            lambda: self.peers.table.live_reports(self.timers.now()),
         )
-        self.knowledge.on_change = self._store_changed
+        self.store_view.on_change = self._store_changed
 
     def _distant(self) -> list[str]:
         """Return the control addresses of the other zones' relays, in random order."""
-        return self._addresses(self.peers.relaying.relays_elsewhere() if self.peers.many else [])
+        return self._addresses(self.peers.relaying.remote_relays() if self.peers.is_relayed else [])
 
     def _near(self) -> list[str]:
         """Return the control addresses of the other processes of the zone, in random order."""
-        near = self.peers.relaying.near() if self.peers.many else {}
+        near = self.peers.relaying.zone_members() if self.peers.is_relayed else {}
         return self._addresses(sorted({*near.values()} - {self._report.identity.ip}))
 
     def _addresses(self, ips: list[str]) -> list[str]:
@@ -347,40 +347,40 @@
     def _build_limits(self) -> None:
         """Let one process decide on each endpoint that names the rate that it takes from all."""
         limits, permits = self.hub.limits, self.hub.permits
-        limits.wall = self.peers.true_time
-        limits.start_ms_of = self.knowledge.endpoints.born
-        own_ip = self.settings.ip
-        members = LimitMembers(own_ip, self.quota_members, self.peers, lambda: self.stopping)
-        inquirer = Inquirer(own_ip, self._needs.incarnation, members.ranked)
+        limits.wall = self.peers.cluster_time
+        limits.start_ms_of = self.store_view.endpoints.start_time_ms
+        local_ip = self.settings.ip
+        members = LimitMembers(local_ip, self.quota_members, self.peers, lambda: self.stopping)
+        inquirer = ArbiterContext(local_ip, self._needs.incarnation, members.rank_arbiters)
         self.limit_arbiters = LimitArbiters(
             limits,
-            LimitView(inquirer, members.heard_part, self.member_share),
+            LimitContext(inquirer, members.live_share, self.member_share),
             self.peers.send,
             self.timers,
             self.metrics,
             self.log,
         )
         permits.gate = self.limit_arbiters
-        permits.process_name = own_ip
-        self.peers.on_permit_question = self.limit_arbiters.take_question
+        permits.process_name = local_ip
+        self.peers.on_permit_request = self.limit_arbiters.take_question
         self.peers.on_permit_reply = self.limit_arbiters.take_reply
 
     def _knows_less_of_quotas(self) -> bool:
         """Tell whether others are to decide on quotas: they know more, or stay longer."""
-        return self.stopping or self.quota_members.is_new_among_older()
+        return self.stopping or self.quota_members.is_newcomer()
 
     def _may_rest(self) -> bool:
         """Tell whether others follow the store for this process."""
-        if self.peers.many:
-            return self.peers.relaying.may_rest()
-        return self.readers.may_rest()
+        if self.peers.is_relayed:
+            return self.peers.relaying.has_watching_relay()
+        return self.readers.can_stand_by()
 
     def _store_changed(self) -> None:
         """Tell the zone, if others may rest because this process follows the store."""
-        self.peers.tell_zone()
+        self.peers.notify_zone()
         if self._leaving_untold:
             self._leaving_untold = False
-            self.peers.tell_leaving()
+            self.peers.broadcast_leaving()
 
     def _row_leaves(self, row: EndpointRow) -> None:
         """Tell of a leaving endpoint once all that came with its row is taken in."""
@@ -388,7 +388,7 @@
 
     def _build_duties(self) -> None:
         settings, needs = self.settings, self._needs
-        self.lease = DutyLease(
+        self.lease = LeaderLease(
             needs.store,
             settings.vm_id,
             needs.incarnation,
@@ -397,22 +397,22 @@
             self._rng,
             self.log,
         )
-        load = WholeLoad(self.hub, self.peers, self.facts, self.timers)
-        self.duties: list[UsageDuty | ScalingDuty | RolloutDuty] = []
+        load = ClusterLoad(self.hub, self.peers, self.facts, self.timers)
+        self.duties: list[UsageReporter | ScalingController | RolloutController] = []
         if needs.cloud is None:
             return
         if USAGE in settings.duties:
             self.duties.append(
-                UsageDuty(
+                UsageReporter(
                     self.lease,
                     needs.cloud,
                     self.usage,
                     settings.rules,
                     settings.vm_id,
-                    CountsHeard(
-                        self.peers.true_time,
-                        self.peers.counts_wait,
-                        lambda: self.peers.heard_count() + 1,
+                    UsageCoverage(
+                        self.peers.cluster_time,
+                        self.peers.usage_sync_delay,
+                        lambda: self.peers.live_count() + 1,
                     ),
                     self.timers.now,
                     self.metrics,
@@ -421,34 +421,34 @@
             )
         if SCALING in settings.duties:
             self.duties.append(
-                ScalingDuty(
+                ScalingController(
                     self.lease,
                     needs.cloud,
                     CheapestSafeFleet(),
                     settings.vm_id,
                     self.timers.now,
                     lambda: self.configuration,
-                    self.knowledge.endpoints.rows,
-                    load.demand,
+                    self.store_view.endpoints.rows,
+                    load.compute_demand,
                     self.metrics,
                     self.log,
                     settings.first_start,
                 )
             )
-        self.rollouts.on_verdict = self.peers.tell_now
-        rollout_duty = RolloutDuty(
+        self.rollouts.on_verdict = self.peers.broadcast_report
+        rollout_controller = RolloutController(
             self.lease,
             needs.store,
             needs.tables.rollouts,
             self.rollouts,
-            load.at_other_versions,
+            load.count_at_other_versions,
             self.timers.now,
-            self.peers.true_time,
+            self.peers.cluster_time,
             self.log,
         )
-        self.store.on_return(rollout_duty.read_again)
-        self.rollouts.on_order = lambda: self.tasks.start(rollout_duty.look_up())
-        self.duties.append(rollout_duty)
+        self.store.add_restore_listener(rollout_controller.invalidate_rows)
+        self.rollouts.on_order = lambda: self.tasks.start(rollout_controller.load_status())
+        self.duties.append(rollout_controller)
 
     def _cache_tokens(self, service: str) -> float:
         known = self.configuration.services.get(service)
@@ -463,14 +463,14 @@
         if not request.work.workspace:
             return
         ago = self.timers.now() - request.estimate_execution_start()
-        self.usage.began(request.work.workspace, self.peers.true_time() - ago)
+        self.usage.count_started(request.work.workspace, self.peers.cluster_time() - ago)
 
     # Peers
 
     def own_report(self) -> PeerReport:
         """Return this process's report as it is now."""
         self._report.leaving = self.stopping
-        return self._word.own_report()
+        return self._word.build_report()
 
     def max_idle(self, address: str) -> int:
         """Return how many idle connections to an address this process may keep.
@@ -481,13 +481,13 @@
         processes grow in number. Half of it is left for connections in use.
         """
         row = next(
-            (each for each in self.knowledge.endpoints.rows() if each.address == address), None
+            (each for each in self.store_view.endpoints.rows() if each.address == address), None
         )
         service = self.configuration.services.get(row.service) if row is not None else None
         if service is None or not service.max_connections:
-            return MAX_IDLE_PER_ADDRESS
+            return MAX_IDLE_CONNECTIONS_PER_ADDRESS
         part = service.max_connections * IDLE_PART * self.member_share()
-        return max(1, min(MAX_IDLE_PER_ADDRESS, int(part)))
+        return max(1, min(MAX_IDLE_CONNECTIONS_PER_ADDRESS, int(part)))
 
     def start(self) -> None:
         """Begin all periodic work."""
@@ -498,10 +498,15 @@
             self.tasks.start(self.lease.run())
         for duty in self.duties:
             self.tasks.start(duty.run())
-        for follower in self.knowledge.followers:
+        for follower in self.store_view.watchers:
             self.tasks.start(follower.run())
         self.tasks.start(self.held.run())
-        self.timers.every(WATCH_SECONDS, self.exchange.watch, WATCH_SECONDS, relaxed=True)
+        self.timers.every(
+            STALENESS_CHECK_SECONDS,
+            self.exchange.check_staleness,
+            STALENESS_CHECK_SECONDS,
+            relaxed=True,
+        )
         self.log.info("started", zone=self.settings.zone, first=self.settings.first_start)
 
     def fault(self, exc: BaseException) -> None:
@@ -512,11 +517,11 @@
     @property
     def configuration(self) -> ForwardingConfiguration:
         """Configuration in force."""
-        return self.knowledge.configuration
+        return self.store_view.configuration
 
     def _configuration_changed(self, cfg: ForwardingConfiguration) -> None:
         self.gateway.configuration = cfg
-        self.quota.prepare(cfg.workspaces, self.timers.now())
+        self.quota.start_buckets(cfg.workspaces, self.timers.now())
         self.on_configuration(cfg)
 
     @property
