--- a/flamingofront/process/forwarding/observations.py
+++ b/flamingofront/process/forwarding/observations.py
@@ -6,11 +6,11 @@
 from collections import Counter
 from collections.abc import Callable, Iterable, Mapping
 
-from flamingofront.decisions.demand import Work
+from flamingofront.decisions.demand import OfferedLoad
 from flamingofront.decisions.engine_rates import EngineRates
-from flamingofront.decisions.shares import Placement, first_endpoints
+from flamingofront.decisions.shares import RingPosition, select_preferred_endpoints
 from flamingofront.process.forwarding.peers import REPORT_SECONDS, Peers
-from flamingofront.process.forwarding.reports import LoadNote
+from flamingofront.process.forwarding.reports import LoadDelta
 from flamingofront.process.logs import Log
 from flamingofront.process.membership import FactTable, Role
 from flamingofront.process.metrics import Metrics
@@ -71,7 +71,7 @@
     def start(self) -> None:
         """Begin to observe."""
         self._hub.directory.on_load_change = self._load_changed
-        self._hub.directory.preferred_endpoints = self.first_endpoints
+        self._hub.directory.preferred_endpoints = self.select_preferred_endpoints
         self._peers.sharers = self.sharers
         self._hub.directory.refresh_loads = self._spread_if_stale
         self._timers.every(LOAD_SECONDS, self._loads_due, relaxed=True)
@@ -91,39 +91,41 @@
         if told:
             self._peers.tell_load(self._sequence(), told)
 
-    def noted(self, note: LoadNote) -> None:
+    def noted(self, note: LoadDelta) -> None:
         """Take what a peer has placed at endpoints, or what they have read of it."""
         self._metrics.count("peer_notes_total")
         directory, now = self._hub.directory, self._timers.now()
         for endpoint_id, (requests, tokens) in note.changes.items():
-            if self._peers.many:
+            if self._peers.is_relayed:
                 directory.noted_prompts.add(endpoint_id, requests, tokens, now)
             else:
                 directory.apply_peer_change(endpoint_id, requests, tokens)
 
-    def first_endpoints(self, endpoints: Mapping[str, str]) -> tuple[str, ...]:
+    def select_preferred_endpoints(self, endpoints: Mapping[str, str]) -> tuple[str, ...]:
         """Return the endpoints that this process uses first; none where processes are few."""
-        if not self._peers.many:
+        if not self._peers.is_relayed:
             return ()
-        return first_endpoints(
-            self._places()[self._own_id], self._peers.relaying.zones(), endpoints
+        return select_preferred_endpoints(
+            self._places()[self._own_id], self._peers.relaying.known_zones(), endpoints
         )
 
-    def _places(self) -> dict[str, Placement]:
+    def _places(self) -> dict[str, RingPosition]:
         """Return where the processes of the zone stand among all."""
-        names = sorted(self._peers.relaying.near())
+        names = sorted(self._peers.relaying.zone_members())
         return {
-            name: Placement(self._zone, number, len(names)) for number, name in enumerate(names)
+            name: RingPosition(self._zone, number, len(names)) for number, name in enumerate(names)
         }
 
     def sharers(self, endpoints: Iterable[str]) -> dict[str, list[str]]:
         """Return the endpoints that other processes of the zone use first too, by IP number."""
-        near, zones = self._peers.relaying.near(), self._peers.relaying.zones()
+        near, zones = self._peers.relaying.zone_members(), self._peers.relaying.known_zones()
         found: dict[str, list[str]] = {}
         for service in {fact.service for fact in map(self._facts.get, endpoints) if fact}:
             known = self._hub.directory.zones_of(service)
             for name, place in self._places().items():
-                shared = set(first_endpoints(place, zones, known)).intersection(endpoints)
+                shared = set(select_preferred_endpoints(place, zones, known)).intersection(
+                    endpoints
+                )
                 if shared and name != self._own_id:
                     found.setdefault(near[name], []).extend(sorted(shared))
         return found
@@ -158,7 +160,7 @@
 
     def _loads_due(self) -> None:
         """Take the loads together now, or among many processes with the next choice."""
-        if self._peers.many:
+        if self._peers.is_relayed:
             self._stale = True
         else:
             self.spread_loads()
@@ -174,9 +176,11 @@
         directory = self._hub.directory
         loads = Counter(directory.in_flight_by_endpoint())
         backlog: Counter[str] = Counter()
-        seconds = {name: each.now().token_seconds for name, each in self._hub.rates.known()}
+        seconds = {
+            name: each.estimate().token_seconds for name, each in self._hub.rates.list_services()
+        }
         unknown = self._just_restarted(now)
-        for others in self._peers.loads():
+        for others in self._peers.peer_loads():
             for name, requests in others.in_flight.items():
                 if name not in unknown:
                     loads[name] += requests
@@ -195,12 +199,12 @@
         """Look which zones are cut off; what waits there goes on elsewhere."""
         now = self._timers.now()
         zones = self._hub.directory.zones
-        silent = self._peers.silent_zones() - {self._zone}
-        zones.peers_silent(silent)
+        silent = self._peers.unreachable_zones() - {self._zone}
+        zones.set_unresponsive_zones(silent)
         for zone in silent:
-            zones.awaited(zone, self._hub.unanswered_since(zone), now)
+            zones.record_pending(zone, self._hub.unanswered_since(zone), now)
         known = {each.zone for each in self._facts.select(Role.ENDPOINT)}
-        cut_off = {zone for zone in known if zones.is_cut_off(zone, now)}
+        cut_off = {zone for zone in known if zones.is_partitioned(zone, now)}
         for zone in cut_off ^ self._cut_off:
             event = "zone cut off" if zone in cut_off else "zone reached again"
             self._log.warning(event, of_zone=zone, silent=sorted(silent))
@@ -210,13 +214,13 @@
 
     def _log_rates(self) -> None:
         """Tell what was learned of the endpoints: placement and the fleet follow from it."""
-        work = self._hub.load_meter.work(self._timers.now())
-        for name, rates in self._hub.rates.known():
-            now, asked = rates.now(), work.get(name, Work())
+        work = self._hub.load_meter.get_loads(self._timers.now())
+        for name, rates in self._hub.rates.list_services():
+            now, asked = rates.estimate(), work.get(name, OfferedLoad())
             self._log.info(
                 "rates learned",
                 service=name,
-                answers=rates.answers,
+                answers=rates.response_count,
                 token_us=round(now.token_seconds * 1e6, 2),
                 base_ms=round(now.base_seconds * 1e3, 1),
                 pause_ms=round(now.pause_seconds * 1e3, 1),
--- a/flamingofront/process/forwarding/operators.py
+++ b/flamingofront/process/forwarding/operators.py
@@ -13,7 +13,7 @@
 from flamingofront.errors import CommandError, ErrorKind, RequestError
 from flamingofront.messages import InboundRequest
 from flamingofront.process.forwarding.reports import PeerReport
-from flamingofront.process.held_rows import HELD_COLUMNS, held_rows
+from flamingofront.process.held_rows import QUARANTINE_COLUMNS, held_rows
 from flamingofront.process.membership import Fact, Role, VmState
 from flamingofront.version.language import Query, Statement, parse
 from flamingofront.version.query import run_query
@@ -59,7 +59,7 @@
     "leases": ("lease", "vm", "holder", "fencing", "held", "past"),
     "configuration": ("vm", "zone", "revision", "table", "version", "age", "source"),
     "requests": ("request", "workspace", "service", "endpoint", "phase", "attempts", "age"),
-    "held": HELD_COLUMNS,
+    "held": QUARANTINE_COLUMNS,
     "counters": ("vm", "counter", "labels", "value"),
 }
 
@@ -112,7 +112,7 @@
                 "zone": each.zone,
                 "ip": each.ip,
                 "incarnation": each.incarnation,
-                "heard": round(node.peers.table.gap(each.vm_id, now) or 0.0, 2),
+                "heard": round(node.peers.table.seconds_since_report(each.vm_id, now) or 0.0, 2),
                 "configuration": each.configuration,
                 "configuration_age": self._age_now(each, each.ages[0]),
                 "endpoints_age": self._age_now(each, each.ages[1]),
@@ -124,7 +124,10 @@
 
     def _age_now(self, report: PeerReport, age: float | None) -> float | None:
         """Return how old a process's knowledge is now, by what it told."""
-        gap = self._node.peers.table.gap(report.vm_id, self._node.timers.now()) or 0.0
+        gap = (
+            self._node.peers.table.seconds_since_report(report.vm_id, self._node.timers.now())
+            or 0.0
+        )
         return None if age is None else round(age + gap, 2)
 
     def _held(self) -> Rows:
@@ -167,7 +170,7 @@
             reason = "no permit"
         elif not hub.directory.is_reachable(fact.vm_id, hub.now()):
             reason = "not reached"
-        elif hub.directory.health.ejected((fact.vm_id,), hub.now()):
+        elif hub.directory.health.list_ejected((fact.vm_id,), hub.now()):
             reason = "errors"
         return {"closed_for": round(max(pause, permit), 3) or None, "withheld": reason}
 
@@ -200,7 +203,7 @@
         ]
 
     def _workspaces(self) -> Rows:
-        spent = self._node.quota.spent()
+        spent = self._node.quota.get_consumed()
         return [
             {
                 "name": each.name,
@@ -221,14 +224,14 @@
                 "vm": self._node.settings.vm_id,
                 "holder": lease.state.holder,
                 "fencing": lease.state.fencing,
-                "held": lease.holding() is not None,
+                "held": lease.valid_lease() is not None,
                 "past": ",".join(lease.state.past),
             }
         ]
 
     def _configuration(self) -> Rows:
         node = self._node
-        ages = (node.knowledge.configuration_age(), node.knowledge.endpoints_age())
+        ages = (node.store_view.configuration_age(), node.store_view.endpoints_age())
         return [
             {
                 "vm": node.settings.vm_id,
@@ -239,7 +242,7 @@
                 "age": None if age is None else round(age, 3),
                 "source": "others" if each.rests else "store",
             }
-            for each, age in zip(node.knowledge.followers, ages, strict=True)
+            for each, age in zip(node.store_view.watchers, ages, strict=True)
         ]
 
     def _requests(self) -> Rows:
@@ -264,6 +267,6 @@
 
 def _store_word(report: PeerReport) -> str:
     """Return how a process learns of the store's changes."""
-    if report.cut_off:
+    if report.store_unreachable:
         return "cut off"
-    return "reached" if report.follows else "by others"
+    return "reached" if report.watches_store else "by others"
--- a/flamingofront/process/forwarding/own_report.py
+++ b/flamingofront/process/forwarding/own_report.py
@@ -3,8 +3,8 @@
 import random
 from dataclasses import dataclass, replace
 
-from flamingofront.process.forwarding.duty import DutyLease
-from flamingofront.process.forwarding.knowledge import Knowledge
+from flamingofront.process.forwarding.duty import LeaderLease
+from flamingofront.process.forwarding.knowledge import StoreView
 from flamingofront.process.forwarding.peers import MAX_PEERS_TOLD, Peers
 from flamingofront.process.forwarding.reports import PeerReport
 from flamingofront.process.forwarding.rollouts import Rollouts
@@ -12,22 +12,22 @@
 from flamingofront.process.timers import TimerService
 from flamingofront.request.hub import RequestHub
 
-__all__ = ["OwnReport", "ReportedParts"]
+__all__ = ["LocalReport", "ReportSources"]
 
 
 @dataclass(frozen=True)
-class ReportedParts:
+class ReportSources:
     """Parts of a process whose state is reported."""
 
     hub: RequestHub
-    knowledge: Knowledge
-    lease: DutyLease
+    knowledge: StoreView
+    lease: LeaderLease
     peers: Peers
     rollouts: Rollouts
     usage: UsageBook
 
 
-class OwnReport:
+class LocalReport:
     """Makes this process's reports.
 
     Parameters
@@ -50,7 +50,7 @@
         self._timers = timers
         self._rng = rng
 
-    def make(self, parts: ReportedParts, spent: dict[str, float]) -> PeerReport:
+    def make(self, parts: ReportSources, spent: dict[str, float]) -> PeerReport:
         """Return the report as it is now.
 
         Parameters
@@ -59,8 +59,8 @@
             Units of quotas that were taken out here in all, by workspace.
         """
         self.sequence += 1
-        lease, knowledge, peers = parts.lease.holding(), parts.knowledge, parts.peers
-        heard = peers.table.heard(self._timers.now())
+        lease, knowledge, peers = parts.lease.valid_lease(), parts.knowledge, parts.peers
+        heard = peers.table.live_reports(self._timers.now())
         directory = parts.hub.directory
         told = {name: round(units) for name, units in spent.items()}
         return replace(
@@ -68,21 +68,23 @@
             sequence=self.sequence,
             wall=self._timers.wall(),
             configuration=knowledge.configuration.version,
-            endpoints=knowledge.endpoints_mark(),
-            cut_off=knowledge.cut_off,
-            follows=not knowledge.rests,
+            endpoints=knowledge.endpoints_change_number(),
+            cut_off=knowledge.is_store_unreachable,
+            follows=not knowledge.is_standby,
             leaving=self.leaving,
             fencing=lease.fencing if lease is not None else 0,
-            released=parts.lease.released,
+            released=parts.lease.released_fencing,
             lease_version=parts.lease.version if lease is not None else 0,
-            spent={**told, **parts.rollouts.sums()},
+            spent={**told, **parts.rollouts.local_counts()},
             in_flight=directory.in_flight_by_endpoint(),
             backlog=directory.backlog_by_endpoint(),
             peers=self._some_peers(heard),
-            usage=parts.usage.to_tell({each.process for each in heard}, peers.true_time()),
+            usage=parts.usage.collect_counts(
+                {each.process for each in heard}, peers.cluster_time()
+            ),
             demand=parts.hub.in_flight_by_service(),
             work=self._work(parts.hub),
-            rollouts=parts.rollouts.word(),
+            rollouts=parts.rollouts.phase_update(),
             quarantine=parts.hub.guard.build_update(),
             limits=parts.hub.limits.recent_changes(),
             leaving_endpoints=knowledge.endpoints.recently_leaving(),
@@ -92,7 +94,7 @@
 
     def _work(self, hub: RequestHub) -> dict[str, tuple[float, float]]:
         """Return the work that this process places, rounded to a thousandth of an endpoint."""
-        found = hub.load_meter.work(self._timers.now())
+        found = hub.load_meter.get_loads(self._timers.now())
         return {name: (round(each.fast, 3), round(each.slow, 3)) for name, each in found.items()}
 
     def _some_peers(self, heard: list[PeerReport]) -> tuple[str, ...]:
--- a/flamingofront/process/forwarding/peer_word.py
+++ b/flamingofront/process/forwarding/peer_word.py
@@ -5,34 +5,36 @@
 
 from flamingofront.decisions.quota import SharedQuota
 from flamingofront.process.forwarding.digests import Claim
-from flamingofront.process.forwarding.exchange import KnowledgeExchange
-from flamingofront.process.forwarding.own_report import OwnReport, ReportedParts
+from flamingofront.process.forwarding.exchange import PeerSync
+from flamingofront.process.forwarding.own_report import LocalReport, ReportSources
 from flamingofront.process.forwarding.reports import PeerReport
 from flamingofront.process.metrics import Metrics
 from flamingofront.process.timers import TimerService
 
-__all__ = ["PeerWord", "WordParts"]
+__all__ = ["PeerDispatcher", "UpdateReceivers"]
 
 
 @dataclass(frozen=True)
-class WordParts:
+class UpdateReceivers:
     """Parts of a process that take what others tell.
 
     Parameters
     ----------
-    reported : ReportedParts
+    reported : ReportSources
         Those whose state is told, too.
     """
 
-    reported: ReportedParts
+    reported: ReportSources
     quota: SharedQuota
-    exchange: KnowledgeExchange
+    exchange: PeerSync
 
 
-class PeerWord:
+class PeerDispatcher:
     """Hands what other processes tell to the parts that need it, and makes this one's reports."""
 
-    def __init__(self, own: OwnReport, parts: WordParts, timers: TimerService, metrics: Metrics):
+    def __init__(
+        self, own: LocalReport, parts: UpdateReceivers, timers: TimerService, metrics: Metrics
+    ):
         self._own = own
         self._parts = parts
         self._reported = parts.reported
@@ -41,7 +43,7 @@
 
     def own_report(self) -> PeerReport:
         """Return this process's report as it is now."""
-        return self._own.make(self._reported, self._parts.quota.spent())
+        return self._own.make(self._reported, self._parts.quota.get_consumed())
 
     def take_report(self, report: PeerReport, gap: float | None) -> None:
         """Take a peer's report: its quota use, its counts, its word on the lease, its load.
@@ -60,10 +62,10 @@
         self._reported.hub.limits.merge(report.limits)
         self._reported.knowledge.endpoints.merge_leaving(report.leaving_endpoints)
         if report.usage is not None:
-            usage.reported(report.usage, report.process, peers.true_time())
-        self._reported.lease.heard(report)
-        self._parts.exchange.compare(report)
-        if peers.many:
+            usage.merge_report(report.usage, report.process, peers.cluster_time())
+        self._reported.lease.observe_report(report)
+        self._parts.exchange.sync_with(report)
+        if peers.is_relayed:
             peers.relaying.reported(report, continuous, gap is None)
 
     def take_sums(self, process: str, sums: Mapping[str, float], counts: bool) -> None:
@@ -74,8 +76,8 @@
         counts : bool
             True if what they have grown was told by nobody else.
         """
-        self._parts.quota.heard(process, sums, counts, self._timers.now())
-        self._reported.rollouts.hear_sums(process, sums, counts)
+        self._parts.quota.merge_consumed(process, sums, counts, self._timers.now())
+        self._reported.rollouts.merge_counts(process, sums, counts)
 
     def take_belief(self, relay: PeerReport, claim: Claim) -> None:
         """Take what a relay knows, and its word on the duties' holder."""
@@ -84,7 +86,7 @@
         self._reported.hub.guard.merge_update(relay.quarantine)
         self._reported.hub.limits.merge(relay.limits)
         self._reported.knowledge.endpoints.merge_leaving(relay.leaving_endpoints)
-        self._reported.lease.heard(
+        self._reported.lease.observe_report(
             replace(
                 relay,
                 fencing=claim.fencing,
@@ -92,9 +94,9 @@
                 lease_version=claim.lease_version,
             )
         )
-        self._parts.exchange.compare(relay)
+        self._parts.exchange.sync_with(relay)
 
     def _take_rollouts(self, report: PeerReport) -> None:
         """Take a peer's word of roll-outs; an order that it knows first is read from the store."""
-        if self._reported.rollouts.hear(report.rollouts):
-            self._reported.knowledge.read_rollouts()
+        if self._reported.rollouts.merge_update(report.rollouts):
+            self._reported.knowledge.reload_rollouts()
--- a/flamingofront/process/forwarding/peers.py
+++ b/flamingofront/process/forwarding/peers.py
@@ -11,10 +11,10 @@
 from flamingofront.messages import Sleep
 from flamingofront.process.forwarding.digests import decode_digest, is_digest
 from flamingofront.process.forwarding.limit_messages import (
-    is_permit_question,
     is_permit_reply,
+    is_permit_request,
 )
-from flamingofront.process.forwarding.quota_messages import is_question, is_reply
+from flamingofront.process.forwarding.quota_messages import is_quota_reply, is_quota_request
 from flamingofront.process.forwarding.relaying import (
     DIGEST_SECONDS,
     TICKS_PER_REPORT,
@@ -22,7 +22,7 @@
     RelayListener,
 )
 from flamingofront.process.forwarding.reports import (
-    LoadNote,
+    LoadDelta,
     PeerReport,
     PeerTable,
     decode_note,
@@ -48,7 +48,7 @@
 TRAVEL_SECONDS = 0.05
 # Most peers that are told directly. With more of them word goes through relays, so that what a
 # process sends and hears does not grow with their number.
-MAX_TOLD = 16
+MAX_DIRECT_PEERS = 16
 # Age of word that comes through relays: half of a report's pause, of a digest's to other zones and
 # of one to the own, and three ways.
 RELAYED_SECONDS = 0.8
@@ -81,9 +81,9 @@
 
 def _kind_of(data: bytes) -> str:
     """Return the kind of a datagram, for the metrics."""
-    if is_question(data) or is_reply(data):
+    if is_quota_request(data) or is_quota_reply(data):
         return "quota"
-    if is_permit_question(data) or is_permit_reply(data):
+    if is_permit_request(data) or is_permit_reply(data):
         return "limit"
     return "digest" if is_digest(data) else "note" if is_note(data) else "report"
 
@@ -118,7 +118,7 @@
         own_report: Callable[[], PeerReport],
         send: Callable[[bytes, tuple[str, int]], None],
         on_report: Callable[[PeerReport, float | None], None],
-        on_note: Callable[[LoadNote], None],
+        on_note: Callable[[LoadDelta], None],
         relay_listener: RelayListener,
         store: TableStore,
         tasks: TaskRunner,
@@ -168,7 +168,7 @@
     @property
     def many(self) -> bool:
         """True if there are too many processes for each to tell all others."""
-        return len(self._ips) > MAX_TOLD
+        return len(self._ips) > MAX_DIRECT_PEERS
 
     def counts_directly(self) -> bool:
         """Tell whether quotas follow the reports that are heard directly."""
@@ -179,20 +179,22 @@
         if self.many:
             return self.relaying.loads()
         now = self._timers.now()
-        heard = self.table.heard(now)
-        return [load_of(each, self.table.gap(each.vm_id, now) or 0.0) for each in heard]
+        heard = self.table.live_reports(now)
+        return [
+            load_of(each, self.table.seconds_since_report(each.vm_id, now) or 0.0) for each in heard
+        ]
 
-    def silent_zones(self) -> frozenset[str]:
+    def unreachable_zones(self) -> frozenset[str]:
         """Return the zones of which nobody is heard any more."""
         if self.many:
-            return self.relaying.silent_zones()
-        return self.table.silent_zones(self._timers.now())
+            return self.relaying.unreachable_zones()
+        return self.table.unreachable_zones(self._timers.now())
 
     def heard_count(self) -> int:
         """Return the number of other processes of which word comes."""
         if self.many:
             return self.relaying.counts()[1] - 1
-        return len(self.table.heard(self._timers.now()))
+        return len(self.table.live_reports(self._timers.now()))
 
     def member_count(self) -> int:
         """Return the number of entry processes, this one included.
@@ -235,7 +237,7 @@
 
     def starts(self) -> list[float]:
         """Return when the processes that are heard began, on the wall clock; this one included."""
-        told = self.relaying.relays_heard() if self.many else []
+        told = self.relaying.live_relays() if self.many else []
         known = (self._own, *self.table.members(self._timers.now()), *told)
         return [each.incarnation / 1000 for each in known]
 
@@ -254,7 +256,7 @@
     def _log_hearing(self) -> None:
         """Tell how many members are heard in each zone, and who is missing, when that changed."""
         now = self._timers.now()
-        heard = self.table.heard(now)
+        heard = self.table.live_reports(now)
         zones = dict(sorted(Counter(each.zone for each in heard).items()))
         names = {each.vm_id for each in heard}
         known = self.table.members(now)
@@ -351,8 +353,10 @@
         if self.many:
             self.relaying.tell_zone_now()
             return
-        heard = [each for each in self.table.heard(self._timers.now()) if self._is_near(each)]
-        if any(not each.follows for each in heard):
+        heard = [
+            each for each in self.table.live_reports(self._timers.now()) if self._is_near(each)
+        ]
+        if any(not each.watches_store for each in heard):
             self._send_to([each.ip for each in heard], without_counts(self._own_report()))
 
     def tell_leaving(self) -> None:
@@ -371,15 +375,15 @@
         A prompt is read within 20 to 200 ms, so that reports alone, a quarter of a second apart,
         come when it is over. Among many processes the relays are told, of large prompts only.
         """
-        note = LoadNote(self._own.vm_id, self._own.incarnation, sequence, changes)
+        note = LoadDelta(self._own.vm_id, self._own.incarnation, sequence, changes)
         if self.many:
             self._tell_large(note)
             return
         data = encode_note(note)
-        for each in self.table.heard(self._timers.now()):
+        for each in self.table.live_reports(self._timers.now()):
             self._send_one(data, each.ip)
 
-    def _tell_large(self, note: LoadNote) -> None:
+    def _tell_large(self, note: LoadDelta) -> None:
         """Tell the relays of large prompts, and those who share their endpoints."""
         large = {name: each for name, each in note.changes.items() if each[1] >= NOTED_TOKENS}
         if not large:
@@ -413,11 +417,11 @@
         ValueError
             If it is malformed, of another version, or tells of another VM than its sender's.
         """
-        if is_question(data):
+        if is_quota_request(data):
             self.on_question(data, ip)
-        elif is_reply(data):
+        elif is_quota_reply(data):
             self.on_reply(data, ip)
-        elif is_permit_question(data):
+        elif is_permit_request(data):
             self.on_permit_question(data, ip)
         elif is_permit_reply(data):
             self.on_permit_reply(data, ip)
@@ -443,8 +447,8 @@
 
     def _received_report(self, report: PeerReport) -> None:
         now = self._timers.now()
-        self.table.expect_every(self.period())
-        gap = self.table.gap(report.vm_id, now)
+        self.table.set_report_period(self.period())
+        gap = self.table.seconds_since_report(report.vm_id, now)
         if not self.table.take(report, now):
             return
         if gap is None:
@@ -454,7 +458,7 @@
         self._ips.update(each for each in report.peers if each != self._own.ip)
         self._on_report(report, gap)
 
-    def _received_note(self, note: LoadNote) -> None:
+    def _received_note(self, note: LoadDelta) -> None:
         """Take a note; among many processes it counts by itself, and its sender is not heard."""
         if self.many or self.table.note(note):
             self._on_note(note)
--- a/flamingofront/process/forwarding/quota_arbiter.py
+++ b/flamingofront/process/forwarding/quota_arbiter.py
@@ -11,20 +11,20 @@
 
 from flamingofront.decisions.quota import SharedQuota
 from flamingofront.process.forwarding.inquiries import (
-    Decider,
+    ArbiterClient,
+    ArbiterContext,
+    ArbiterProtocol,
     DecisionRequest,
-    Inquirer,
-    Inquiries,
-    RepliesSent,
+    ReplyCache,
 )
 from flamingofront.process.forwarding.quota_messages import (
-    QuotaQuestion,
     QuotaReply,
+    QuotaRequest,
     Verdict,
-    decode_question,
-    decode_reply,
-    encode_question,
-    encode_reply,
+    decode_quota_reply,
+    decode_quota_request,
+    encode_quota_reply,
+    encode_quota_request,
 )
 from flamingofront.process.logs import Log
 from flamingofront.process.metrics import Metrics
@@ -32,7 +32,7 @@
 from flamingofront.request.quota_gate import QuotaDecision, QuotaGate
 from flamingofront.version.forwarding import ForwardedWorkspace
 
-__all__ = ["QuotaArbiters", "QuotaView"]
+__all__ = ["QuotaArbiters", "QuotaContext"]
 
 # A process that has been the first in rank for so long knows all that was taken without it.
 SETTLED_SECONDS = 2.0
@@ -40,12 +40,12 @@
 
 
 @dataclass(frozen=True)
-class QuotaView:
+class QuotaContext:
     """What the arbitration needs to know of its process.
 
     Parameters
     ----------
-    own_ip : str
+    local_ip : str
         IP number of this process.
     incarnation : int
         Start of this process, in milliseconds.
@@ -53,7 +53,7 @@
         Returns, for the name of a workspace, the IP numbers of the processes in their order.
     workspaces : callable
         Returns the workspaces of the configuration in force, by name.
-    knows_less : callable
+    should_defer : callable
         Returns True if other processes are to decide: they may know what was taken before this one
         began.
     lost_memory : callable
@@ -64,11 +64,11 @@
         processes; 1 if there seems to be none.
     """
 
-    own_ip: str
+    local_ip: str
     incarnation: int
     ranked: Callable[[str], list[str]]
     workspaces: Callable[[], Mapping[str, ForwardedWorkspace]]
-    knows_less: Callable[[], bool]
+    should_defer: Callable[[], bool]
     lost_memory: Callable[[], bool]
     sides: Callable[[str], int]
 
@@ -87,7 +87,7 @@
         return self.workspace.name
 
 
-class QuotaArbiters(QuotaGate, Decider[_QuotaRequest]):
+class QuotaArbiters(QuotaGate, ArbiterProtocol[_QuotaRequest]):
     """Has requests of workspaces with a quota decided on, here or at another process.
 
     Parameters
@@ -99,7 +99,7 @@
     def __init__(
         self,
         quota: SharedQuota,
-        view: QuotaView,
+        view: QuotaContext,
         send: Callable[[bytes, str], None],
         timers: TimerService,
         metrics: Metrics,
@@ -111,11 +111,11 @@
         self._timers = timers
         self._metrics = metrics
         self._log = log
-        inquirer = Inquirer(view.own_ip, view.incarnation, view.ranked)
-        self._inquiries: Inquiries[_QuotaRequest] = Inquiries(
+        inquirer = ArbiterContext(view.local_ip, view.incarnation, view.ranked)
+        self._inquiries: ArbiterClient[_QuotaRequest] = ArbiterClient(
             "quota", self, inquirer, send, timers, metrics, log
         )
-        self._sent: RepliesSent[QuotaReply] = RepliesSent()
+        self._sent: ReplyCache[QuotaReply] = ReplyCache()
         self._first_since: dict[str, float] = {}
         self._settled: set[str] = set()
 
@@ -127,7 +127,9 @@
         """Take note since when this process is the first in rank, by workspace."""
         now = self._timers.now()
         limited = [each.name for each in self._view.workspaces().values() if each.rate > 0]
-        own = [name for name in limited if self._view.ranked(name)[:1] == [self._view.own_ip]]
+        own = [
+            name for name in limited if self._view.rank_arbiters(name)[:1] == [self._view.local_ip]
+        ]
         known = self._first_since
         self._first_since = {name: known.get(name, now) for name in own}
         self._settle(now)
@@ -142,7 +144,7 @@
         workspaces = self._view.workspaces()
         if self._view.lost_memory():
             for name in settled - self._settled:
-                self._quota.begin_as_arbiter(workspaces[name], now)
+                self._quota.start_as_arbiter(workspaces[name], now)
         self._settled = settled
 
     # Asking
@@ -161,19 +163,19 @@
 
     def question(self, number: int, request: _QuotaRequest) -> bytes:
         """Return the datagram that asks whether a request may pass."""
-        return encode_question(QuotaQuestion(number, request.workspace.name, request.units))
+        return encode_quota_request(QuotaRequest(number, request.workspace.name, request.units))
 
     def decide_here(self, request: _QuotaRequest) -> bool:
         """Decide on a request for all processes; False if others are to."""
-        if self._view.knows_less():
+        if self._view.should_defer():
             return False
         request.then(QuotaDecision(self._wait(request.workspace, request.units)))
         return True
 
     def decide_alone(self, request: _QuotaRequest) -> None:
         """Decide by the own part of what is left, since nobody who decides for all is reached."""
-        is_newcomer = self._view.knows_less()
-        wait_of = self._quota.wait_as_newcomer if is_newcomer else self._quota.wait
+        is_newcomer = self._view.should_defer()
+        wait_of = self._quota.get_wait_as_newcomer if is_newcomer else self._quota.get_wait
         request.then(QuotaDecision(wait_of(request.workspace, request.units, self._timers.now())))
 
     def unused(self, workspace: ForwardedWorkspace, units: float, decision: QuotaDecision) -> None:
@@ -182,8 +184,8 @@
             self._give_back(workspace.name, units, decision.arbiter)
 
     def _give_back(self, name: str, units: float, ip: str) -> None:
-        question = QuotaQuestion(self._inquiries.next_number(), name, -units)
-        self._send(encode_question(question), ip)
+        question = QuotaRequest(self._inquiries.next_number(), name, -units)
+        self._send(encode_quota_request(question), ip)
 
     def take_reply(self, data: bytes, ip: str) -> None:
         """Take the reply of an arbiter.
@@ -193,7 +195,7 @@
         ValueError
             If it is malformed.
         """
-        reply = decode_reply(data)
+        reply = decode_quota_reply(data)
         if reply.verdict is Verdict.NOT_HERE:
             self._inquiries.declined(reply.number, ip)
             return
@@ -219,35 +221,37 @@
         ValueError
             If it is malformed.
         """
-        question = decode_question(data)
+        question = decode_quota_request(data)
         workspace = self._view.workspaces().get(question.workspace)
         if question.units < 0:
             if workspace is not None:
-                self._quota.give_back(workspace, -question.units, self._timers.now())
+                self._quota.refund_grant(workspace, -question.units, self._timers.now())
             return
         reply = self._sent.once(ip, question.number, lambda: self._reply(question, workspace))
         self._metrics.count("quota_replies_total", verdict=reply.verdict.name.lower())
-        self._send(encode_reply(reply), ip)
+        self._send(encode_quota_reply(reply), ip)
 
-    def _reply(self, question: QuotaQuestion, workspace: ForwardedWorkspace | None) -> QuotaReply:
+    def _reply(self, question: QuotaRequest, workspace: ForwardedWorkspace | None) -> QuotaReply:
         if workspace is None or not self._may_decide(workspace.name):
             return QuotaReply(question.number, Verdict.NOT_HERE)
         now = self._timers.now()
         wait = self._wait(workspace, question.units)
         if wait <= 0:
             is_alone = workspace.name in self._settled or not self._view.lost_memory()
-            self._quota.charge_ahead(workspace, question.units, is_alone, now)
+            self._quota.charge_grant(workspace, question.units, is_alone, now)
         verdict = Verdict.REFUSED if wait > 0 else Verdict.ALLOWED
-        state = self._quota.state(workspace, now)
+        state = self._quota.get_state(workspace, now)
         return QuotaReply(question.number, verdict, max(0.0, wait), state)
 
     def _may_decide(self, name: str) -> bool:
         """Tell whether this process is among those that it would ask itself."""
-        return self._view.own_ip in self._view.ranked(name) and not self._view.knows_less()
+        return (
+            self._view.local_ip in self._view.rank_arbiters(name) and not self._view.should_defer()
+        )
 
     def _wait(self, workspace: ForwardedWorkspace, units: float) -> float:
         now = self._timers.now()
         if workspace.name in self._settled:
-            return self._quota.wait_as_arbiter(workspace, units, now)
+            return self._quota.get_wait_as_arbiter(workspace, units, now)
         sides = self._view.sides(workspace.name)
-        return self._quota.wait_as_new_arbiter(workspace, units, sides, now)
+        return self._quota.get_wait_as_new_arbiter(workspace, units, sides, now)
--- a/flamingofront/process/forwarding/quota_members.py
+++ b/flamingofront/process/forwarding/quota_members.py
@@ -31,15 +31,15 @@
         self._window = window
         self._timers = timers
 
-    def by_hash(self, key: str) -> list[str]:
+    def rank_by_hash(self, key: str) -> list[str]:
         """Return the IP numbers of the processes that may decide on something, the first one first.
 
         Notes
         -----
         Among many processes these are the relays: they alone hear all the others.
         """
-        if self._peers.many:
-            return self._peers.relaying.ranked_relays(key)
+        if self._peers.is_relayed:
+            return self._peers.relaying.rank_relays(key)
         ips = {each.vm_id: each.ip for each in self._heard()} | {self._own.vm_id: self._own.ip}
         return [ips[name] for name in rank(key, ips)]
 
@@ -53,14 +53,14 @@
         """
         heard = self._heard()
         new = {each.ip for each in (*heard, *self._relays(), self._own_now()) if self._is_new(each)}
-        return sorted(self.by_hash(workspace), key=lambda ip: ip in new)
+        return sorted(self.rank_by_hash(workspace), key=lambda ip: ip in new)
 
     def _heard(self) -> list[PeerReport]:
-        heard = self._peers.table.heard(self._timers.now())
+        heard = self._peers.table.live_reports(self._timers.now())
         return [each for each in heard if not each.leaving]
 
     def _relays(self) -> list[PeerReport]:
-        return self._peers.relaying.relays_heard() if self._peers.many else []
+        return self._peers.relaying.live_relays() if self._peers.is_relayed else []
 
     def _own_now(self) -> PeerReport:
         return replace(self._own, wall=self._timers.wall())
@@ -68,12 +68,12 @@
     def _is_new(self, report: PeerReport) -> bool:
         return report.wall - report.incarnation / 1000 < self._window
 
-    def any_is_new(self) -> bool:
+    def has_recent_restart(self) -> bool:
         """Tell whether a process that is heard, or this one, began within the quotas' window."""
         wall = self._timers.wall()
-        return any(wall - began < self._window for began in self._peers.starts())
+        return any(wall - began < self._window for began in self._peers.start_times())
 
-    def is_new_among_older(self) -> bool:
+    def is_newcomer(self) -> bool:
         """Tell whether others may know what was taken of the quotas before this process began."""
         if not self._is_new(self._own_now()):
             return False
@@ -99,23 +99,27 @@
         return 1 + sum(now - at > late for zone, at in zones.items() if zone != self._own.zone)
 
     def _late(self) -> float:
-        return UNHEARD_REPORTS * self._peers.period()
+        return UNHEARD_REPORTS * self._peers.report_period()
 
     def _last_heard_by_zone(self, now: float) -> dict[str, float]:
         """Return when any process of each zone was heard last; never counts as long ago."""
         table, relaying = self._peers.table, self._peers.relaying
-        found = dict.fromkeys((self._own.zone, *relaying.zones()), -math.inf)
+        found = dict.fromkeys((self._own.zone, *relaying.known_zones()), -math.inf)
         for each in table.members(now):
-            at = now - (table.gap(each.vm_id, now) or 0.0)
+            at = now - (table.seconds_since_report(each.vm_id, now) or 0.0)
             found[each.zone] = max(at, found.get(each.zone, -math.inf))
-        if self._peers.many:
-            for zone, at in relaying.last_told().items():
+        if self._peers.is_relayed:
+            for zone, at in relaying.last_digest_times().items():
                 found[zone] = max(at, found.get(zone, -math.inf))
         return found
 
     def _heard_lately(self, ip: str, now: float) -> bool:
         table = self._peers.table
-        gaps = [table.gap(each.vm_id, now) for each in table.heard(now) if each.ip == ip]
-        if self._peers.many:
-            gaps += [now - at for at in self._peers.relaying.heard_at(ip)]
+        gaps = [
+            table.seconds_since_report(each.vm_id, now)
+            for each in table.live_reports(now)
+            if each.ip == ip
+        ]
+        if self._peers.is_relayed:
+            gaps += [now - at for at in self._peers.relaying.digest_times(ip)]
         return any(gap <= self._late() for gap in gaps)
--- a/flamingofront/process/forwarding/quota_messages.py
+++ b/flamingofront/process/forwarding/quota_messages.py
@@ -5,18 +5,18 @@
 
 import orjson
 
-from flamingofront.decisions.quota_facts import QuotaRule, QuotaState
+from flamingofront.decisions.quota_facts import QuotaRejectReason, QuotaState
 
 __all__ = [
-    "QuotaQuestion",
+    "QuotaRequest",
     "QuotaReply",
     "Verdict",
-    "decode_question",
-    "decode_reply",
-    "encode_question",
-    "encode_reply",
-    "is_question",
-    "is_reply",
+    "decode_quota_request",
+    "decode_quota_reply",
+    "encode_quota_request",
+    "encode_quota_reply",
+    "is_quota_request",
+    "is_quota_reply",
 ]
 
 _QUESTION = b"?"
@@ -34,7 +34,7 @@
 
 
 @dataclass(frozen=True)
-class QuotaQuestion:
+class QuotaRequest:
     """Whether a request of a workspace may pass, or that one which was allowed has not passed.
 
     Parameters
@@ -68,23 +68,23 @@
     state: QuotaState = QuotaState()
 
 
-def is_question(data: bytes) -> bool:
+def is_quota_request(data: bytes) -> bool:
     """Tell whether a datagram is a question."""
     return data.startswith(_QUESTION)
 
 
-def is_reply(data: bytes) -> bool:
+def is_quota_reply(data: bytes) -> bool:
     """Tell whether a datagram is a reply."""
     return data.startswith(_REPLY)
 
 
-def encode_question(question: QuotaQuestion) -> bytes:
+def encode_quota_request(question: QuotaRequest) -> bytes:
     """Return the datagram of a question."""
     fields = (question.number, question.workspace, round(question.units, 3))
     return _QUESTION + orjson.dumps(fields)
 
 
-def encode_reply(reply: QuotaReply) -> bytes:
+def encode_quota_reply(reply: QuotaReply) -> bytes:
     """Return the datagram of a reply."""
     state = reply.state
     fields = (
@@ -101,7 +101,7 @@
     return _REPLY + orjson.dumps(fields)
 
 
-def decode_question(data: bytes) -> QuotaQuestion:
+def decode_quota_request(data: bytes) -> QuotaRequest:
     """Return the question in a datagram; fields that a newer version has appended are ignored.
 
     Raises
@@ -111,12 +111,12 @@
     """
     try:
         number, workspace, units = orjson.loads(data[1:])[:3]
-        return QuotaQuestion(int(number), str(workspace), float(units))
+        return QuotaRequest(int(number), str(workspace), float(units))
     except (TypeError, ValueError) as exc:
         raise ValueError(f"malformed question: {exc!r:.100}") from exc
 
 
-def decode_reply(data: bytes) -> QuotaReply:
+def decode_quota_reply(data: bytes) -> QuotaReply:
     """Return the reply in a datagram; fields that a newer version has appended are ignored.
 
     Raises
@@ -134,10 +134,10 @@
         raise ValueError(f"malformed reply: {exc!r:.100}") from exc
 
 
-def _further(values: list) -> tuple[float, float, QuotaRule, float | None]:
+def _further(values: list) -> tuple[float, float, QuotaRejectReason, float | None]:
     """Return the further fields of a state; a process of an earlier version tells none."""
     if len(values) < 3:
-        return 1.0, 0.0, QuotaRule.NONE, None
+        return 1.0, 0.0, QuotaRejectReason.NONE, None
     heard_share, rule, since_start = values
     left = None if since_start is None else float(since_start)
-    return float(heard_share), 0.0, QuotaRule(rule), left
+    return float(heard_share), 0.0, QuotaRejectReason(rule), left
--- a/flamingofront/process/forwarding/readers.py
+++ b/flamingofront/process/forwarding/readers.py
@@ -11,16 +11,16 @@
 from flamingofront.process.forwarding.reports import PeerReport
 from flamingofront.process.rendezvous import rank
 
-__all__ = ["HEARD_READERS", "READERS_PER_ZONE", "StoreReaders"]
+__all__ = ["MIN_LIVE_WATCHERS", "READERS_PER_ZONE", "ZoneWatchers"]
 
 # Processes of a zone that follow the store: if one is cut off and another dies, one is left.
 READERS_PER_ZONE = 3
 # The others rest while they hear so many of them.
-HEARD_READERS = 2
+MIN_LIVE_WATCHERS = 2
 _KEY = "store"
 
 
-class StoreReaders:
+class ZoneWatchers:
     """Tells whether this process has to follow the store.
 
     Parameters
@@ -38,14 +38,14 @@
 
     def may_rest(self) -> bool:
         """Return whether others of the zone follow the store for this process too."""
-        able = [
+        candidates = [
             each
             for each in self._heard()
-            if each.zone == self._zone and not each.cut_off and not each.leaving
+            if each.zone == self._zone and not each.store_unreachable and not each.leaving
         ]
-        if len(able) < READERS_PER_ZONE:
+        if len(candidates) < READERS_PER_ZONE:
             return False
-        members = {self._vm_id, *(each.vm_id for each in able)}
+        members = {self._vm_id, *(each.vm_id for each in candidates)}
         if self._vm_id in rank(_KEY, members)[:READERS_PER_ZONE]:
             return False
-        return sum(each.follows for each in able) >= HEARD_READERS
+        return sum(each.watches_store for each in candidates) >= MIN_LIVE_WATCHERS
--- a/flamingofront/process/forwarding/relay_hearing.py
+++ b/flamingofront/process/forwarding/relay_hearing.py
@@ -87,7 +87,10 @@
         if self.is_relay:
             return False
         relays = [each.digest.relay for each in self._fresh()]
-        return any(each.follows and not each.cut_off and not each.leaving for each in relays)
+        return any(
+            each.watches_store and not each.store_unreachable and not each.leaving
+            for each in relays
+        )
 
     def _fresh(self) -> list[HeardDigest]:
         """Return the last digest of each relay of the zone that is heard now, newest first."""
@@ -117,7 +120,7 @@
 
     def _zone_reports(self) -> list[PeerReport]:
         """Return the reports of the zone's other processes that are heard directly."""
-        heard = self._table.heard(self._timers.now())
+        heard = self._table.live_reports(self._timers.now())
         return [each for each in heard if each.zone == self._own.zone]
 
     def _members(self) -> dict[str, str]:
@@ -166,7 +169,9 @@
         """
         if not self.is_relay:
             at = max((each.at for each in self._zone.values()), default=-math.inf)
-            return {zone: at for zone in set(self.zones()) - {self._own.zone, *self.silent_zones()}}
+            return {
+                zone: at for zone in set(self.zones()) - {self._own.zone, *self.unreachable_zones()}
+            }
         return {
             zone: max((each.at for each in by_relay.values()), default=-math.inf)
             for zone, by_relay in self._elsewhere.items()
@@ -219,7 +224,7 @@
         fresh = [*self._fresh(), *self._fresh_elsewhere().values()]
         return [each.digest.wall - each.at for each in fresh]
 
-    def silent_zones(self) -> frozenset[str]:
+    def unreachable_zones(self) -> frozenset[str]:
         """Return the zones of which nobody is heard any more."""
         fresh = self._fresh()
         if not self.is_relay:
@@ -246,14 +251,16 @@
 
     def _zone_loads(self) -> list[OthersLoad]:
         now = self._timers.now()
-        gap = self._table.gap
+        gap = self._table.seconds_since_report
         return [load_of(each, gap(each.vm_id, now) or 0.0) for each in self._zone_reports()]
 
     def _elsewhere_loads(self) -> list[OthersLoad]:
         now = self._timers.now()
         told = self._fresh_elsewhere()
         found = [load_without(each.digest, None, now - each.at) for each in told.values()]
-        for report in self._table.heard(now):
+        for report in self._table.live_reports(now):
             if report.zone != self._own.zone and report.zone not in told:
-                found.append(load_of(report, self._table.gap(report.vm_id, now) or 0.0))
+                found.append(
+                    load_of(report, self._table.seconds_since_report(report.vm_id, now) or 0.0)
+                )
         return found
--- a/flamingofront/process/forwarding/relaying.py
+++ b/flamingofront/process/forwarding/relaying.py
@@ -238,7 +238,7 @@
             heard=heard,
             loads=total_loads(loads),
             claim=self._claim(own, elsewhere=scope == ALL_ZONES),
-            silent=tuple(sorted(self.silent_zones())) if self.is_relay else (),
+            silent=tuple(sorted(self.unreachable_zones())) if self.is_relay else (),
             demand=add_demand(loads),
             work=add_work(loads),
         )
@@ -275,7 +275,7 @@
         now = self._timers.now()
         claims = [Claim(own.fencing, own.lease_version, own.released, own.ip)]
         for each in self._zone_reports():
-            if (self._table.gap(each.vm_id, now) or 0.0) <= CLAIM_SECONDS:
+            if (self._table.seconds_since_report(each.vm_id, now) or 0.0) <= CLAIM_SECONDS:
                 claims.append(Claim(each.fencing, each.lease_version, each.released, each.ip))
         if elsewhere:
             told = self._fresh_elsewhere().values()
--- a/flamingofront/process/forwarding/reports.py
+++ b/flamingofront/process/forwarding/reports.py
@@ -2,7 +2,7 @@
 
 A report goes out in two forms: with the counts that only some of the processes need (usage,
 demand), and without them. A process that hears the short form keeps the demand that it was told
-before. Between two reports a `LoadNote` tells at once what was placed at an endpoint and what an
+before. Between two reports a `LoadDelta` tells at once what was placed at an endpoint and what an
 endpoint has read.
 """
 
@@ -13,14 +13,17 @@
 
 import orjson
 
-from flamingofront.decisions.quarantine_facts import QuarantineWord
+from flamingofront.decisions.quarantine_facts import QuarantineUpdate
 from flamingofront.decisions.rollout import Phase
 from flamingofront.process.forwarding.limit_messages import decode_limits, encode_limits
-from flamingofront.process.quarantine_codec import decode_word, encode_word
+from flamingofront.process.quarantine_codec import (
+    decode_quarantine_update,
+    encode_quarantine_update,
+)
 from flamingofront.request.endpoint_limits import EndpointLimit
 
 __all__ = [
-    "LoadNote",
+    "LoadDelta",
     "PeerReport",
     "PeerTable",
     "ProcessCounts",
@@ -98,7 +101,7 @@
         report does not tell it.
     rollouts : mapping of str to (int, int)
         Number of the order and phase of each roll-out that it knows, by service.
-    quarantine : QuarantineWord, optional
+    quarantine : QuarantineUpdate, optional
         Endpoints that have just ended and what ran there, and requests that are not run. None if
         there are none.
     limits : tuple of EndpointLimit
@@ -135,7 +138,7 @@
     demand: Mapping[str, float] | None = None
     work: Mapping[str, tuple[float, float]] | None = None
     rollouts: Mapping[str, tuple[int, int]] = field(default_factory=dict)
-    quarantine: QuarantineWord | None = None
+    quarantine: QuarantineUpdate | None = None
     limits: tuple[EndpointLimit, ...] = ()
     leaving_endpoints: tuple[tuple[str, int], ...] = ()
     position: int = 0
@@ -153,7 +156,7 @@
 
 
 _FIELDS = tuple(each.name for each in dataclasses.fields(PeerReport))
-_ENCODERS = {"quarantine": encode_word, "limits": encode_limits}
+_ENCODERS = {"quarantine": encode_quarantine_update, "limits": encode_limits}
 _REQUIRED = sum(
     each.default is dataclasses.MISSING and each.default_factory is dataclasses.MISSING
     for each in dataclasses.fields(PeerReport)
@@ -188,8 +191,8 @@
         raise ValueError("malformed report: not a list of its fields")
     named = dict(zip(_FIELDS, values, strict=False))
     named["peers"] = _texts(named.get("peers", ()))
-    named["rollouts"] = rollout_word(named.get("rollouts", {}))
-    named["quarantine"] = decode_word(named.get("quarantine"))
+    named["rollouts"] = decode_rollouts(named.get("rollouts", {}))
+    named["quarantine"] = decode_quarantine_update(named.get("quarantine"))
     named["limits"] = decode_limits(named.get("limits", ()))
     named["leaving_endpoints"] = decode_starts(named.get("leaving_endpoints", ()))
     named["ages"] = decode_ages(named.get("ages", (None, None)))
@@ -202,7 +205,7 @@
     return tuple(value)
 
 
-def rollout_word(value: Any) -> dict[str, tuple[int, int]]:
+def decode_rollouts(value: Any) -> dict[str, tuple[int, int]]:
     """Return the number of the order and the phase of each roll-out, as they were told.
 
     Raises
@@ -246,7 +249,7 @@
 
 
 @dataclass(frozen=True)
-class LoadNote:
+class LoadDelta:
     """What changed at the endpoints since a report.
 
     Parameters
@@ -272,12 +275,12 @@
     return data.startswith(_NOTE_START)
 
 
-def encode_note(note: LoadNote) -> bytes:
+def encode_note(note: LoadDelta) -> bytes:
     """Return the datagram of a note."""
     return orjson.dumps({"load": [note.vm_id, note.incarnation, note.sequence, note.changes]})
 
 
-def decode_note(data: bytes) -> LoadNote:
+def decode_note(data: bytes) -> LoadDelta:
     """Return the note in a datagram.
 
     Raises
@@ -290,7 +293,7 @@
         found = {name: (int(each[0]), int(each[1])) for name, each in changes.items()}
     except (KeyError, TypeError, IndexError, AttributeError, ValueError) as exc:
         raise ValueError(f"malformed note: {exc!r}") from exc
-    return LoadNote(str(vm_id), int(incarnation), int(sequence), found)
+    return LoadDelta(str(vm_id), int(incarnation), int(sequence), found)
 
 
 @dataclass(frozen=True)
@@ -335,7 +338,7 @@
         self._heard[report.vm_id] = _Heard(report, now, report.wall - now)
         return True
 
-    def note(self, note: LoadNote) -> bool:
+    def note(self, note: LoadDelta) -> bool:
         """Add a note to the last report of its sender; False if that report tells it already."""
         known = self._heard.get(note.vm_id)
         if known is None:
@@ -361,7 +364,7 @@
         """Return the last reports of the processes within hearing."""
         return [each.report for each in self._heard.values() if self.in_hearing(now - each.at)]
 
-    def silent_zones(self, now: float) -> frozenset[str]:
+    def unreachable_zones(self, now: float) -> frozenset[str]:
         """Return the zones of which two members or more were heard, and none is any more."""
         heard: dict[str, int] = {}
         silent: dict[str, int] = {}
--- a/flamingofront/process/forwarding/rollouts.py
+++ b/flamingofront/process/forwarding/rollouts.py
@@ -6,24 +6,24 @@
 from dataclasses import dataclass, field, replace
 
 from flamingofront.decisions.rollout import (
-    EXPOSED_PART,
-    Evidence,
+    EXPOSED_FRACTION,
     Phase,
-    RolloutOrder,
+    RolloutEvidence,
+    RolloutSpec,
     RolloutStatus,
     Tally,
     VersionRule,
+    is_worse,
     next_phase,
-    seems_bad,
 )
 from flamingofront.errors import PlatformError
 from flamingofront.messages import Sleep
-from flamingofront.process.forwarding.duty import DutyLease
+from flamingofront.process.forwarding.duty import LeaderLease
 from flamingofront.process.logs import Log
-from flamingofront.process.store import RowCondition, RowWrite, TableStore, era_of
+from flamingofront.process.store import RowCondition, RowWrite, TableStore, get_era
 from flamingofront.process.tasks import Task
 
-__all__ = ["RolloutDuty", "RolloutRows", "Rollouts"]
+__all__ = ["RolloutController", "RolloutRows", "Rollouts"]
 
 STEP_SECONDS = 0.5
 # An order is begun so long after it was seen: others may know it as one that is over, of which the
@@ -39,25 +39,25 @@
 class _Rollout:
     """A roll-out that is known here; times on the own clock."""
 
-    order: RolloutOrder
+    order: RolloutSpec
     seen_at: float
     phase: Phase = Phase.ORDERED
     sums: Counter[tuple[str, str]] = field(default_factory=Counter)
     stopped: bool = False
-    withheld: frozenset[str] = frozenset()
+    blocked: frozenset[str] = frozenset()
 
     def tally(self, side: str) -> Tally:
         return Tally(self.sums[side, _GOOD], self.sums[side, _BAD])
 
 
-def _withheld_after(known: _Rollout | None, order: RolloutOrder) -> frozenset[str]:
+def _withheld_after(known: _Rollout | None, order: RolloutSpec) -> frozenset[str]:
     """Return the versions that get nothing once an order has replaced another."""
     if known is None or known.phase is Phase.COMPLETED:
         return frozenset()
-    return (known.withheld | {known.order.version}) - {order.version}
+    return (known.blocked | {known.order.version}) - {order.version}
 
 
-def _is_rewritten(before: RolloutOrder, order: RolloutOrder) -> bool:
+def _is_rewritten(before: RolloutSpec, order: RolloutSpec) -> bool:
     """Tell whether an order is an earlier one that the store tells under another number.
 
     Notes
@@ -67,7 +67,7 @@
     again. The same order given twice in one era is a new one.
     """
     same = (before.version, before.seconds) == (order.version, order.seconds)
-    return same and era_of(before.number) < era_of(order.number)
+    return same and get_era(before.number) < get_era(order.number)
 
 
 class Rollouts:
@@ -82,7 +82,7 @@
     """
 
     def __init__(self, share: float, now: Callable[[], float], rng: random.Random, log: Log):
-        self._part = share * EXPOSED_PART
+        self._part = share * EXPOSED_FRACTION
         self._now = now
         self._rng = rng
         self._log = log
@@ -94,7 +94,7 @@
         self.on_order: Callable[[], None] = lambda: None
         self._heard: dict[tuple[str, str], float] = {}
 
-    def orders(self) -> list[RolloutOrder]:
+    def orders(self) -> list[RolloutSpec]:
         """Return the orders that are known, one a service at most."""
         return [each.order for each in self._known.values()]
 
@@ -103,7 +103,7 @@
         known = self._known.get(service)
         return known.phase if known is not None else None
 
-    def take_order(self, order: RolloutOrder) -> None:
+    def take_order(self, order: RolloutSpec) -> None:
         """Take an order in; one that replaces another begins anew."""
         known = self._known.get(order.service)
         if known is not None and known.order.number >= order.number:
@@ -119,7 +119,7 @@
             )
             return
         self._known[order.service] = _Rollout(
-            order, self._now(), withheld=_withheld_after(known, order)
+            order, self._now(), blocked=_withheld_after(known, order)
         )
         self._log.info(
             "roll-out ordered",
@@ -134,7 +134,7 @@
         """Return what is to be kept of a service's roll-out that comes to a phase now."""
         known = self._known[service]
         since = round(wall - (self._now() - known.seen_at), 3)
-        return RolloutStatus(known.order.number, known.order.version, phase, since, known.withheld)
+        return RolloutStatus(known.order.number, known.order.version, phase, since, known.blocked)
 
     def take_status(self, service: str, status: RolloutStatus, wall: float) -> None:
         """Take in how far a service's roll-out is, as an earlier holder left it."""
@@ -143,10 +143,10 @@
         if status.number == known.order.number or _is_rewritten(rewritten, known.order):
             ago = max(0.0, wall - status.since)
             known.seen_at = min(known.seen_at, self._now() - ago)
-            known.withheld |= status.withheld
+            known.blocked |= status.blocked
             self.reach(service, known.order.number, status.phase, "store")
         elif status.number < known.order.number and status.phase is not Phase.COMPLETED:
-            known.withheld |= (status.withheld | {status.version}) - {known.order.version}
+            known.blocked |= (status.blocked | {status.version}) - {known.order.version}
 
     def reach(self, service: str, number: int, phase: Phase, source: str) -> None:
         """Take word that a roll-out has come to a phase; it never goes back."""
@@ -215,7 +215,7 @@
 
     def _look(self, known: _Rollout) -> None:
         """Stop by the evidence that is heard, before any verdict."""
-        if not known.stopped and seems_bad(known.tally(_NEW), known.tally(_OLD)):
+        if not known.stopped and is_worse(known.tally(_NEW), known.tally(_OLD)):
             known.stopped = True
             self._log.warning(
                 "new version stopped here", service=known.order.service, **self._figures(known)
@@ -238,7 +238,7 @@
         exposed = known.phase in (Phase.MOVING, Phase.COMPLETED)
         if known.phase is Phase.RUNNING and is_first and not known.stopped:
             exposed = self._rng.random() < self._part
-        return VersionRule(known.order.version, exposed, known.withheld)
+        return VersionRule(known.order.version, exposed, known.blocked)
 
     def answered(self, service: str, version: str, is_bad: bool) -> None:
         """Count an answer of an endpoint."""
@@ -251,11 +251,11 @@
         self._own[name] += 1
         self._add(name, 1)
 
-    def evidence(self, service: str, clear: float) -> Evidence:
+    def evidence(self, service: str, clear: float) -> RolloutEvidence:
         """Return what is known of a service's roll-out."""
         known = self._known[service]
         age = self._now() - known.seen_at
-        return Evidence(known.tally(_NEW), known.tally(_OLD), age, clear)
+        return RolloutEvidence(known.tally(_NEW), known.tally(_OLD), age, clear)
 
 
 @dataclass(frozen=True)
@@ -267,20 +267,20 @@
     service_of : callable
         Returns the service that a key of the table of orders is about, empty for other keys.
     decode_order : callable
-        Returns the `RolloutOrder` in a row's service, value and version.
+        Returns the `RolloutSpec` in a row's service, value and version.
     status_table : str
         Where the system tells how far a roll-out is.
     """
 
     service_of: Callable[[str], str]
-    decode_order: Callable[[str, bytes, int], RolloutOrder]
+    decode_order: Callable[[str, bytes, int], RolloutSpec]
     status_table: str
     status_key: Callable[[str], str]
     encode_status: Callable[[str, RolloutStatus], bytes]
     decode_status: Callable[[bytes], RolloutStatus]
 
 
-class RolloutDuty:
+class RolloutController:
     """Gives the verdicts, as holder of the duty lease.
 
     Each step is one conditional write of the row that tells it: of two holders one fails, and a
@@ -297,7 +297,7 @@
 
     def __init__(
         self,
-        lease: DutyLease,
+        lease: LeaderLease,
         store: TableStore,
         rows: RolloutRows,
         rollouts: Rollouts,
@@ -352,7 +352,7 @@
 
     def step(self) -> Task:
         """Take each roll-out one phase further, if what is known says so."""
-        lease = self._lease.held()
+        lease = self._lease.usable_lease()
         if lease is None:
             return
         if lease.fencing != self._fencing:
@@ -368,10 +368,10 @@
             follows = next_phase(phase, order, evidence)
             # A row that a copy has set back is written again.
             is_behind = self._told.get(order.service, Phase.ORDERED) < phase
-            if (follows is not phase or is_behind) and self._lease.held() is not None:
+            if (follows is not phase or is_behind) and self._lease.usable_lease() is not None:
                 yield from self._write(order, follows)
 
-    def _evidence(self, order: RolloutOrder, phase: Phase) -> Evidence:
+    def _evidence(self, order: RolloutSpec, phase: Phase) -> RolloutEvidence:
         """Return what is known, with the time since which the old version is clear."""
         now = self._now()
         running = self._old_in_flight(order.service, order.version)
@@ -403,7 +403,7 @@
         self._told[service] = status.phase
         self._rollouts.take_status(service, status, self._wall())
 
-    def _write(self, order: RolloutOrder, phase: Phase) -> Task:
+    def _write(self, order: RolloutSpec, phase: Phase) -> Task:
         """Write a phase if the row is as it was seen last; if not, take over what it says now."""
         table, key = self._rows.status_table, self._rows.status_key(order.service)
         condition = RowCondition(table, key, self._versions[order.service])
--- a/flamingofront/process/forwarding/scaling.py
+++ b/flamingofront/process/forwarding/scaling.py
@@ -12,15 +12,15 @@
 from flamingofront.decisions.fleet_plan import FleetState, ScalingPolicy
 from flamingofront.errors import PlatformError
 from flamingofront.messages import Sleep
-from flamingofront.process.forwarding.duty import DutyLease
+from flamingofront.process.forwarding.duty import LeaderLease
 from flamingofront.process.forwarding.endpoint_row import EndpointRow
 from flamingofront.process.logs import Log
 from flamingofront.process.metrics import Metrics
-from flamingofront.process.store import Cloud, EndpointOrder
+from flamingofront.process.store import Cloud, ScalingRequest
 from flamingofront.process.tasks import Task
 from flamingofront.version.forwarding import ForwardingConfiguration
 
-__all__ = ["ScalingDuty"]
+__all__ = ["ScalingController"]
 
 STEP_SECONDS = 0.5
 # Orders for a service wait for so long after its first endpoint was seen, so that what was set up
@@ -81,7 +81,7 @@
     wanted_at: float = -math.inf
 
 
-class ScalingDuty:
+class ScalingController:
     """Sends the orders that bring the endpoints to the wanted numbers.
 
     Parameters
@@ -92,7 +92,7 @@
 
     def __init__(
         self,
-        lease: DutyLease,
+        lease: LeaderLease,
         cloud: Cloud,
         policy: ScalingPolicy,
         vm_id: str,
@@ -118,7 +118,7 @@
         self._dry_until: dict[tuple[str, str], float] = {}
         self._first_seen: dict[str, float] = {}
         self._mean: dict[str, float] = {}
-        self._found: dict[str, Counter[str]] = {}
+        self._initial_counts: dict[str, Counter[str]] = {}
         self._registering_until: dict[str, float] = {}
         self._fencing = 0
         self._register_seconds = REGISTER_SECONDS if first_start else RESTART_SECONDS
@@ -128,7 +128,7 @@
         while True:
             yield Sleep(STEP_SECONDS, relaxed=True)
             self._watch()
-            lease = self._lease.held()
+            lease = self._lease.usable_lease()
             if lease is None:
                 continue
             if lease.fencing != self._fencing:
@@ -140,7 +140,7 @@
                 except PlatformError as exc:
                     self._log.warning("order failed", order=str(order), detail=str(exc))
 
-    def wanted(self) -> Iterable[EndpointOrder]:
+    def wanted(self) -> Iterable[ScalingRequest]:
         """Return the orders that are to be sent now."""
         now = self._now()
         orders = []
@@ -151,17 +151,17 @@
                 self._live(service.name, True),
                 self._live(service.name, False),
                 self._dry(service.name, now),
-                self._found[service.name],
+                self._initial_counts[service.name],
             )
-            plan = self._policy.plan(service.scaling, self._known_demand(service.name), state)
-            for reclaimable, counts in ((True, plan.reclaimable), (False, plan.firm)):
+            plan = self._policy.plan(service.scaling, self._estimate_demand(service.name), state)
+            for reclaimable, counts in ((True, plan.reclaimable), (False, plan.on_demand)):
                 for zone, count in counts.items():
-                    order = EndpointOrder(service.name, zone, count, reclaimable)
+                    order = ScalingRequest(service.name, zone, count, reclaimable)
                     if self._is_needed(order, service.scaling.start_seconds, now):
                         orders.append(order)
         return sorted(orders, key=self._rank)
 
-    def _known_demand(self, service: str) -> Demand:
+    def _estimate_demand(self, service: str) -> Demand:
         """Return the demand, and whether requests were seen for long enough to trust it."""
         now = self._now()
         known = now - self._first_seen.get(service, now) >= OBSERVED_SECONDS
@@ -181,13 +181,13 @@
             if now > until:
                 continue
             live = self._live(service.name, True) + self._live(service.name, False)
-            found = self._found.setdefault(service.name, Counter())
+            found = self._initial_counts.setdefault(service.name, Counter())
             if live and not found:
                 self._registering_until[service.name] = now + self._register_seconds
             elif sum(live.values()) > sum(found.values()):
                 quiet = now + self._register_seconds / 2
                 self._registering_until[service.name] = max(until, quiet)
-            self._found[service.name] = found | live
+            self._initial_counts[service.name] = found | live
 
     def _is_registering(self, service: str, now: float) -> bool:
         """Tell whether endpoints of a service may not have registered yet."""
@@ -224,14 +224,14 @@
             if each.service == service and each.reclaimable is reclaimable and each.ready
         )
 
-    def _rank(self, order: EndpointOrder) -> int:
+    def _rank(self, order: ScalingRequest) -> int:
         """Return in which order to send: first what makes room within the limits at a start."""
         known = self._ordered.get(_subject(order))
         if known is None:
             return 0 if order.count == 0 else 1
         return 2 if order.count < known.granted else 1
 
-    def _is_needed(self, order: EndpointOrder, start_seconds: float, now: float) -> bool:
+    def _is_needed(self, order: ScalingRequest, start_seconds: float, now: float) -> bool:
         """Tell whether an order is to be sent now.
 
         Notes
@@ -263,11 +263,11 @@
     def _has_demand(self, service: str) -> bool:
         return service in self._first_seen
 
-    def _order(self, order: EndpointOrder) -> Task:
-        lease = self._lease.held()
+    def _order(self, order: ScalingRequest) -> Task:
+        lease = self._lease.usable_lease()
         if lease is None:
             return
-        granted = yield from self._cloud.order(self._vm_id, lease.fencing, order)
+        granted = yield from self._cloud.request_endpoints(self._vm_id, lease.fencing, order)
         result = "granted" if granted else "refused"
         self._metrics.count("orders_total", kind="endpoints", result=result)
         now = self._now()
@@ -309,5 +309,5 @@
     return start_seconds + REFUSED_SECONDS if live < wanted else REPEAT_SECONDS
 
 
-def _subject(order: EndpointOrder) -> _Subject:
+def _subject(order: ScalingRequest) -> _Subject:
     return _Subject(order.service, order.zone, order.reclaimable)
--- a/flamingofront/process/forwarding/shutdown.py
+++ b/flamingofront/process/forwarding/shutdown.py
@@ -6,7 +6,7 @@
 from flamingofront.errors import ErrorKind, RequestError
 from flamingofront.process.forwarding.node import ForwardingNode
 
-__all__ = ["GracefulStop"]
+__all__ = ["GracefulShutdown"]
 
 # The balancer asks once a second and turns away after two misses; until then new connections still
 # come here, and kept ones carry new requests.
@@ -19,7 +19,7 @@
 EXIT_MARGIN_SECONDS = 0.05
 
 
-class GracefulStop:
+class GracefulShutdown:
     """Stops being ready, goes on serving, and exits once nothing is left to answer.
 
     Parameters
@@ -58,7 +58,7 @@
         self._callers.closing = True
         self._node.hub.shutdown_seconds_left = lambda: self._left(ANSWER_MARGIN_SECONDS)
         self._node.tasks.start(self._node.lease.release())
-        self._node.peers.tell_now()
+        self._node.peers.broadcast_report()
         self._node.log.info("stopping", requests=len(self._node.hub.active))
         timers.once(TURNED_AWAY_SECONDS, self._turned_away)
 
--- a/flamingofront/process/forwarding/sums.py
+++ b/flamingofront/process/forwarding/sums.py
@@ -4,7 +4,7 @@
 from collections.abc import Iterable, Mapping
 from dataclasses import dataclass, field
 
-from flamingofront.decisions.demand import Work
+from flamingofront.decisions.demand import OfferedLoad
 from flamingofront.process.forwarding.digests import Digest
 from flamingofront.process.forwarding.reports import PeerReport
 
@@ -46,20 +46,20 @@
     in_flight = Counter({name: each[0] for name, each in digest.loads.items()})
     backlog = Counter({name: each[1] for name, each in digest.loads.items()})
     demand = Counter(digest.demand or {})
-    work = {name: Work(*each) for name, each in (digest.work or {}).items()}
+    work = {name: OfferedLoad(*each) for name, each in (digest.work or {}).items()}
     if own is not None:
         in_flight -= Counter(own.in_flight)
         backlog -= Counter(own.backlog)
         demand -= Counter(own.demand or {})
         for name, each in (own.work or {}).items():
             if name in work:
-                work[name] = _less(work[name], Work(*each))
+                work[name] = _less(work[name], OfferedLoad(*each))
     told = {name: (each.fast, each.slow) for name, each in work.items()}
     return OthersLoad(age, in_flight, backlog, demand, told)
 
 
-def _less(work: Work, part: Work) -> Work:
-    return Work(max(0.0, work.fast - part.fast), max(0.0, work.slow - part.slow))
+def _less(work: OfferedLoad, part: OfferedLoad) -> OfferedLoad:
+    return OfferedLoad(max(0.0, work.fast - part.fast), max(0.0, work.slow - part.slow))
 
 
 def total_loads(loads: Iterable[OthersLoad]) -> dict[str, tuple[int, int]]:
@@ -84,8 +84,8 @@
 
 def add_work(loads: Iterable[OthersLoad]) -> dict[str, tuple[float, float]]:
     """Return the work that is placed, by service, rounded to a thousandth of an endpoint."""
-    total: dict[str, Work] = {}
+    total: dict[str, OfferedLoad] = {}
     for each in loads:
         for name, means in each.work.items():
-            total[name] = total.get(name, Work()) + Work(*means)
+            total[name] = total.get(name, OfferedLoad()) + OfferedLoad(*means)
     return {name: (round(each.fast, 3), round(each.slow, 3)) for name, each in total.items()}
--- a/flamingofront/process/forwarding/tests/test_digests.py
+++ b/flamingofront/process/forwarding/tests/test_digests.py
@@ -119,7 +119,7 @@
         front = world.fronts["front-0"]
         with logbook.TestHandler(level="WARNING", bubble=True).applicationbound() as log:
             for _ in range(3):
-                front.peers.received(data, "9.9.9.9")
+                front.peers.receive_datagram(data, "9.9.9.9")
         assert [each.message for each in log.records] == ["datagram refused"]
         assert front.metrics.value("peer_datagrams_refused_total") == 3
 
@@ -137,7 +137,7 @@
         world._datagram = send
         front = world.fronts["front-0"]
         for _ in range(10):
-            front.quota.spend(front.configuration.workspaces[0], 1000.0, front.timers.now())
+            front.quota.consume(front.configuration.workspaces[0], 1000.0, front.timers.now())
             world.run(0.1)
         world.run(2.0)
         world._datagram = inner
@@ -145,7 +145,7 @@
             inner(*each)
         world.run(0.1)
         for each in world.fronts.values():
-            state = each.quota.state(each.configuration.workspaces[0], each.timers.now())
+            state = each.quota.get_state(each.configuration.workspaces[0], each.timers.now())
             assert state.taken == 10_000
 
 
@@ -228,7 +228,7 @@
     def test_only_relays_follow_the_store_and_ask_once_a_second_at_most(self):
         world = many_world()
         world.run(6.0)
-        following = {name for name, each in world.fronts.items() if not each.knowledge.rests}
+        following = {name for name, each in world.fronts.items() if not each.store_view.is_standby}
         assert following == relays(world)
         before = world.store.calls
         for step in range(50):
--- a/flamingofront/process/forwarding/tests/test_document_copies.py
+++ b/flamingofront/process/forwarding/tests/test_document_copies.py
@@ -7,7 +7,7 @@
 from flamingofront.process.forwarding.document_copies import (
     FREE_BYTES,
     KEPT_VERSIONS,
-    LONGEST_BUSY_SECONDS,
+    MAX_BACKLOG_SECONDS,
     PACE_BYTES,
     CopyPacer,
     CopySource,
@@ -78,7 +78,7 @@
         for _ in range(100):
             sent += sum(pacer.takes(size) for _ in range(10))
             clock.time += 0.01
-        most = PACE_BYTES * (1.0 + LONGEST_BUSY_SECONDS) / size + 1
+        most = PACE_BYTES * (1.0 + MAX_BACKLOG_SECONDS) / size + 1
         assert most / 2 < sent <= most
 
     def test_small_copies_are_always_sent(self):
--- a/flamingofront/process/forwarding/tests/test_duties.py
+++ b/flamingofront/process/forwarding/tests/test_duties.py
@@ -2,10 +2,10 @@
 
 import pytest
 
-from flamingofront.decisions.demand import Demand, Work
+from flamingofront.decisions.demand import Demand, OfferedLoad
 from flamingofront.decisions.fleet_plan import CheapestSafeFleet, FleetState
 from flamingofront.platform.endpoints import ENDPOINT_TABLE
-from flamingofront.process.forwarding.duty import DUTY_KEY, DUTY_PART, DUTY_TABLE
+from flamingofront.process.forwarding.duty import LEADER_KEY, LEADER_PARTITION, LEADER_TABLE
 from flamingofront.standins.table_store import StoreFault
 from flamingofront.tests.forwarding_world import ForwardingWorld, ready_world
 from flamingofront.version.forwarding import ScalingLimits
@@ -14,7 +14,7 @@
 
 
 def calls(world, path):
-    return [each for each in world.store.duty_calls if each.path == path]
+    return [each for each in world.store.leader_calls if each.path == path]
 
 
 def usage(world):
@@ -27,14 +27,14 @@
 
 
 def holder(world):
-    return next(name for name, each in world.fronts.items() if each.lease.holding() is not None)
+    return next(name for name, each in world.fronts.items() if each.lease.valid_lease() is not None)
 
 
 def assert_one_holder_at_a_time(world):
     """Fencing numbers never fall, and nobody acts before and after another within a lease."""
     last = None
     last_of = {}
-    for each in world.store.duty_calls:
+    for each in world.store.leader_calls:
         if last is not None:
             assert each.fencing >= last.fencing
             if each.holder != last.holder:
@@ -79,7 +79,7 @@
         windows = sorted(usage(world))
         assert windows == list(range(windows[0], windows[-1] + 1))
         assert sum(each.get("desk", 0) for each in usage(world).values()) == 40
-        assert len({each.holder for each in world.store.duty_calls}) >= 2
+        assert len({each.holder for each in world.store.leader_calls}) >= 2
         assert_one_holder_at_a_time(world)
 
     @pytest.mark.parametrize("seed", range(6))
@@ -90,7 +90,7 @@
         world.run(20.0)
         usage(world)
         assert_one_holder_at_a_time(world)
-        assert len({each.fencing for each in world.store.duty_calls}) == 2
+        assert len({each.fencing for each in world.store.leader_calls}) == 2
 
     def test_rolling_restart_loses_no_counts(self):
         world = ready_world(fronts=3)
@@ -133,7 +133,7 @@
         own = front.timers.wall
         front.timers.wall = lambda: own() + 40.0
         world.run(1.0)
-        assert abs(front.peers.true_time() - world.clock.now()) < 0.1
+        assert abs(front.peers.cluster_time() - world.clock.now()) < 0.1
 
 
 class TestLease:
@@ -153,7 +153,7 @@
         node.stopping = True
         node.tasks.start(node.lease.release())
         world.run(0.1)
-        node.peers.tell_now()
+        node.peers.broadcast_report()
         world.run(LEASE + 1.5)
         second = holder(world)
         assert second != first
@@ -163,7 +163,7 @@
     def test_state_is_kept_in_one_row(self):
         world = ready_world()
         world.run(8.0)
-        row = world.store.value(DUTY_TABLE, DUTY_KEY, DUTY_PART)
+        row = world.store.get_value(LEADER_TABLE, LEADER_KEY, LEADER_PARTITION)
         assert row["holder"] == "front-1" and row["reports"]
 
 
@@ -171,11 +171,11 @@
     LIMITS = ScalingLimits(1, 3, 4.0, 0.2, {"zone-a": 1.0, "zone-b": 0.8, "zone-c": 1.2})
 
     def plan(self, work, limits=LIMITS, known=True, in_flight=0.0, slots=48, **state):
-        demand = Demand(in_flight, slots, Work(work, work), known)
+        demand = Demand(in_flight, slots, OfferedLoad(work, work), known)
         return CheapestSafeFleet().plan(limits, demand, FleetState(**state))
 
     def total(self, plan):
-        return sum(plan.reclaimable.values()) + sum(plan.firm.values())
+        return sum(plan.reclaimable.values()) + sum(plan.on_demand.values())
 
     def test_slots_bound_what_an_endpoint_serves_only_where_they_are_few(self):
         limits = ScalingLimits(1, 50, 4.0, 0.2, {"zone-a": 1.0})
@@ -220,13 +220,13 @@
             world.run(0.9)
         assert not calls(world, "/scale")
         world.run(3.0)
-        assert world.fronts["front-1"].duties[1]._found["engines"].total() == 6
+        assert world.fronts["front-1"].duties[1]._initial_counts["engines"].total() == 6
         assert calls(world, "/scale")
 
     def test_one_reclaimable_endpoint_a_zone_while_calm(self):
         plan = self.plan(0.1)
         assert set(plan.reclaimable.values()) == {1}
-        assert sum(plan.firm.values()) == 0
+        assert sum(plan.on_demand.values()) == 0
 
     def test_demand_adds_endpoints_within_the_limits(self):
         counts = [sum(self.plan(work).reclaimable.values()) for work in (0, 0.8, 1.6, 2.0, 50)]
@@ -240,19 +240,21 @@
         assert set(later.values()) == {1}
 
     def test_dry_zones_are_made_up_for_elsewhere(self):
-        plan = self.plan(0.4, dry=frozenset({"zone-a"}), reclaimable={"zone-b": 1, "zone-c": 1})
+        plan = self.plan(
+            0.4, exhausted_zones=frozenset({"zone-a"}), reclaimable={"zone-b": 1, "zone-c": 1}
+        )
         assert plan.reclaimable["zone-b"] + plan.reclaimable["zone-c"] >= 2
         # The platform keeps the least number of a zone in any case.
-        assert plan.firm == {"zone-b": 0, "zone-a": 1, "zone-c": 0}
+        assert plan.on_demand == {"zone-b": 0, "zone-a": 1, "zone-c": 0}
 
     def test_firm_endpoints_make_up_where_none_are_to_be_had_anywhere(self):
         live = {"zone-a": 0, "zone-b": 1, "zone-c": 2}
-        plan = self.plan(2.4, dry=frozenset(self.LIMITS.zone_prices), reclaimable=live)
+        plan = self.plan(2.4, exhausted_zones=frozenset(self.LIMITS.zone_prices), reclaimable=live)
         assert plan.reclaimable == live
         # 2.4 busy endpoints at 0.75 of their time are four that must be left without zone-c's two.
-        assert sum(plan.firm.values()) == 3
+        assert sum(plan.on_demand.values()) == 3
         for zone in self.LIMITS.zone_prices:
-            assert plan.reclaimable[zone] + plan.firm[zone] <= self.LIMITS.most
+            assert plan.reclaimable[zone] + plan.on_demand[zone] <= self.LIMITS.most
 
     def test_loss_of_the_next_zone_is_borne(self):
         for work in (0.5, 1.0, 1.5, 2.0, 3.0):
@@ -263,14 +265,14 @@
     def test_spare_endpoints_follow_the_price(self):
         """Where reclaimable ones cost nearly as much, firm ones are cheaper than spares."""
         dear = ScalingLimits(1, 3, 4.0, 0.9, self.LIMITS.zone_prices)
-        assert sum(self.plan(1.7).firm.values()) == 0
-        assert sum(self.plan(1.7, dear).firm.values()) > 0
+        assert sum(self.plan(1.7).on_demand.values()) == 0
+        assert sum(self.plan(1.7, dear).on_demand.values()) > 0
 
     def test_firm_endpoints_stay_until_others_have_taken_their_place(self):
-        firm = {"zone-a": 2, "zone-b": 1}
-        assert sum(self.plan(1.5, firm=firm).firm.values()) == 3
+        on_demand = {"zone-a": 2, "zone-b": 1}
+        assert sum(self.plan(1.5, on_demand=on_demand).on_demand.values()) == 3
         started = {"zone-a": 1, "zone-b": 1, "zone-c": 2}
-        assert sum(self.plan(1.5, firm=firm, reclaimable=started).firm.values()) == 0
+        assert sum(self.plan(1.5, on_demand=on_demand, reclaimable=started).on_demand.values()) == 0
 
     def test_firm_endpoints_are_ordered_at_the_notice(self):
         """All reclaimable endpoints of a zone leave: a replacement starts for four seconds."""
@@ -284,8 +286,8 @@
         world.register("engine-zone-a", "engines", "zone-a", **leaving)
         world.run(1.0)
         orders = [each for each in calls(world, "/scale") if each.at >= noticed]
-        firm = [each for each in orders if not each.body.get("spot")]
-        assert [(each.body["zone"], each.body["desired"]) for each in firm] == [("zone-a", 1)]
+        on_demand = [each for each in orders if not each.body.get("spot")]
+        assert [(each.body["zone"], each.body["desired"]) for each in on_demand] == [("zone-a", 1)]
 
     def test_holder_that_comes_back_orders_within_a_second(self):
         world = ready_world(fronts=2)
@@ -316,8 +318,8 @@
             world.ask(f"front-{1 + number % 3}", "/stream/again/x")
             world.run(0.1)
         scaling = {name: front.duties[1] for name, front in world.fronts.items()}
-        assert all(each._known_demand("engines").known for each in scaling.values())
-        assert all(each._known_demand("engines").work.slow > 0 for each in scaling.values())
+        assert all(each._estimate_demand("engines").known for each in scaling.values())
+        assert all(each._estimate_demand("engines").work.slow > 0 for each in scaling.values())
 
     def test_orders_are_sent_once_and_an_unfilled_one_is_repeated_after_a_while(self):
         world = ready_world(fronts=2, engines=0)
@@ -338,9 +340,9 @@
         world.endpoint("engine-1", "engines", "zone-a")
         # Three seconds in which endpoints register, then an order and its repeats.
         world.run(15.0)
-        firm = [
+        on_demand = [
             each.at
             for each in calls(world, "/scale")
             if each.body["zone"] == "zone-a" and not each.body.get("spot")
         ]
-        assert len(firm) >= 3 and firm[1] - firm[0] < 6.0
+        assert len(on_demand) >= 3 and on_demand[1] - on_demand[0] < 6.0
--- a/flamingofront/process/forwarding/tests/test_endpoints.py
+++ b/flamingofront/process/forwarding/tests/test_endpoints.py
@@ -86,7 +86,7 @@
         assert seen.view.recently_leaving() == (("i-1", 0),)
 
     def test_what_was_asked_for_is_not_told_on(self, seen):
-        seen.view.put(self.LEAVING, by_peer=True)
+        seen.view.put(self.LEAVING, from_peer=True)
         assert seen.view.recently_leaving() == ()
 
     def test_word_of_it_goes_before_the_row(self, seen):
@@ -176,7 +176,7 @@
     def test_address_that_another_endpoint_has_says_nothing_of_a_later_start(self):
         seen = View()
         seen.view.put(self.FIRST)
-        seen.facts.mark("i-1", VmState.GONE)
+        seen.facts.advance_state("i-1", VmState.GONE)
         seen.view.put(self.SECOND)
         assert seen.state() is VmState.LIVE
 
@@ -236,9 +236,9 @@
         for step, index in steps:
             if step in ("put", "peer"):
                 row = rows[index]
-                seen.view.put(row, by_peer=step == "peer")
-                is_newer = newest is None or row.position > newest.position
-                same = newest is not None and row.position == newest.position
+                seen.view.put(row, from_peer=step == "peer")
+                is_newer = newest is None or row.order_key > newest.position
+                same = newest is not None and row.order_key == newest.position
                 if newest is not None and row.born > newest.born:
                     left = False
                 if is_newer and not left or (same and unreadable and standing is None):
@@ -296,7 +296,7 @@
     def asked_before_the_start(self, path):
         """Return a world, and a caller whose endpoint has started again without an answer."""
         world = self.world()
-        world.endpoints["engine-1"].fail(ForwardFault.HANG)
+        world.endpoints["engine-1"].inject_fault(ForwardFault.HANG)
         caller = world.ask("front-1", path)
         world.run(0.6)
         self.start_again(world)
--- a/flamingofront/process/forwarding/tests/test_freshness.py
+++ b/flamingofront/process/forwarding/tests/test_freshness.py
@@ -57,7 +57,7 @@
     def test_refusal_is_503_while_a_newer_configuration_is_known_of(self, key):
         world = many_world()
         front = world.fronts["front-0"]
-        front.knowledge.hear_of_configuration(2, "front-1")
+        front.store_view.hear_of_configuration(2, "front-1")
         world.cut("front-0", "store")
         path = "/write/x" if key == "key-1" else "/read/x"
         caller = world.ask("front-0", path, key=key)
@@ -70,7 +70,7 @@
 
     def test_many_unknown_routes_cost_one_look_a_second(self):
         world = many_world()
-        name = next(name for name, each in world.fronts.items() if each.knowledge.rests)
+        name = next(name for name, each in world.fronts.items() if each.store_view.is_standby)
         before = looks(world, name)
         for _ in range(60):
             world.finish(world.ask(name, "/nowhere/x"))
@@ -80,7 +80,7 @@
     def test_many_unknown_routes_are_few_looks_at_a_store_that_turns_the_process_away(self):
         """Each refusal of the store would bring the next question."""
         world = many_world()
-        name = next(name for name, each in world.fronts.items() if each.knowledge.rests)
+        name = next(name for name, each in world.fronts.items() if each.store_view.is_standby)
         world.store.fault = StoreFault.BUSY
         world.run(3.0)
         before = looks(world, name)
@@ -98,7 +98,7 @@
         written_at = world.store.put(CONFIG_TABLE, CONFIG_KEY, configuration(version=2))
         world.run(2.0)
         for front in world.fronts.values():
-            assert front.knowledge.configuration_position() >= written_at
+            assert front.store_view.configuration_position() >= written_at
 
     def test_caller_that_has_left_is_not_answered(self):
         world = many_world()
@@ -114,8 +114,8 @@
         for _ in range(20):
             world.run(0.3)
             for front in world.fronts.values():
-                assert front.knowledge.configuration_age() < 4.0
-                assert front.knowledge.endpoints_age() < 4.0
+                assert front.store_view.configuration_age() < 4.0
+                assert front.store_view.endpoints_age() < 4.0
 
     def test_operators_see_them_for_each_process(self):
         world = many_world()
--- a/flamingofront/process/forwarding/tests/test_lease_fuzz.py
+++ b/flamingofront/process/forwarding/tests/test_lease_fuzz.py
@@ -1,6 +1,6 @@
 """The duty lease under any interleaving of calls, lost answers, late word and frozen processes.
 
-Several processes run the real `DutyLease` over a naive store. The fuzzer decides which call is
+Several processes run the real `LeaderLease` over a naive store. The fuzzer decides which call is
 carried out when, whether its answer arrives, which announcements are heard and who stands still.
 The oracle looks only at acts: a process acts whenever it believes that it may.
 """
@@ -16,7 +16,7 @@
 
 from flamingofront.errors import PlatformError
 from flamingofront.messages import Sleep
-from flamingofront.process.forwarding.duty import DutyLease
+from flamingofront.process.forwarding.duty import LeaderLease
 from flamingofront.process.forwarding.reports import PeerReport
 from flamingofront.process.logs import Log
 from flamingofront.process.store import (
@@ -50,7 +50,7 @@
     def read(self, table, part="", first=""):
         return (yield _Read())
 
-    def changes(self, table, after, wait):
+    def read_changes(self, table, after, wait):
         raise NotImplementedError
 
     def transact(self, part, conditions, writes):
@@ -70,7 +70,7 @@
 class Process:
     def __init__(self, index, store, clock):
         self.vm, self.clock = f"vm-{index}", clock
-        self.lease = DutyLease(
+        self.lease = LeaderLease(
             store, self.vm, 1, DURATION, lambda: clock.time, random.Random(index), Log("entry")
         )
         self.task = self.lease.run()
@@ -92,7 +92,7 @@
             self.call, self.sent_at = wanted, self.clock.time
 
     def report(self):
-        held = self.lease.holding()
+        held = self.lease.valid_lease()
         return PeerReport(
             self.vm,
             1,
@@ -119,15 +119,15 @@
         first, second, third = (Process(index, store, clock) for index in range(3))
         for process in (first, first, second, third):
             process.step(store.carry_out(process.call))
-        assert first.lease.held() is not None
+        assert first.lease.usable_lease() is not None
         clock.time += DURATION + 2.0
         second.step(None)
         third.step(None)
         third_reads = third.call
         for _ in range(2):
             second.step(store.carry_out(second.call))
-        assert second.lease.held() is not None
-        third.lease.heard(second.report())
+        assert second.lease.usable_lease() is not None
+        third.lease.observe_report(second.report())
         third.step(store.carry_out(third_reads))
         assert not isinstance(third.call, _Write)
 
@@ -138,7 +138,7 @@
         self.holder = Process(0, self.store, self.clock)
         for _ in range(2):
             self.holder.step(self.store.carry_out(self.holder.call))
-        assert self.holder.lease.held() is not None
+        assert self.holder.lease.usable_lease() is not None
 
     def stored(self):
         return orjson.loads(self.store.row.value)["reports"]
@@ -182,14 +182,14 @@
         task, call = self.record({"7": {"desk": 3}})
         self.store.carry_out(call)
         with pytest.raises(PlatformError):
-            task.throw(PlatformError("timeout", maybe_done=True))
+            task.throw(PlatformError("timeout", maybe_applied=True))
         task, call = self.record({"7": {"desk": 4}})
         with pytest.raises(StopIteration):
             while True:
                 call = task.send(self.store.carry_out(call))
         assert self.stored() == {"7": {"desk": 3}}
         assert self.holder.lease.state.reports == {"7": {"desk": 3}}
-        assert self.holder.lease.held() is not None
+        assert self.holder.lease.usable_lease() is not None
 
 
 class LeaseMachine(RuleBasedStateMachine):
@@ -228,7 +228,7 @@
                 if process.call is None and process.wake_at <= self.clock.time:
                     process.step(None)
                 elif process.call and self.clock.time - process.sent_at >= CALL_TIMEOUT:
-                    process.step(None, PlatformError("timeout", maybe_done=True))
+                    process.step(None, PlatformError("timeout", maybe_applied=True))
                 self._act(process)
 
     @rule(source=st.integers(0, PROCESSES - 1))
@@ -242,7 +242,7 @@
         if self.words and listener not in self.frozen:
             word = self.words[pick % len(self.words)]
             if word.vm_id != self.processes[listener].vm:
-                self.processes[listener].lease.heard(replace(word))
+                self.processes[listener].lease.observe_report(replace(word))
 
     @rule(index=st.integers(0, PROCESSES - 1))
     def freeze_or_wake(self, index):
@@ -252,7 +252,7 @@
     def lose_the_holder(self):
         """Freeze the holder for longer than its lease, so that all others look at the row."""
         for index, process in enumerate(self.processes):
-            if process.lease.holding() is not None:
+            if process.lease.valid_lease() is not None:
                 self.frozen = {index}
                 self._advance(DURATION + 1.5)
                 return
@@ -266,7 +266,7 @@
         self._advance(0.05)
 
     def _act(self, process):
-        held = process.lease.held()
+        held = process.lease.usable_lease()
         if held is not None:
             self.acts.append((self.clock.time, process.vm, held.fencing))
 
--- a/flamingofront/process/forwarding/tests/test_limit_messages.py
+++ b/flamingofront/process/forwarding/tests/test_limit_messages.py
@@ -9,14 +9,14 @@
 
 from flamingofront.process.forwarding.digests import Digest, DigestWriter, decode_digest
 from flamingofront.process.forwarding.limit_messages import (
-    PermitQuestion,
     PermitReply,
-    decode_permit_question,
+    PermitRequest,
     decode_permit_reply,
-    encode_permit_question,
+    decode_permit_request,
     encode_permit_reply,
-    is_permit_question,
+    encode_permit_request,
     is_permit_reply,
+    is_permit_request,
 )
 from flamingofront.process.forwarding.quota_messages import Verdict
 from flamingofront.process.forwarding.reports import PeerReport, decode_report, encode_report
@@ -29,18 +29,18 @@
 
 class TestMessages:
     def test_question_and_reply_come_as_they_were_sent(self):
-        question = PermitQuestion(7, LIMIT, 2, 0.08)
-        data = encode_permit_question(question)
-        assert is_permit_question(data) and not is_permit_reply(data)
-        assert decode_permit_question(data) == question
+        question = PermitRequest(7, LIMIT, 2, 0.08)
+        data = encode_permit_request(question)
+        assert is_permit_request(data) and not is_permit_reply(data)
+        assert decode_permit_request(data) == question
         reply = PermitReply(7, Verdict.REFUSED, 0.0, 1.5)
         data = encode_permit_reply(reply)
-        assert is_permit_reply(data) and not is_permit_question(data)
+        assert is_permit_reply(data) and not is_permit_request(data)
         assert decode_permit_reply(data) == reply
 
     @given(st.binary(max_size=60))
     def test_malformed_ones_are_refused(self, data):
-        for decode in (decode_permit_question, decode_permit_reply):
+        for decode in (decode_permit_request, decode_permit_reply):
             try:
                 decode(b"L?" + data)
             except ValueError:
@@ -49,7 +49,7 @@
     @pytest.mark.parametrize("limit", [["e", 1, -2.0, 0.0], ["e", 1], "text", ["e", "x", 1, 1]])
     def test_limits_that_are_none_are_refused(self, limit):
         with pytest.raises(ValueError):
-            decode_permit_question(b"L?" + orjson.dumps([1, 1, 0.0, limit]))
+            decode_permit_request(b"L?" + orjson.dumps([1, 1, 0.0, limit]))
 
 
 class TestWord:
--- a/flamingofront/process/forwarding/tests/test_quota_arbiter.py
+++ b/flamingofront/process/forwarding/tests/test_quota_arbiter.py
@@ -13,18 +13,18 @@
 from hypothesis import strategies as st
 
 from flamingofront.decisions.quota import SharedQuota
-from flamingofront.decisions.quota_facts import QuotaRule, QuotaRules, QuotaState
-from flamingofront.process.forwarding.quota_arbiter import QuotaArbiters, QuotaView
+from flamingofront.decisions.quota_facts import QuotaLimits, QuotaRejectReason, QuotaState
+from flamingofront.process.forwarding.quota_arbiter import QuotaArbiters, QuotaContext
 from flamingofront.process.forwarding.quota_messages import (
-    QuotaQuestion,
     QuotaReply,
+    QuotaRequest,
     Verdict,
-    decode_question,
-    decode_reply,
-    encode_question,
-    encode_reply,
-    is_question,
-    is_reply,
+    decode_quota_reply,
+    decode_quota_request,
+    encode_quota_reply,
+    encode_quota_request,
+    is_quota_reply,
+    is_quota_request,
 )
 from flamingofront.process.logs import Log
 from flamingofront.process.metrics import Metrics
@@ -35,7 +35,9 @@
 RATE, BURST = 20.0, 40.0
 TENANT = {"name": "desk", "api_keys": ["key-1"], "rate_per_s": RATE, "burst": BURST}
 QUOTA_RULES = replace(RULES, quota_over=0.1, quota_allowance=10.0)
-LIMIT = QuotaRules(8.0, 0.1, 10.0).limit(ForwardedWorkspace("desk", ("k",), rate=RATE, burst=BURST))
+LIMIT = QuotaLimits(8.0, 0.1, 10.0).limit(
+    ForwardedWorkspace("desk", ("k",), rate=RATE, burst=BURST)
+)
 ZONES = ("zone-a", "zone-b", "zone-c")
 
 
@@ -117,7 +119,7 @@
     def test_arbiter_is_killed_in_the_middle(self, seed):
         world = QuotaWorld(seed=seed)
         world.press(12, 1.0 + world.rng.random())
-        first = world.fronts["front-0"].quota_members.ranked("desk")[0]
+        first = world.fronts["front-0"].quota_members.rank_arbiters("desk")[0]
         world.restart(*[each.name for each in world.hosts.values() if each.address == first])
         world.press(12, 6.0)
         assert world.most_in_window() <= LIMIT
@@ -176,11 +178,13 @@
         """Among many only relays hear all others; a new process may take anyone for a relay."""
         world = QuotaWorld(24)
         front = world.fronts["front-0"]
-        relays = set(front.quota_members.ranked("desk"))
+        relays = set(front.quota_members.rank_arbiters("desk"))
         asked = next(each for each in world.fronts if world.host(each).address not in relays)
         replies = []
-        front.peers.on_reply = lambda data, ip: replies.append(decode_reply(data))
-        front.peers.send(encode_question(QuotaQuestion(1, "desk", 1.0)), world.host(asked).address)
+        front.peers.on_quota_reply = lambda data, ip: replies.append(decode_quota_reply(data))
+        front.peers.send(
+            encode_quota_request(QuotaRequest(1, "desk", 1.0)), world.host(asked).address
+        )
         world.run(0.1)
         assert [each.verdict for each in replies] == [Verdict.NOT_HERE]
 
@@ -203,7 +207,7 @@
     def test_restart_of_the_arbiter_refuses_nothing(self):
         world = QuotaWorld()
         callers = world.press(0.7, 3.0)
-        first = world.fronts["front-0"].quota_members.ranked("desk")[0]
+        first = world.fronts["front-0"].quota_members.rank_arbiters("desk")[0]
         world.restart(*[each.name for each in world.hosts.values() if each.address == first])
         callers += world.press(0.7, 12.0)
         world.run(1.0)
@@ -222,7 +226,7 @@
 
     def test_caller_that_leaves_while_it_is_decided_on_runs_nothing(self):
         world = QuotaWorld()
-        arbiter = world.fronts["front-0"].quota_members.ranked("desk")[0]
+        arbiter = world.fronts["front-0"].quota_members.rank_arbiters("desk")[0]
         asked = next(each for each in world.fronts if world.host(each).address != arbiter)
         caller = world.ask(asked, "/read/x", "GET")
         caller.leave()
@@ -232,14 +236,14 @@
             each for name, each in world.fronts.items() if world.host(name).address == arbiter
         )
         workspace = owner.configuration.workspaces[0]
-        assert owner.quota.state(workspace, owner.timers.now()).taken == 0
+        assert owner.quota.get_state(workspace, owner.timers.now()).taken == 0
 
 
 class TestStop:
     def test_process_that_ends_asks_nobody_about_what_it_refuses(self):
         """The reply came after its end, and the caller's connection was closed unanswered."""
         world = QuotaWorld()
-        arbiter = world.fronts["front-0"].quota_members.ranked("desk")[0]
+        arbiter = world.fronts["front-0"].quota_members.rank_arbiters("desk")[0]
         asked = next(each for each in world.fronts if world.host(each).address != arbiter)
         world.fronts[asked].hub.shutdown_seconds_left = lambda: 0.05
         caller = world.ask(asked, "/read/x", "GET")
@@ -255,7 +259,7 @@
         self.clock = ManualClock()
         self.timers = TimerService(self.clock)
         self.sent = []
-        self.knows_less = {"1": False, "2": False}
+        self.should_defer = {"1": False, "2": False}
         self.ranked = ["2", "1"]
         self.quotas = {ip: SharedQuota(lambda: 1.0, rng=random.Random(1)) for ip in "12"}
         self.processes = {ip: self._process(ip) for ip in "12"}
@@ -263,13 +267,13 @@
         self.pass_time(5.0)
 
     def _process(self, ip):
-        self.quotas[ip].prepare((self.WORKSPACE,), 0.0)
-        view = QuotaView(
+        self.quotas[ip].start_buckets((self.WORKSPACE,), 0.0)
+        view = QuotaContext(
             ip,
             int(self.clock.time * 1000),
             lambda name: list(self.ranked),
             lambda: {"desk": self.WORKSPACE},
-            lambda: self.knows_less[ip],
+            lambda: self.should_defer[ip],
             lambda: False,
             lambda name: 1,
         )
@@ -295,13 +299,13 @@
         sent, self.sent[:] = self.sent[lose:], []
         for source, target, data in sent:
             process = self.processes[target]
-            (process.take_question if is_question(data) else process.take_reply)(data, source)
+            (process.take_question if is_quota_request(data) else process.take_reply)(data, source)
 
     def ask(self, units=1.0):
         self.processes["1"].decide(self.WORKSPACE, units, self.decisions.append)
 
     def taken(self, ip="2"):
-        return self.quotas[ip].state(self.WORKSPACE, self.timers.now()).taken
+        return self.quotas[ip].get_state(self.WORKSPACE, self.timers.now()).taken
 
 
 class TestArbitration:
@@ -312,9 +316,9 @@
         joined.deliver()
         assert [each.wait for each in joined.decisions] == [0.0]
         assert joined.taken() == 5
-        joined.quotas["2"].heard("1", {"desk": 5.0}, True, joined.timers.now())
+        joined.quotas["2"].merge_consumed("1", {"desk": 5.0}, True, joined.timers.now())
         assert joined.taken() == 5
-        joined.quotas["2"].heard("1", {"desk": 7.0}, True, joined.timers.now())
+        joined.quotas["2"].merge_consumed("1", {"desk": 7.0}, True, joined.timers.now())
         assert joined.taken() == 7
 
     def test_question_that_is_repeated_is_charged_once(self):
@@ -338,7 +342,7 @@
         joined.ask(5.0)
         joined.deliver()
         joined.deliver()
-        joined.quotas["2"].spend(joined.WORKSPACE, 100.0, joined.timers.now())
+        joined.quotas["2"].consume(joined.WORKSPACE, 100.0, joined.timers.now())
         joined.processes["1"] = joined._process("1")
         joined.ask(5.0)
         joined.deliver()
@@ -367,7 +371,7 @@
 
     def test_one_that_knows_less_passes_the_question_on(self):
         joined = Arbitration()
-        joined.knows_less["2"] = True
+        joined.should_defer["2"] = True
         joined.ask()
         joined.deliver()
         joined.deliver()
@@ -402,28 +406,28 @@
 class TestMessages:
     @given(st.integers(0, 1 << 50), st.text(max_size=30), st.floats(-1e9, 1e9))
     def test_question_reads_as_it_was_written(self, number, workspace, units):
-        data = encode_question(QuotaQuestion(number, workspace, units))
-        read = decode_question(data)
-        assert is_question(data) and not is_reply(data)
+        data = encode_quota_request(QuotaRequest(number, workspace, units))
+        read = decode_quota_request(data)
+        assert is_quota_request(data) and not is_quota_reply(data)
         assert (read.number, read.workspace) == (number, workspace)
         assert read.units == pytest.approx(units, abs=1e-3)
 
     @given(st.integers(0, 1 << 50), st.sampled_from(Verdict), st.floats(0, 1e6))
     def test_reply_reads_as_it_was_written(self, number, verdict, wait):
-        state = QuotaState(1.0, 2.0, 3.0, 0.5, 0.0, QuotaRule.START, 4.0)
-        data = encode_reply(QuotaReply(number, verdict, wait, state))
-        read = decode_reply(data)
-        assert is_reply(data) and not is_question(data)
+        state = QuotaState(1.0, 2.0, 3.0, 0.5, 0.0, QuotaRejectReason.START, 4.0)
+        data = encode_quota_reply(QuotaReply(number, verdict, wait, state))
+        read = decode_quota_reply(data)
+        assert is_quota_reply(data) and not is_quota_request(data)
         assert (read.number, read.verdict, read.state) == (number, verdict, state)
         assert read.wait == pytest.approx(wait, abs=1e-3)
 
     def test_reply_of_an_earlier_version_is_understood(self):
-        read = decode_reply(b"![7,1,0.5,1,2,3]")
+        read = decode_quota_reply(b"![7,1,0.5,1,2,3]")
         assert read.state == QuotaState(1.0, 2.0, 3.0)
 
     @given(st.binary(max_size=40))
     def test_anything_else_is_refused(self, data):
-        for mark, decode in ((b"?", decode_question), (b"!", decode_reply)):
+        for mark, decode in ((b"?", decode_quota_request), (b"!", decode_quota_reply)):
             try:
                 decode(mark + data)
             except ValueError:
--- a/flamingofront/process/forwarding/tests/test_readers.py
+++ b/flamingofront/process/forwarding/tests/test_readers.py
@@ -15,9 +15,9 @@
     encode_news,
 )
 from flamingofront.process.forwarding.readers import (
-    HEARD_READERS,
+    MIN_LIVE_WATCHERS,
     READERS_PER_ZONE,
-    StoreReaders,
+    ZoneWatchers,
 )
 from flamingofront.process.forwarding.reports import PeerReport
 from flamingofront.process.membership import Role, VmState
@@ -50,7 +50,7 @@
     return [
         name
         for name, each in alive(world).items()
-        if each.settings.zone == zone and not each.knowledge.rests
+        if each.settings.zone == zone and not each.store_view.is_standby
     ]
 
 
@@ -113,17 +113,17 @@
     def test_nobody_rests_while_all_others_do(self):
         """After a loss of those that followed, peers that rest are no reason to rest."""
         peers = [
-            PeerReport(f"vm-{number}", 1, 1, "zone-a", "1.2.3.4", "1.2.3.4:5", follows=False)
+            PeerReport(f"vm-{number}", 1, 1, "zone-a", "1.2.3.4", "1.2.3.4:5", watches_store=False)
             for number in range(8)
         ]
-        follow = [replace(each, follows=True) for each in peers[:HEARD_READERS]]
+        follow = [replace(each, watches_store=True) for each in peers[:MIN_LIVE_WATCHERS]]
 
         def may_rest(heard):
             names = [f"vm-{number}" for number in range(20, 40)]
-            return [StoreReaders(name, "zone-a", lambda: heard).may_rest() for name in names]
+            return [ZoneWatchers(name, "zone-a", lambda: heard).may_rest() for name in names]
 
         assert not any(may_rest(peers))
-        assert any(may_rest([*follow, *peers[HEARD_READERS:]]))
+        assert any(may_rest([*follow, *peers[MIN_LIVE_WATCHERS:]]))
 
     def test_endpoint_that_went_and_came_back_is_kept_by_those_that_take_over(self):
         """They heard of both from a peer; the store's feed would tell them of the end again."""
@@ -140,10 +140,10 @@
 
     def test_lost_history_is_no_harm(self):
         world = zones_world()
-        world.store.forget_history()
+        world.store.discard_history()
         world.configure_routes(version=2)
         world.register("plain-1", "records", state="draining", sequence=2)
-        world.store.forget_history()
+        world.store.discard_history()
         world.run(4.5)
         assert versions(world) == {2}
         for front in world.fronts.values():
@@ -189,7 +189,7 @@
         world.store.drop("servers", "plain-1")
         went_at = world.clock.now()
         front = world.fronts["front-0"]
-        world.run_until(lambda: not front.knowledge.cut_off)
+        world.run_until(lambda: not front.store_view.is_store_unreachable)
         world.run(0.5)
         world.heal()
         world.run(went_at + self.DRAIN_SECONDS - world.clock.now())
@@ -239,7 +239,7 @@
 
     @rule()
     def store_forgets(self):
-        self.world.store.forget_history()
+        self.world.store.discard_history()
 
     @rule(name=st.sampled_from(["plain-1", "plain-2"]), ready=st.booleans())
     def endpoint_is_started_anew(self, name, ready):
@@ -251,7 +251,7 @@
 
     @rule(index=st.integers(0, 50))
     def endpoint_vanishes(self, index):
-        keys = sorted(self.world.store.rows("servers"))
+        keys = sorted(self.world.store.get_rows("servers"))
         if keys:
             self.world.store.drop("servers", keys[index % len(keys)])
 
@@ -281,8 +281,8 @@
         assert versions(world) == {self.version}
         stands = {
             key
-            for key in world.store.rows("servers")
-            if world.store.value("servers", key)["state"] == "ready"
+            for key in world.store.get_rows("servers")
+            if world.store.get_value("servers", key)["state"] == "ready"
         }
         for front in alive(world).values():
             assert live_endpoints(front) == stands
--- a/flamingofront/process/forwarding/tests/test_reports.py
+++ b/flamingofront/process/forwarding/tests/test_reports.py
@@ -3,9 +3,9 @@
 import logbook
 import pytest
 
-from flamingofront.process.forwarding.peers import MAX_TOLD
+from flamingofront.process.forwarding.peers import MAX_DIRECT_PEERS
 from flamingofront.process.forwarding.reports import (
-    LoadNote,
+    LoadDelta,
     PeerReport,
     PeerTable,
     decode_note,
@@ -20,7 +20,7 @@
 from flamingofront.tests.forwarding_world import ForwardingWorld, ready_world
 
 ZONES = ("zone-a", "zone-b", "zone-c", "zone-d")
-MANY = 2 * MAX_TOLD + 4
+MANY = 2 * MAX_DIRECT_PEERS + 4
 
 
 def many_world(count=MANY, burst_bytes=24_000, **changes):
@@ -68,7 +68,7 @@
 
 def backlog_of(world, name, endpoint):
     """Return the prompt tokens at an endpoint of which a process has heard."""
-    return sum(each.backlog.get(endpoint, 0) for each in world.fronts[name].peers.loads())
+    return sum(each.backlog.get(endpoint, 0) for each in world.fronts[name].peers.peer_loads())
 
 
 class TestManyMembers:
@@ -89,7 +89,7 @@
         world.lost_datagrams = 0.05
         for _ in range(20):
             world.run(0.5)
-            shares = [each.peers.heard_share() for each in world.fronts.values()]
+            shares = [each.peers.live_share() for each in world.fronts.values()]
             assert min(shares) >= 1.0 - 1.5 / MANY
 
     def test_traffic_of_a_process_does_not_grow_with_their_number(self):
@@ -164,7 +164,7 @@
         world = many_world(2 * MANY, burst_bytes=6_000)
         world.run(5.0)
         assert len(relays(world)) == 2 * len(ZONES)
-        assert min(each.peers.heard_share() for each in world.fronts.values()) == 1.0
+        assert min(each.peers.live_share() for each in world.fronts.values()) == 1.0
 
     def test_small_prompts_wait_for_the_next_report(self):
         world = many_world()
@@ -195,7 +195,7 @@
         world.run(3.0)
         alive = {name: each for name, each in world.fronts.items() if name not in lost}
         assert len(relays(world) & alive.keys()) == 2 * len(ZONES)
-        assert min(each.peers.heard_share() for each in alive.values()) >= 1 - 2.5 / MANY
+        assert min(each.peers.live_share() for each in alive.values()) >= 1 - 2.5 / MANY
         world.fronts["front-0"].directory.add_backlog("engine", 9000)
         world.run(1.2)
         for name in set(in_zone(world, "zone-b")) & alive.keys():
@@ -215,13 +215,13 @@
             front = world.fronts[name]
             if name not in lost:
                 workspace = front.configuration.workspaces[0]
-                front.quota.spend(workspace, 1000.0, front.timers.now())
+                front.quota.consume(workspace, 1000.0, front.timers.now())
             world.run(0.02)
         world.run(2.0)
         alive = {name: each for name, each in world.fronts.items() if name not in lost}
-        taken = sum(each.quota.spent().get("desk", 0.0) for each in world.fronts.values())
+        taken = sum(each.quota.get_consumed().get("desk", 0.0) for each in world.fronts.values())
         for each in alive.values():
-            state = each.quota.state(each.configuration.workspaces[0], each.timers.now())
+            state = each.quota.get_state(each.configuration.workspaces[0], each.timers.now())
             # Losing one relay in every zone at once hides up to 0.8 s, of four, from the others.
             assert (0.8 if lost else 1.0) * taken <= state.taken <= 1.05 * taken
 
@@ -232,7 +232,7 @@
         world.run(0.9)
         node = world.fronts[holder(world)]
         running = sum(each.hub.count_in_flight("records") for each in world.fronts.values())
-        told = add_demand(node.peers.loads()).get("records", 0)
+        told = add_demand(node.peers.peer_loads()).get("records", 0)
         assert told + node.hub.count_in_flight("records") >= running - 1
 
 
@@ -254,10 +254,10 @@
     def test_short_form_leaves_the_demand_as_it_was_told(self):
         table = PeerTable("other")
         told = PeerReport("vm", 7, 1, "z", "1.2.3.4", "1.2.3.4:5", demand={"records": 4})
-        table.take(told, 1.0)
+        table.store_report(told, 1.0)
         newer = without_counts(PeerReport("vm", 7, 2, "z", "1.2.3.4", "1.2.3.4:5"))
-        assert table.take(newer, 2.0)
-        (kept,) = table.heard(2.0)
+        assert table.store_report(newer, 2.0)
+        (kept,) = table.live_reports(2.0)
         assert (kept.sequence, kept.demand) == (2, {"records": 4})
 
 
@@ -270,9 +270,9 @@
 
     def heard(self, *notes):
         table = PeerTable("other")
-        table.take(self.report, 1.0)
+        table.store_report(self.report, 1.0)
         taken = [table.note(each) for each in notes]
-        (kept,) = table.heard(1.0)
+        (kept,) = table.live_reports(1.0)
         return taken, kept
 
     @pytest.mark.parametrize("seed", range(4))
@@ -295,7 +295,7 @@
             world.run(1.1)
 
     def test_it_is_decoded_as_it_was_encoded(self):
-        note = LoadNote("vm", 7, 3, {"e": (1, 900)})
+        note = LoadDelta("vm", 7, 3, {"e": (1, 900)})
         data = encode_note(note)
         assert decode_note(data) == note
         assert is_note(data) and not is_note(encode_report(self.report))
@@ -308,14 +308,14 @@
             decode_note(data)
 
     def test_changes_are_added_to_the_report(self):
-        notes = (LoadNote("vm", 7, 3, {"e": (1, 7)}), LoadNote("vm", 7, 3, {"f": (2, 9)}))
+        notes = (LoadDelta("vm", 7, 3, {"e": (1, 7)}), LoadDelta("vm", 7, 3, {"f": (2, 9)}))
         taken, kept = self.heard(*notes)
         assert taken == [True, True]
         assert (kept.in_flight, kept.backlog) == ({"e": 2, "f": 2}, {"e": 12, "f": 9})
 
     @pytest.mark.parametrize("note", [("vm", 7, 2), ("vm", 6, 3), ("unknown", 7, 3)])
     def test_what_a_report_tells_already_is_left_out(self, note):
-        taken, kept = self.heard(LoadNote(*note, {"e": (1, 7)}))
+        taken, kept = self.heard(LoadDelta(*note, {"e": (1, 7)}))
         assert taken == [False] and kept == self.report
 
     def test_lost_datagrams_leave_nothing_behind(self):
@@ -327,7 +327,7 @@
         world.lost_datagrams = 0.0
         world.run(3.0)
         for each in world.fronts.values():
-            heard = each.peers.table.heard(each.timers.now())
+            heard = each.peers.table.live_reports(each.timers.now())
             assert not any(sum(report.in_flight.values()) for report in heard)
 
 
--- a/flamingofront/process/forwarding/tests/test_restored_store.py
+++ b/flamingofront/process/forwarding/tests/test_restored_store.py
@@ -20,8 +20,8 @@
     usage,
 )
 from flamingofront.process.forwarding.tests.test_rollouts import Rollout
-from flamingofront.process.holds import HOLD_TABLE
-from flamingofront.process.store import RowCondition, RowWrite, position, version_of
+from flamingofront.process.holds import QUARANTINE_TABLE
+from flamingofront.process.store import RowCondition, RowWrite, get_era_version, make_revision
 from flamingofront.standins.forward_endpoint import ForwardFault
 from flamingofront.standins.table_store import StoreFault
 from flamingofront.tests.crashing_world import CONTACT_SECONDS, crashing_world
@@ -40,7 +40,7 @@
     timers = world.host("store").timers
     for each in world.store.restore(seconds):
         if each.table in OWNERS:
-            timers.once(latest * rng.random(), lambda each=each: world.store.put_back(each))
+            timers.once(latest * rng.random(), lambda each=each: world.store.rewrite_row(each))
 
 
 class TestFollowing:
@@ -57,7 +57,7 @@
         world.run(3.0)
         for node in world.fronts.values():
             assert node.configuration.version == 7
-            assert "plain-9" in {each.endpoint_id for each in node.knowledge.endpoints.rows()}
+            assert "plain-9" in {each.endpoint_id for each in node.store_view.endpoints.rows()}
 
     def test_configuration_does_not_go_back(self):
         world = ready_world(fronts=3)
@@ -101,7 +101,7 @@
         world.run(1.0)
         restore(world, 3.0)
         world.run(3.0)
-        assert set(world.store.rows(MEMBER_TABLE)) == set(world.fronts)
+        assert set(world.store.get_rows(MEMBER_TABLE)) == set(world.fronts)
 
     def test_requests_that_are_held_back_stay_so_and_are_kept_again(self):
         world = crashing_world()
@@ -109,7 +109,7 @@
         repeat(world, "/write/x", seconds=3.0)
         restore(world, 12.0)
         world.run(CONTACT_SECONDS)
-        assert len(world.store.rows(HOLD_TABLE)) == 1
+        assert len(world.store.get_rows(QUARANTINE_TABLE)) == 1
         ends = len(world.ends_under(POISON))
         for name in list(world.fronts):
             world.kill(name)
@@ -142,15 +142,15 @@
         world.store.restore(0.8)
         world.heal()
         other = world.fronts["front-2"].store
-        while world.store.rows("own").get("key", (b"", 0))[1] < version_of(first.version):
-            known = world.store.rows("own").get("key", (b"", 0))[1]
-            condition = RowCondition("own", "key", position(1, known) if known else 0)
+        while world.store.get_rows("own").get("key", (b"", 0))[1] < get_era_version(first.version):
+            known = world.store.get_rows("own").get("key", (b"", 0))[1]
+            condition = RowCondition("own", "key", make_revision(1, known) if known else 0)
             task = other.transact("", (condition,), (RowWrite("own", "key", b"other"),))
             world.fronts["front-2"].tasks.start(task, outcomes.append)
             world.run(0.1)
         late = run(write(first.version, b"late"))
         assert not late.ok
-        assert world.store.rows("own")["key"][0] == b"other"
+        assert world.store.get_rows("own")["key"][0] == b"other"
 
 
 class TestDuties:
@@ -176,7 +176,7 @@
         world.run(12.0)
         usage(world)
         assert_one_holder_at_a_time(world)
-        assert world.store.duty_calls[-1].at > world.clock.now() - 6.0
+        assert world.store.leader_calls[-1].at > world.clock.now() - 6.0
 
     def test_holder_goes_on_at_once_with_what_it_has_reported(self):
         world = ready_world(fronts=3)
@@ -184,11 +184,11 @@
             world.finish(world.ask(f"front-{1 + number % 3}", "/read/x"))
             world.run(0.2)
         first = holder(world)
-        fencing = world.fronts[first].lease.holding().fencing
+        fencing = world.fronts[first].lease.valid_lease().fencing
         restore(world, 6.0, out=0.3)
         world.run(2.0)
         assert holder(world) == first
-        assert world.fronts[first].lease.holding().fencing == fencing
+        assert world.fronts[first].lease.valid_lease().fencing == fencing
         world.run(12.0)
         windows = sorted(usage(world))
         assert windows == list(range(windows[0], windows[-1] + 1))
@@ -231,7 +231,7 @@
         restore(rollout.world, 3.0)
         rollout.serve(4.0)
         for name in ("new-1", "new-2"):
-            rollout.world.endpoints[name].fail(ForwardFault.NONE)
+            rollout.world.endpoints[name].inject_fault(ForwardFault.NONE)
         rollout.world.store.put("op", "rollout/records", rollout.order)
         rollout.world.run(1.0)
         rollout.ordered_at = rollout.world.clock.now()
--- a/flamingofront/process/forwarding/tests/test_rollouts.py
+++ b/flamingofront/process/forwarding/tests/test_rollouts.py
@@ -6,10 +6,10 @@
 import pytest
 
 from flamingofront.decisions.rollout import (
-    CLEAR_SECONDS,
-    Evidence,
+    IDLE_SECONDS,
     Phase,
-    RolloutOrder,
+    RolloutEvidence,
+    RolloutSpec,
     RolloutStatus,
     Tally,
     VersionRule,
@@ -20,20 +20,20 @@
 from flamingofront.process.forwarding.reports import (
     PeerReport,
     decode_report,
+    decode_rollouts,
     encode_report,
-    rollout_word,
 )
 from flamingofront.process.forwarding.rollouts import Rollouts
 from flamingofront.process.logs import Log
 from flamingofront.standins.forward_endpoint import ForwardFault
 from flamingofront.tests.forwarding_world import ready_world
 
-ORDER = RolloutOrder("records", "v2", 40.0, 7)
+ORDER = RolloutSpec("records", "v2", 40.0, 7)
 FINE, FAILING = Tally(95, 5), Tally(4, 6)
 
 
 def phase_after(phase, new=FINE, old=FINE, age=10.0, clear=0.0):
-    return next_phase(phase, ORDER, Evidence(new, old, age, clear))
+    return next_phase(phase, ORDER, RolloutEvidence(new, old, age, clear))
 
 
 class TestPhases:
@@ -61,8 +61,8 @@
         assert phase_after(Phase.RUNNING, Tally(5, 0), age=39.0) is Phase.RUNNING
 
     def test_it_is_complete_only_when_nothing_runs_at_the_old_version(self):
-        assert phase_after(Phase.MOVING, age=25.0, clear=CLEAR_SECONDS - 0.1) is Phase.MOVING
-        assert phase_after(Phase.MOVING, age=25.0, clear=CLEAR_SECONDS) is Phase.COMPLETED
+        assert phase_after(Phase.MOVING, age=25.0, clear=IDLE_SECONDS - 0.1) is Phase.MOVING
+        assert phase_after(Phase.MOVING, age=25.0, clear=IDLE_SECONDS) is Phase.COMPLETED
 
 
 class TestKnownRollouts:
@@ -106,7 +106,7 @@
         known = self.rollouts()
         known.reach("records", 7, Phase.ROLLED_BACK, "test")
         assert known.hear({"records": (9, int(Phase.RUNNING))})
-        known.take_order(RolloutOrder("records", "v3", 40.0, 9))
+        known.take_order(RolloutSpec("records", "v3", 40.0, 9))
         assert known.phase("records") is Phase.ORDERED
         known.take_order(ORDER)
         assert known.rule("records", True) == VersionRule("v3", False, frozenset({"v2"}))
@@ -140,7 +140,7 @@
     @pytest.mark.parametrize("word", [[1], {"s": 3}, {"s": [1]}, {"s": [1, 77]}])
     def test_malformed_word_is_refused(self, word):
         with pytest.raises(ValueError):
-            rollout_word(word)
+            decode_rollouts(word)
         report = orjson.loads(encode_report(PeerReport("vm", 1, 1, "zone-a", "1.2.3.4", "a:1")))
         with pytest.raises(ValueError):
             decode_report(orjson.dumps([*report[:-1], word]))
@@ -160,7 +160,7 @@
         self.serve(2.0)
         for name in ("new-1", "new-2"):
             self.world.endpoint(name, "records", version="v2", gap=gap)
-            self.world.endpoints[name].fail(fault)
+            self.world.endpoints[name].inject_fault(fault)
 
     def serve(self, seconds):
         """Send callers' requests, forty a second."""
@@ -180,7 +180,7 @@
         return self.world.clock.now() - self.ordered_at
 
     def state(self):
-        status = self.world.store.value("status", "rollout/records")
+        status = self.world.store.get_value("status", "rollout/records")
         return status["state"] if status is not None else None
 
     def runs(self, prefix):
@@ -247,7 +247,7 @@
         rollout.serve(12.0)
         assert rollout.state() == "running"
         for name in ("new-1", "new-2"):
-            rollout.world.endpoints[name].fail(ForwardFault.ERROR)
+            rollout.world.endpoints[name].inject_fault(ForwardFault.ERROR)
         rollout.serve_until("rolled_back", 40.0)
 
     def test_verdict_outlives_its_holder_and_a_restart_of_all(self):
@@ -300,5 +300,5 @@
         world = ready_world(fronts=2)
         world.store.put("op", "rollout/records", {"to": "v2"})
         world.run(5.0)
-        assert world.store.value("status", "rollout/records") is None
-        assert not any(each.rollouts.orders() for each in world.fronts.values())
+        assert world.store.get_value("status", "rollout/records") is None
+        assert not any(each.rollouts.list_orders() for each in world.fronts.values())
--- a/flamingofront/process/forwarding/tests/test_stopping.py
+++ b/flamingofront/process/forwarding/tests/test_stopping.py
@@ -8,9 +8,9 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from flamingofront.decisions.stopping import StreamBound, StreamTimes, ends_in_time
+from flamingofront.decisions.stopping import StreamBound, StreamTimes, can_complete
 from flamingofront.errors import ErrorKind
-from flamingofront.process.forwarding.shutdown import GracefulStop
+from flamingofront.process.forwarding.shutdown import GracefulShutdown
 from flamingofront.standins.forward_endpoint import ForwardFault
 from flamingofront.tests.forwarding_world import ready_world
 
@@ -36,7 +36,7 @@
         ],
     )
     def test_it_is_ended_by_its_deadline_or_by_its_own_size(self, deadline_left, bound, left, ends):
-        assert ends_in_time(deadline_left, bound, left) is ends
+        assert can_complete(deadline_left, bound, left) is ends
 
 
 class TestStreamBound:
@@ -44,30 +44,32 @@
 
     def test_nothing_is_said_of_a_stream_that_names_no_tokens(self):
         """Any number of short ones says nothing of the next."""
-        assert seen(*[self.short] * 100).seconds(0) == math.inf
+        assert seen(*[self.short] * 100).estimate_max_seconds(0) == math.inf
 
     def test_few_answers_say_nothing_of_the_next(self):
-        assert seen(*[self.short] * 19).seconds(24) == math.inf
-        assert seen(*[self.short] * 20).seconds(24) < math.inf
+        assert seen(*[self.short] * 19).estimate_max_seconds(24) == math.inf
+        assert seen(*[self.short] * 20).estimate_max_seconds(24) < math.inf
 
     def test_streams_without_named_tokens_are_not_counted(self):
-        assert seen(*[(0.1, 5.0, 0)] * 100).seconds(24) == math.inf
+        assert seen(*[(0.1, 5.0, 0)] * 100).estimate_max_seconds(24) == math.inf
 
     def test_long_stream_is_expected_after_short_ones_alone(self):
         """At the same pace it takes a hundred times as long."""
-        assert seen(*[self.short] * 100).seconds(2400) > 10.0
+        assert seen(*[self.short] * 100).estimate_max_seconds(2400) > 10.0
 
     @given(st.lists(st.tuples(st.floats(0, 2), st.floats(0, 9), st.integers(1, 900)), min_size=20))
     def test_hardly_any_stream_that_was_seen_lately_is_longer(self, streams):
         bound, lately = seen(*streams), streams[-128:]
-        longer = [each for each in lately if bound.seconds(each[2]) < each[0] + each[1]]
+        longer = [
+            each for each in lately if bound.estimate_max_seconds(each[2]) < each[0] + each[1]
+        ]
         assert len(longer) <= len(lately) // 100
 
     def test_slower_pace_shows_at_the_second_of_a_hundred(self):
-        assert seen(*[self.short] * 100, *[(0.1, 4.0, 100)] * 2).seconds(200) > 7.0
+        assert seen(*[self.short] * 100, *[(0.1, 4.0, 100)] * 2).estimate_max_seconds(200) > 7.0
 
     def test_change_of_the_endpoints_is_forgotten(self):
-        assert seen((5.0, 9.0, 10), *[self.short] * 128).seconds(24) < 2.0
+        assert seen((5.0, 9.0, 10), *[self.short] * 128).estimate_max_seconds(24) < 2.0
 
 
 class TestGracefulStop:
@@ -82,7 +84,9 @@
         front = world.fronts["front-1"]
         left_at_exit = []
         callers = SimpleNamespace(closing=False, connections=1, close_idle=lambda: 0)
-        stop = GracefulStop(front, callers, 8.0, lambda: left_at_exit.append(len(front.hub.active)))
+        stop = GracefulShutdown(
+            front, callers, 8.0, lambda: left_at_exit.append(len(front.hub.active))
+        )
         stop.begin()
         asked = []
         while not left_at_exit:
@@ -108,7 +112,9 @@
         front = world.fronts["front-1"]
         left_at_exit = []
         callers = SimpleNamespace(closing=False, connections=1, close_idle=lambda: 0)
-        stop = GracefulStop(front, callers, 8.0, lambda: left_at_exit.append(len(front.hub.active)))
+        stop = GracefulShutdown(
+            front, callers, 8.0, lambda: left_at_exit.append(len(front.hub.active))
+        )
         stop.begin()
         # One that runs all the while keeps the process until its end.
         engine.events = 400
@@ -143,7 +149,7 @@
         self.left_at_exit = []
         self.asked = []
         callers = SimpleNamespace(closing=False, connections=1, close_idle=lambda: 0)
-        self.stop = GracefulStop(self.front, callers, self.GRACE, self._exited)
+        self.stop = GracefulShutdown(self.front, callers, self.GRACE, self._exited)
 
     def _exited(self):
         self.left_at_exit.append(len(self.front.hub.active))
@@ -151,7 +157,7 @@
 
     @staticmethod
     def _answer_by_size(endpoint):
-        inner = endpoint._answer
+        inner = endpoint._respond
 
         def answer(req, exchange, fault):
             named = req.header("x-flamingofront-token-counts")
@@ -159,7 +165,7 @@
                 endpoint.events = int(named.split(",")[1]) // StoppingProcess.TOKENS_PER_EVENT
             inner(req, exchange, fault)
 
-        endpoint._answer = answer
+        endpoint._respond = answer
 
     def ask(self, events=0, path="/stream/once/x", deadline=9000):
         self.count += 1
@@ -253,12 +259,12 @@
         """Its caller saw a connection that closed without an answer."""
         world = ready_world()
         for each in world.endpoints.values():
-            each.fail(ForwardFault.HANG)
+            each.inject_fault(ForwardFault.HANG)
         caller = world.ask("front-1", path)
         world.run(0.1)
         callers = SimpleNamespace(closing=False, connections=1, close_idle=lambda: 0)
         exits = []
-        GracefulStop(world.fronts["front-1"], callers, 1.0, lambda: exits.append(1)).begin()
+        GracefulShutdown(world.fronts["front-1"], callers, 1.0, lambda: exits.append(1)).begin()
         world.run_until(lambda: exits)
         assert caller.done and caller.status == 502
         assert (caller.error["kind"], caller.error["ran"]) == (kind, "unknown")
@@ -271,7 +277,7 @@
         front = world.fronts["front-1"]
         callers = SimpleNamespace(closing=False, connections=1, close_idle=lambda: 0)
         refused, exits = [], []
-        stop = GracefulStop(front, callers, 8.0, lambda: exits.append(1), refused.append)
+        stop = GracefulShutdown(front, callers, 8.0, lambda: exits.append(1), refused.append)
         began = world.clock.now()
         stop.begin()
         world.run_until(lambda: exits)
--- a/flamingofront/process/forwarding/usage.py
+++ b/flamingofront/process/forwarding/usage.py
@@ -6,7 +6,7 @@
 
 from flamingofront.errors import PlatformError
 from flamingofront.messages import Sleep
-from flamingofront.process.forwarding.duty import DutyLease
+from flamingofront.process.forwarding.duty import LeaderLease
 from flamingofront.process.forwarding.reports import ProcessCounts
 from flamingofront.process.forwarding.settings import SharedRules
 from flamingofront.process.logs import Log
@@ -14,7 +14,7 @@
 from flamingofront.process.store import Cloud, UsageReport
 from flamingofront.process.tasks import Task
 
-__all__ = ["KEPT_WINDOWS", "CountsHeard", "UsageBook", "UsageDuty"]
+__all__ = ["KEPT_WINDOWS", "UsageCoverage", "UsageBook", "UsageReporter"]
 
 # Windows that are told to peers and kept for a successor: a report is due ten seconds after a
 # window of five seconds, so that four cover all that may still be reported.
@@ -30,7 +30,7 @@
 STEP_SECONDS = 0.25
 # Processes whose counts are told at a time, so that a report stays within a datagram also when all
 # of a large deployment restart.
-MAX_TOLD = 16
+MAX_DEPARTED = 16
 
 
 class UsageBook:
@@ -80,7 +80,7 @@
         found: dict[str, dict[str, Mapping[str, int]]] = {}
         for window, by_process in self._counts.items():
             for process, counts in by_process.items():
-                if process not in alive and (process in found or len(found) < MAX_TOLD):
+                if process not in alive and (process in found or len(found) < MAX_DEPARTED):
                     found.setdefault(process, {})[str(window)] = counts
         return found
 
@@ -148,7 +148,7 @@
 
 
 @dataclass(frozen=True)
-class CountsHeard:
+class UsageCoverage:
     """How far the counts of the other processes are known.
 
     Parameters
@@ -166,7 +166,7 @@
     processes: Callable[[], int]
 
 
-class UsageDuty:
+class UsageReporter:
     """Reports each window once, by the holder of the duty lease.
 
     What will be reported is written to the store first, with the renewal of the lease, so that a
@@ -174,7 +174,7 @@
 
     Parameters
     ----------
-    heard : CountsHeard
+    heard : UsageCoverage
         How far the counts of the other processes are known.
     now : callable
         Time of the timer service.
@@ -182,12 +182,12 @@
 
     def __init__(
         self,
-        lease: DutyLease,
+        lease: LeaderLease,
         cloud: Cloud,
         book: UsageBook,
         rules: SharedRules,
         vm_id: str,
-        heard: CountsHeard,
+        heard: UsageCoverage,
         now: Callable[[], float],
         metrics: Metrics,
         log: Log,
@@ -205,7 +205,7 @@
         self._first = book.window_at(heard.true_time())
         # Windows before this one may have been reported by holders of which the store lost word.
         self._unknown_before = 0
-        lease.on_gap = self._skip_unknown
+        lease.on_restore = self._skip_unknown
 
     def _skip_unknown(self) -> None:
         """Leave windows out that another holder may have reported: the store lost its word of it.
@@ -229,11 +229,11 @@
 
     def step(self) -> Task:
         """Write the window that is due into the store, then report what is not yet confirmed."""
-        lease = self._lease.held()
+        lease = self._lease.usable_lease()
         if lease is None:
             return
-        knows_counts = self._now() - lease.taken_at >= self._heard.wait()
-        window = self._due() if knows_counts else None
+        has_all_counts = self._now() - lease.acquired_at >= self._heard.wait()
+        window = self._due() if has_all_counts else None
         if window is not None and not (yield from self._record(window)):
             return
         for name, counts in sorted(self._lease.state.reports.items()):
@@ -265,7 +265,7 @@
         return (yield from self._lease.renew(kept))
 
     def _report(self, name: str, counts: Mapping[str, int]) -> Task:
-        lease = self._lease.held()
+        lease = self._lease.usable_lease()
         if lease is None:
             return
         report = UsageReport(int(name), counts)
--- a/flamingofront/process/forwarding/vanished.py
+++ b/flamingofront/process/forwarding/vanished.py
@@ -1,16 +1,16 @@
 """Endpoints that ended while no entry process ran: nobody has seen their rows go."""
 
 from flamingofront.errors import PlatformError
-from flamingofront.process.forwarding.duty import DUTY_KEY, DUTY_PART, DUTY_TABLE
+from flamingofront.process.forwarding.duty import LEADER_KEY, LEADER_PARTITION, LEADER_TABLE
 from flamingofront.process.forwarding.endpoint_row import EndpointRow
 from flamingofront.process.forwarding.knowledge import SharedTables
 from flamingofront.process.store import StoredRow, TableStore
 from flamingofront.process.tasks import Task
 
-__all__ = ["VanishedEndpoints"]
+__all__ = ["UnobservedRemovals"]
 
 
-class VanishedEndpoints:
+class UnobservedRemovals:
     """Asks the store for the rows of endpoints that went since an entry process last wrote there.
 
     Notes
@@ -25,11 +25,11 @@
 
     def read(self) -> Task:
         """Return the ids of endpoints that vanished without notice; raises `PlatformError`."""
-        found = yield from self._store.read(DUTY_TABLE, DUTY_PART)
-        row = next((each for each in found.rows if each.key == DUTY_KEY), None)
+        found = yield from self._store.read(LEADER_TABLE, LEADER_PARTITION)
+        row = next((each for each in found.rows if each.key == LEADER_KEY), None)
         if row is None:
             return ()
-        changes = yield from self._store.changes(self._tables.endpoints, row.version, 0.0)
+        changes = yield from self._store.read_changes(self._tables.endpoints, row.version, 0.0)
         return self._vanished(changes.rows)
 
     def _vanished(self, rows: tuple[StoredRow, ...]) -> tuple[str, ...]:
--- a/flamingofront/process/forwarding/version_word.py
+++ b/flamingofront/process/forwarding/version_word.py
@@ -1,9 +1,9 @@
 """Word of others about versions that this process does not have yet."""
 
-__all__ = ["VersionWord"]
+__all__ = ["VersionTracker"]
 
 
-class VersionWord:
+class VersionTracker:
     """The newest version that others have told of, and since when one is missing here.
 
     Attributes
--- a/flamingofront/process/intents.py
+++ b/flamingofront/process/intents.py
@@ -12,7 +12,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from flamingofront.decisions.quarantine_facts import is_over
+from flamingofront.decisions.quarantine_facts import is_expired
 from flamingofront.decisions.send_intents import (
     UNANSWERED_WAIT_SECONDS,
     IntentPolicy,
@@ -22,9 +22,9 @@
 from flamingofront.errors import PlatformError
 from flamingofront.messages import Sleep
 from flamingofront.process.backoff import Backoff
-from flamingofront.process.former_sends import FormerSends, Sender
-from flamingofront.process.intent_rows import IntentRows, KeptIntents
-from flamingofront.process.intent_state import KnownRecords, Pace
+from flamingofront.process.former_sends import RecoveredIntents, SenderProcess
+from flamingofront.process.intent_rows import IntentRows, VersionedRecord
+from flamingofront.process.intent_state import RecordCache, WriteRateLimiter
 from flamingofront.process.services import Services
 from flamingofront.process.tasks import Task
 from flamingofront.process.timers import Timer
@@ -106,7 +106,7 @@
         hub: RequestHost,
         rows: IntentRows,
         services: Services,
-        sender: Sender,
+        sender: SenderProcess,
         member_share: Callable[[], float],
         vanished: Callable[[], Task] | None = None,
     ):
@@ -121,11 +121,11 @@
         self._directory = hub.directory
         now = services.timers.now()
         self._policy = IntentPolicy() if sender.first_start else IntentPolicy(now)
-        self._pace = Pace(
+        self._pace = WriteRateLimiter(
             lambda: min(MAX_WRITES_PER_SECOND, ALL_WRITES_PER_SECOND * member_share()), at=now
         )
-        self._known = KnownRecords()
-        self._former = FormerSends(hub, rows, services, sender, self._known, vanished)
+        self._known = RecordCache()
+        self._former = RecoveredIntents(hub, rows, services, sender, self._known, vanished)
         self._former.on_read = lambda: self._timers.once(
             KEPT_SECONDS, self._drop_former, relaxed=True
         )
@@ -158,7 +158,7 @@
             return True
         if len(self._pending) + len(self._waiting) >= MAX_PENDING:
             return False
-        return self._policy.is_recorded(fingerprint, service, self._timers.now())
+        return self._policy.must_record(fingerprint, service, self._timers.now())
 
     def record_send(
         self, facts: SendDetails, then: Callable[[RecordOutcome], None]
@@ -204,7 +204,7 @@
         """Take note that an endpoint has answered a request."""
         if not self._own and not self._known.kept:
             return
-        self._policy.answered(fingerprint)
+        self._policy.record_response(fingerprint)
         for claim in [each for each in self._own.values() if each.fingerprint == fingerprint]:
             self._forget(claim)
             claim.decide(RecordOutcome.NOT_NEEDED)
@@ -218,7 +218,7 @@
             self._timers.once(KEPT_SECONDS, lambda: self._settle(claim), relaxed=True)
 
     def _settle(self, claim: _Claim) -> None:
-        if claim.intent.endpoint_id not in self._guard.quarantine.ended_endpoints():
+        if claim.intent.endpoint_id not in self._guard.quarantine.get_crashed_endpoints():
             self.remove(claim)
 
     def remove(self, claim: _Claim) -> None:
@@ -248,7 +248,7 @@
     def record_unobserved_crash(self, endpoint_id: str) -> None:
         """Take note of an end about a restart at which nobody knows of a request."""
         service = self._directory.service_of(endpoint_id)
-        if self._policy.unseen_end(endpoint_id, service, self._timers.now()):
+        if self._policy.record_unobserved_crash(endpoint_id, service, self._timers.now()):
             self._log.info(
                 "requests are recorded before they are sent", service=service, endpoint=endpoint_id
             )
@@ -266,12 +266,12 @@
         """Remove records whose sends are so old that they are no evidence any more."""
         now = self._guard.wall()
         for fingerprint, kept in self._known.kept.items():
-            if all(is_over(each.at, now) for each in kept.record.sends):
+            if all(is_expired(each.at, now) for each in kept.record.sends):
                 self._known.answered[fingerprint] = None
         if self._known.answered:
             self._remove_soon()
 
-    def write_again(self) -> None:
+    def rewrite_intents(self) -> None:
         """Record what is under way again: the store may have lost it with its return from a copy.
 
         Notes
@@ -307,7 +307,7 @@
                 yield from self._write_batch(batch)
             except PlatformError as exc:
                 self._not_written(batch, exc, tries)
-                yield Sleep(_BACKOFF.delay(tries, self._rng))
+                yield Sleep(_BACKOFF.compute_delay(tries, self._rng))
                 tries += 1
             else:
                 tries = 0
@@ -333,7 +333,7 @@
             return False
         record = self._known.record(claim.fingerprint)
         record = record.with_sends(tuple(each.intent for each in beside))
-        return self._policy.must_wait(record, self._former.seen_alive)
+        return self._policy.must_wait(record, self._former.last_alive)
 
     def _wait(self, claim: _Claim) -> None:
         """Let a request wait until it is known what its earlier sends did."""
@@ -358,7 +358,7 @@
     def _write_batch(self, batch: dict[str, list[_Claim]]) -> Task:
         """Write the records of some requests, all or none."""
         kept = tuple(
-            KeptIntents(self._next_record(name, claims), self._known.version(name))
+            VersionedRecord(self._next_record(name, claims), self._known.version(name))
             for name, claims in batch.items()
         )
         for claim in (claim for claims in batch.values() for claim in claims):
@@ -369,14 +369,14 @@
             return
         self._store_is_back()
         for each in kept:
-            self._known.take(KeptIntents(each.record, version))
+            self._known.take(VersionedRecord(each.record, version))
         for claim in (claim for claims in batch.values() for claim in claims):
             claim.decide(RecordOutcome.STORED)
             if claim.gone:
                 self._removed_meanwhile(claim)
 
     def _next_record(self, fingerprint: str, claims: list[_Claim]) -> IntentRecord:
-        record = self._known.record(fingerprint).with_unseen(self._policy.unseen())
+        record = self._known.record(fingerprint).with_unobserved(self._policy.get_unobserved())
         return record.with_sends(tuple(each.intent for each in claims))
 
     def _removed_meanwhile(self, claim: _Claim) -> None:
@@ -451,7 +451,9 @@
             self._known.changed.clear()
             return
         kept = tuple(
-            KeptIntents(self._without_ended(self._known.record(name)), self._known.version(name))
+            VersionedRecord(
+                self._without_ended(self._known.record(name)), self._known.version(name)
+            )
             for name in names
         )
         version = yield from self._rows.write(kept)
@@ -461,12 +463,12 @@
             return
         for name, each in zip(names, kept, strict=True):
             self._known.changed.pop(name, None)
-            self._known.take(KeptIntents(each.record, version))
+            self._known.take(VersionedRecord(each.record, version))
 
     def _without_ended(self, record: IntentRecord) -> IntentRecord:
         """Return a record without the sends of this VM that are over."""
         for send in record.sends:
-            is_over = send not in self._own and not self._former.has_ended(send.endpoint_id)
-            if send.vm_id == self._sender.vm_id and is_over:
-                record = record.without(send)
-        return record.with_unseen(self._policy.unseen())
+            is_expired = send not in self._own and not self._former.has_ended(send.endpoint_id)
+            if send.vm_id == self._sender.vm_id and is_expired:
+                record = record.without_send(send)
+        return record.with_unobserved(self._policy.get_unobserved())
--- a/flamingofront/process/limits.py
+++ b/flamingofront/process/limits.py
@@ -1,6 +1,6 @@
 """This process's part of what all entry processes share: slots and workspace limits."""
 
-from flamingofront.decisions.admission import WorkspaceShare, shared_limit
+from flamingofront.decisions.admission import WorkspaceShare, compute_limit_share
 from flamingofront.process.dissemination import Dissemination
 from flamingofront.process.membership import Role
 from flamingofront.process.status import StatusRecord
@@ -20,7 +20,7 @@
         self._timers = timers
 
     def _heard_peers(self) -> list[StatusRecord]:
-        heard = self._gossip.statuses.heard(self._timers.now())
+        heard = self._gossip.statuses.live_records(self._timers.now())
         return [each for each in heard if each.vm_id != self._gossip.own_id]
 
     def _member_count(self) -> int:
@@ -49,11 +49,11 @@
         members = self._member_count()
         own = float(self._hub.in_flight_by_workspace().get(workspace.name, 0))
         unheard = max(0, members - 1 - len(heard))
-        return shared_limit(workspace.max_in_flight, own, heard, members, unheard)
+        return compute_limit_share(workspace.max_in_flight, own, heard, members, unheard)
 
     def share_of(self, name: str) -> WorkspaceShare:
         """Return the admission share of a workspace; a deleted one keeps the defaults."""
-        workspace = self._gossip.configuration.workspace(name)
+        workspace = self._gossip.configuration.find_workspace(name)
         if workspace is None:
             return WorkspaceShare(name)
         limit = self.workspace_limit(workspace)
--- a/flamingofront/process/peers.py
+++ b/flamingofront/process/peers.py
@@ -82,7 +82,7 @@
             return
         self._metrics.count("gossip_total", kind="digest", result="ok")
         answer = DigestReply.from_json(orjson.loads(reply.body))
-        to_peer, onward = self._gossip.take_reply(answer, self._timers.now())
+        to_peer, onward = self._gossip.apply_reply(answer, self._timers.now())
         if onward is not None:
             self.push(onward)
         self._on_exchange()
@@ -101,14 +101,14 @@
         failed = isinstance(reply, CallFailed) or reply.status != 200
         self._metrics.count("gossip_total", kind="push", result="failed" if failed else "ok")
 
-    def take_digest(self, data: dict) -> dict:
+    def handle_digest(self, data: dict) -> dict:
         """Answer a peer's digest."""
         reply = self._gossip.answer_digest(Digest.from_json(data), self._timers.now())
         return reply.to_json()
 
-    def take_push(self, data: dict) -> None:
+    def handle_push(self, data: dict) -> None:
         """Take a peer's news and pass on what was new."""
-        self.push(self._gossip.take_push(Push.from_json(data)))
+        self.push(self._gossip.apply_push(Push.from_json(data)))
 
     def holders(self, request_id: str) -> list[str]:
         """Return the addresses of the peers that may hold a request, the likeliest first.
--- a/flamingofront/process/quarantine_codec.py
+++ b/flamingofront/process/quarantine_codec.py
@@ -4,31 +4,39 @@
 
 import orjson
 
-from flamingofront.decisions.quarantine_facts import EndpointEnd, Hold, QuarantineWord, Release
+from flamingofront.decisions.quarantine_facts import (
+    EndpointCrash,
+    QuarantineEntry,
+    QuarantineUpdate,
+    Release,
+)
 from flamingofront.errors import PlatformError
 
 __all__ = [
     "decode_evidence",
-    "decode_hold",
-    "decode_word",
+    "decode_quarantine_entry",
+    "decode_quarantine_update",
     "encode_evidence",
-    "encode_hold",
-    "encode_word",
+    "encode_quarantine_entry",
+    "encode_quarantine_update",
 ]
 
 
-def encode_word(word: QuarantineWord | None) -> list | None:
+def encode_quarantine_update(word: QuarantineUpdate | None) -> list | None:
     """Return the JSON values of what is told; lists without names, as it is told often."""
     if word is None:
         return None
     return [
-        [[each.endpoint_id, each.zone, each.at, each.requests, each.untold] for each in word.ends],
-        [_hold_values(each) for each in word.holds],
-        [[each.fingerprint, each.at] for each in word.released],
+        [
+            [each.endpoint_id, each.zone, each.at, each.requests, each.omitted]
+            for each in word.crashes
+        ],
+        [_hold_values(each) for each in word.entries],
+        [[each.fingerprint, each.at] for each in word.releases],
     ]
 
 
-def decode_word(value: Any) -> QuarantineWord | None:
+def decode_quarantine_update(value: Any) -> QuarantineUpdate | None:
     """Return what was told.
 
     Raises
@@ -40,10 +48,12 @@
         return None
     try:
         ends, holds, released = value
-        return QuarantineWord(
+        return QuarantineUpdate(
             tuple(
-                EndpointEnd(str(name), str(zone), float(at), tuple(map(str, requests)), int(untold))
-                for name, zone, at, requests, untold in ends
+                EndpointCrash(
+                    str(name), str(zone), float(at), tuple(map(str, requests)), int(omitted)
+                )
+                for name, zone, at, requests, omitted in ends
             ),
             tuple(_hold(each) for each in holds),
             tuple(Release(str(fingerprint), float(at)) for fingerprint, at in released),
@@ -52,30 +62,30 @@
         raise ValueError(f"malformed word of requests that are held: {exc!r:.100}") from exc
 
 
-def _hold_values(hold: Hold) -> list:
+def _hold_values(hold: QuarantineEntry) -> list:
     return [
         hold.fingerprint,
         hold.endpoints,
         hold.since,
         hold.trials,
         hold.next_trial,
-        hold.lifted,
+        hold.is_released,
     ]
 
 
-def _hold(values: Any) -> Hold:
-    fingerprint, endpoints, since, trials, next_trial, lifted = values
-    return Hold(
+def _hold(values: Any) -> QuarantineEntry:
+    fingerprint, endpoints, since, trials, next_trial, is_released = values
+    return QuarantineEntry(
         str(fingerprint),
         tuple(map(str, endpoints)),
         float(since),
         int(trials),
         float(next_trial),
-        bool(lifted),
+        bool(is_released),
     )
 
 
-def encode_hold(hold: Hold) -> dict[str, Any]:
+def encode_quarantine_entry(hold: QuarantineEntry) -> dict[str, Any]:
     """Return a hold as it is kept in the store, with names for whoever reads it there."""
     return {
         "fingerprint": hold.fingerprint,
@@ -83,11 +93,11 @@
         "since": hold.since,
         "trials": hold.trials,
         "next_trial": hold.next_trial,
-        "lifted": hold.lifted,
+        "lifted": hold.is_released,
     }
 
 
-def decode_hold(key: str, value: Any) -> Hold:
+def decode_quarantine_entry(key: str, value: Any) -> QuarantineEntry:
     """Return a hold as it was kept.
 
     Raises
@@ -111,14 +121,14 @@
         raise PlatformError(f"malformed hold {key}: {exc!r:.100}") from exc
 
 
-def encode_evidence(ends: tuple[EndpointEnd, ...]) -> dict[str, Any]:
+def encode_evidence(ends: tuple[EndpointCrash, ...]) -> dict[str, Any]:
     """Return the ends of one request as they are kept in the store."""
     return {
         "ends": [{"endpoint": each.endpoint_id, "zone": each.zone, "at": each.at} for each in ends]
     }
 
 
-def decode_evidence(fingerprint: str, value: Any) -> tuple[EndpointEnd, ...]:
+def decode_evidence(fingerprint: str, value: Any) -> tuple[EndpointCrash, ...]:
     """Return the ends of one request as they were kept.
 
     Raises
@@ -129,7 +139,7 @@
     try:
         doc = orjson.loads(value) if isinstance(value, bytes) else value
         return tuple(
-            EndpointEnd(
+            EndpointCrash(
                 str(each["endpoint"]), str(each["zone"]), float(each["at"]), (fingerprint,), 1
             )
             for each in doc["ends"]
--- a/flamingofront/process/tests/test_graceful_stop.py
+++ b/flamingofront/process/tests/test_graceful_stop.py
@@ -9,7 +9,7 @@
 )
 from flamingofront.tests.world import DEMO, demo_world
 from flamingofront.version.model import Move
-from flamingofront.version.routing import side_of_move
+from flamingofront.version.routing import select_move_side
 
 ZONES = ("zone-a", "zone-b")
 
@@ -96,7 +96,7 @@
         taken = set()
         for share in range(0, 101, 5):
             move = Move("m", "s", "old", "new", float(share))
-            now = {key for key in keys if side_of_move(move, key, "r") == "new"}
+            now = {key for key in keys if select_move_side(move, key, "r") == "new"}
             assert taken <= now
             assert abs(len(now) / len(keys) - share / 100) < 0.08
             taken = now
--- a/flamingofront/request/active.py
+++ b/flamingofront/request/active.py
@@ -7,9 +7,9 @@
 from flamingofront.connection.interfaces import CallEvent, CallHandle
 from flamingofront.decisions.admission import Ticket
 from flamingofront.decisions.choice import Candidate
-from flamingofront.decisions.quarantine_facts import Standing
+from flamingofront.decisions.quarantine_facts import QuarantineStatus
 from flamingofront.decisions.rollout import VersionRule
-from flamingofront.errors import ErrorKind, Ran, RequestError
+from flamingofront.errors import ErrorKind, Executed, RequestError
 from flamingofront.messages import (
     CallFailed,
     CancelAttempt,
@@ -136,7 +136,7 @@
         """
         if not self.record.may_repeat:
             return True
-        return self.hub.guard.quarantine_status(self.fingerprint) is not Standing.CLEAR
+        return self.hub.guard.quarantine_status(self.fingerprint) is not QuarantineStatus.CLEAR
 
     @abstractmethod
     def _build_call(self, action: StartAttempt, chosen: Candidate) -> OutboundCall:
@@ -257,9 +257,9 @@
     def _start_attempt(self, action: StartAttempt) -> None:
         """Start an attempt, unless the request is quarantined for crashing endpoints."""
         status = self.hub.guard.quarantine_status(self.fingerprint)
-        if status is Standing.HELD:
+        if status is QuarantineStatus.QUARANTINED:
             self.fail_quarantined()
-        elif status is Standing.TRIAL_DUE:
+        elif status is QuarantineStatus.TRIAL_DUE:
             self.hub.guard.claim_trial(
                 self.fingerprint, lambda is_granted: self._on_trial_reply(action, is_granted)
             )
@@ -279,7 +279,10 @@
     def is_quarantined(self) -> bool:
         """True if the request is quarantined and is not the trial request."""
         status = self.hub.guard.quarantine_status(self.fingerprint)
-        return not self.is_trial and status in (Standing.HELD, Standing.TRIAL_DUE)
+        return not self.is_trial and status in (
+            QuarantineStatus.QUARANTINED,
+            QuarantineStatus.TRIAL_DUE,
+        )
 
     def fail_quarantined(self) -> None:
         """Fail a quarantined request, cancelling an attempt in flight."""
@@ -350,7 +353,9 @@
             handle.cancel()
         self.hub.directory.record_attempt_end(self.endpoint_id)
 
-    def fail_attempt(self, attempt_id: str, executed: Ran, reason: str, sent: bool = True) -> None:
+    def fail_attempt(
+        self, attempt_id: str, executed: Executed, reason: str, sent: bool = True
+    ) -> None:
         """Handle an attempt that ended without a response.
 
         Parameters
@@ -363,7 +368,7 @@
         if self.done or attempt_id != self.machine.attempt_id:
             return
         now = self.hub.now()
-        if not sent or executed is Ran.NO:
+        if not sent or executed is Executed.NO:
             self._attempt_intents.withdraw()
         self._end_call()
         self.hub.record_attempt_loss(self.record.service, self.endpoint_id, executed, reason, now)
@@ -387,7 +392,7 @@
             self.hub.directory.record_connect_failure(self.endpoint_id, self.hub.now(), refused)
         elif event.reason == "reset" and event.wrote and not self._is_stale_connection(event):
             self.report_connection_loss(attempt_id)
-        executed = Ran.UNKNOWN if event.wrote else Ran.NO
+        executed = Executed.UNKNOWN if event.wrote else Executed.NO
         self.fail_attempt(attempt_id, executed, event.reason, sent=event.wrote)
 
     def _is_stale_connection(self, event: CallFailed) -> bool:
@@ -417,7 +422,7 @@
         """Build the final answer and finish the request."""
 
     def _fail_request(self, action: Fail) -> None:
-        ran = Ran.YES if action.kind is ErrorKind.CRASHES_ENDPOINTS else action.ran
+        ran = Executed.YES if action.kind is ErrorKind.CRASHES_ENDPOINTS else action.ran
         exc = RequestError(action.kind, action.detail, ran, self._compute_retry_after(action))
         self.log.info(
             "request failed",
--- a/flamingofront/request/answer_reader.py
+++ b/flamingofront/request/answer_reader.py
@@ -3,7 +3,7 @@
 from typing import TYPE_CHECKING
 
 from flamingofront.connection.interfaces import CallEvent
-from flamingofront.errors import Ran
+from flamingofront.errors import Executed
 from flamingofront.messages import CallFailed, ResponseData, ResponseEnd, ResponseHead
 from flamingofront.request.forward_work import EndpointResponse, EndpointResponseHead
 
@@ -40,7 +40,7 @@
         else:
             self._on_failure(event)
 
-    def _fail_attempt(self, ran: Ran, reason: str) -> None:
+    def _fail_attempt(self, ran: Executed, reason: str) -> None:
         self._request.fail_attempt(self._attempt_id, ran, reason)
 
     def _on_head(self, head: ResponseHead) -> None:
@@ -50,12 +50,12 @@
             self._apply_rate_limit(response)
             self._apply_availability(response)
         if response.is_mismatched:
-            self._fail_attempt(Ran.UNKNOWN, "crossed answer")
+            self._fail_attempt(Executed.UNKNOWN, "crossed answer")
         elif response.wrong_endpoint:
             self._request.hub.directory.mark_address_reused(self._request.endpoint_id)
-            self._fail_attempt(Ran.NO, "another endpoint has the address")
+            self._fail_attempt(Executed.NO, "another endpoint has the address")
         elif response.not_run:
-            self._fail_attempt(Ran.NO, f"refused with status {response.status}")
+            self._fail_attempt(Executed.NO, f"refused with status {response.status}")
         else:
             self._response = response
         if not response.is_mismatched:
@@ -96,13 +96,13 @@
         self._chunks.append(data)
         self._received_bytes += len(data)
         if self._received_bytes > MAX_RESPONSE_BYTES:
-            self._fail_attempt(Ran.UNKNOWN, "the answer is too large")
+            self._fail_attempt(Executed.UNKNOWN, "the answer is too large")
 
     def _relay_events(self, data: bytes) -> None:
         try:
             events = self._request.relay.feed(data)
         except ValueError as exc:
-            self._fail_attempt(Ran.UNKNOWN, str(exc))
+            self._fail_attempt(Executed.UNKNOWN, str(exc))
             return
         if events:
             self._request.forward_events(self._attempt_id, self._response, events)
@@ -115,9 +115,11 @@
             self._request.relay.has_partial_event or not self._request.relay.count
         ):
             self._request.report_connection_loss(self._attempt_id)
-            self._fail_attempt(Ran.UNKNOWN, "the stream ended within an event")
+            self._fail_attempt(Executed.UNKNOWN, "the stream ended within an event")
         elif self._request.has_sent_events and not self._is_stream:
-            self._fail_attempt(Ran.UNKNOWN, f"the stream went on with status {response.status}")
+            self._fail_attempt(
+                Executed.UNKNOWN, f"the stream went on with status {response.status}"
+            )
         elif response.status >= FIRST_ERROR_STATUS:
             self._request.handle_endpoint_error(self._attempt_id, complete)
         else:
--- a/flamingofront/request/attachments.py
+++ b/flamingofront/request/attachments.py
@@ -7,14 +7,14 @@
 
 from flamingofront.connection.events import (
     DONE_EVENT,
-    chunk_event,
-    error_event,
-    reattach_event,
-    whole_answer,
+    encode_chunk_event,
+    encode_completion,
+    encode_error_event,
+    encode_reattach_event,
 )
 from flamingofront.connection.interfaces import Exchange
-from flamingofront.connection.server import JSON_HEADERS, error_body, error_headers
-from flamingofront.errors import ANSWERS, ErrorKind, RequestError
+from flamingofront.connection.server import JSON_HEADERS, build_error_headers, encode_error
+from flamingofront.errors import ERROR_RESPONSES, ErrorKind, RequestError
 from flamingofront.request.records import ModelWork
 from flamingofront.request.stored_answer import StoredAnswer
 
@@ -35,12 +35,12 @@
 
 def respond_error(exchange: Exchange, exc: RequestError, request_id: str = "") -> None:
     """Send the error response for an error kind."""
-    headers = error_headers(exc)
+    headers = build_error_headers(exc)
     if request_id:
         headers += (("X-Request-Id", request_id),)
     if exc.kind is ErrorKind.HANDED_OVER:
         headers += (("Location", f"/v1/requests/{request_id}"),)
-    exchange.respond(ANSWERS[exc.kind].status, headers, error_body(exc, request_id))
+    exchange.respond(ERROR_RESPONSES[exc.kind].status, headers, encode_error(exc, request_id))
 
 
 def respond_accepted(exchange: Exchange, request_id: str) -> None:
@@ -75,7 +75,7 @@
         self._exchange = exchange
         self._request_id = request_id
         self.on_disconnect: Callable[[Attachment], None] | None = None
-        exchange.on_gone = self._on_exchange_closed
+        exchange.on_disconnect = self._on_exchange_closed
 
     def _on_exchange_closed(self) -> None:
         if self.on_disconnect is not None:
@@ -89,7 +89,7 @@
     def detach(self) -> None:
         """Stop watching for the disconnection of the consumer."""
         self.on_disconnect = None
-        self._exchange.on_gone = None
+        self._exchange.on_disconnect = None
 
     def send_tokens(self, start: int, tokens: tuple[str, ...]) -> bool:
         """Send tokens that start at an offset; return False if the consumer reads too slowly."""
@@ -153,14 +153,16 @@
         self._offset += len(missing)
         work = self._work
         return self._exchange.send(
-            chunk_event(self._request_id, work.model, work.chat, self._offset, "".join(missing))
+            encode_chunk_event(
+                self._request_id, work.model, work.chat, self._offset, "".join(missing)
+            )
         )
 
     def send_answer(self, answer: StoredAnswer) -> None:
         """Send the final events and end the stream."""
         self._start_stream()
         work = self._work
-        last = chunk_event(self._request_id, work.model, work.chat, self._offset, "", "stop")
+        last = encode_chunk_event(self._request_id, work.model, work.chat, self._offset, "", "stop")
         self._exchange.send(last + DONE_EVENT)
         self._exchange.finish()
 
@@ -169,13 +171,13 @@
         if not self._has_started:
             super().send_error(exc)
             return
-        self._exchange.send(error_event(error_body(exc, self._request_id)))
+        self._exchange.send(encode_error_event(encode_error(exc, self._request_id)))
         self._exchange.finish()
 
     def send_moved(self, offset: int) -> None:
         """Send an event that asks the caller to reattach for the rest."""
         self._start_stream()
-        self._exchange.send(reattach_event(self._request_id, self._offset))
+        self._exchange.send(encode_reattach_event(self._request_id, self._offset))
         self._exchange.finish()
 
 
@@ -224,7 +226,7 @@
     request_id: str, work: ModelWork, tokens: tuple[str, ...] | list[str]
 ) -> StoredAnswer:
     """Return the complete, unstreamed answer of a completion."""
-    body = whole_answer(
+    body = encode_completion(
         request_id, work.model, work.chat, "".join(tokens), len(work.prompt), len(tokens)
     )
     return StoredAnswer(200, "application/json", body)
--- a/flamingofront/request/attempts.py
+++ b/flamingofront/request/attempts.py
@@ -12,7 +12,7 @@
 from enum import StrEnum
 
 from flamingofront.decisions.retry import RetryBudget
-from flamingofront.errors import ErrorKind, Ran
+from flamingofront.errors import ErrorKind, Executed
 from flamingofront.messages import (
     CancelAttempt,
     Complete,
@@ -92,7 +92,7 @@
         rng: random.Random,
         backoff: Backoff = DEFAULT_BACKOFF,
         tokens: tuple[str, ...] = (),
-        ran: Ran = Ran.NO,
+        ran: Executed = Executed.NO,
     ):
         self.facts = facts
         self.assembler = Assembler(facts.request_id, tokens)
@@ -124,8 +124,8 @@
 
     def record_write(self, attempt_id: str) -> None:
         """Record that bytes of an attempt may have reached its endpoint."""
-        if attempt_id == self.attempt_id and self.ran is Ran.NO:
-            self.ran = Ran.UNKNOWN
+        if attempt_id == self.attempt_id and self.ran is Executed.NO:
+            self.ran = Executed.UNKNOWN
 
     def accept_frame(self, frame: Frame) -> list[Action]:
         """Add the tokens of a frame to the answer; frames of other attempts are dropped."""
@@ -134,11 +134,11 @@
             return []
         actions: list[Action] = []
         if added:
-            self.ran = Ran.YES
+            self.ran = Executed.YES
             self._failures = 0
             actions.append(Emit(self.assembler.offset - len(added), added))
         if self.assembler.complete:
-            self.ran = Ran.YES
+            self.ran = Executed.YES
             self._finish()
             actions.append(Complete(self.assembler.offset))
         return actions
@@ -147,7 +147,7 @@
         """Accept a complete response; return False if it is not for the current attempt."""
         if self.phase is not Phase.RUNNING or attempt_id != self.attempt_id:
             return False
-        self.ran = Ran.YES
+        self.ran = Executed.YES
         self._finish()
         return True
 
@@ -179,14 +179,14 @@
     def record_progress(self, attempt_id: str) -> None:
         """Record that a part of the response was forwarded to the caller."""
         if attempt_id == self.attempt_id:
-            self.ran = Ran.YES
+            self.ran = Executed.YES
             self._failures = 0
 
     def handle_attempt_failure(
         self,
         attempt_id: str,
         endpoint_id: str,
-        executed: Ran,
+        executed: Executed,
         now: float,
         detail: str = "",
         sent: bool = True,
@@ -208,10 +208,10 @@
         self._update_ran(executed)
         if now >= self.facts.deadline:
             return self._fail(ErrorKind.DEADLINE_EXCEEDED, detail)
-        if not self.facts.repeatable and executed is not Ran.NO:
+        if not self.facts.repeatable and executed is not Executed.NO:
             return self._fail(ErrorKind.OUTCOME_UNKNOWN, detail)
         if self._failures >= MAX_FAILURES_WITHOUT_PROGRESS:
-            return self._fail(ErrorKind.ENDPOINT_FAILED, detail, self._backoff.longest)
+            return self._fail(ErrorKind.ENDPOINT_FAILED, detail, self._backoff.max_seconds)
         if not sent and self.facts.max_attempts is not None:
             self.attempts -= 1
             return self._retry_or_fail(now, 0.0, ErrorKind.ENDPOINT_FAILED)
@@ -219,19 +219,19 @@
             return self._fail(self._exhausted_error_kind(), detail)
         delay = self._budget.reserve(now)
         if self._failures > 1:
-            delay = max(delay, self._backoff.delay(self._failures - 2, self._rng))
+            delay = max(delay, self._backoff.compute_delay(self._failures - 2, self._rng))
         return self._retry_or_fail(now, delay, ErrorKind.RETRY_BUDGET_EXHAUSTED)
 
-    def _update_ran(self, executed: Ran) -> None:
+    def _update_ran(self, executed: Executed) -> None:
         """Update whether the request ran; a rejected attempt says nothing about earlier ones."""
-        if executed is Ran.NO and self.ran is not Ran.YES:
+        if executed is Executed.NO and self.ran is not Executed.YES:
             self.ran = self._ran_before_attempt
-        elif executed is not Ran.NO and self.ran is Ran.NO:
-            self.ran = Ran.UNKNOWN
+        elif executed is not Executed.NO and self.ran is Executed.NO:
+            self.ran = Executed.UNKNOWN
 
     def _exhausted_error_kind(self) -> ErrorKind:
         """Return the error kind for a request that has reached its maximum number of attempts."""
-        return ErrorKind.OVERLOADED if self.ran is Ran.NO else ErrorKind.ENDPOINT_FAILED
+        return ErrorKind.OVERLOADED if self.ran is Executed.NO else ErrorKind.ENDPOINT_FAILED
 
     def _retry_or_fail(self, now: float, delay: float, kind: ErrorKind) -> list[Action]:
         if now + delay >= self.facts.deadline:
--- a/flamingofront/request/claims.py
+++ b/flamingofront/request/claims.py
@@ -14,7 +14,7 @@
 from flamingofront.messages import Sleep
 from flamingofront.process.backoff import Backoff
 from flamingofront.process.documents import Document, DocumentStore
-from flamingofront.process.expiry import expiry_write
+from flamingofront.process.expiry import build_expiry_write
 from flamingofront.process.tasks import Task
 from flamingofront.request.stored_answer import StoredAnswer, answer_from_json, answer_to_json
 
@@ -195,10 +195,10 @@
             if (yield from documents.replace(row, value)):
                 return ClaimOutcome(ClaimDecision.GRANTED, owner, request_id)
         except PlatformError as exc:
-            may_exist = may_exist or exc.maybe_done
+            may_exist = may_exist or exc.maybe_applied
         if now() >= deadline:
             return ClaimOutcome(ClaimDecision.UNAVAILABLE, may_exist=may_exist)
-        yield Sleep(backoff.delay(tries, rng))
+        yield Sleep(backoff.compute_delay(tries, rng))
         tries += 1
 
 
@@ -213,7 +213,7 @@
             done = False
         if done:
             return
-        yield Sleep(backoff.delay(tries, rng))
+        yield Sleep(backoff.compute_delay(tries, rng))
         tries += 1
 
 
@@ -242,7 +242,7 @@
         state = ClaimState.DONE if answer is not None else ClaimState.UNKNOWN
         stored = answer_to_json(answer) if answer is not None else None
         value = {**row.value, "state": state.value, "answer": stored, "until": expires_at}
-        return (yield from documents.replace(row, value, expiry_write(row.key, expires_at)))
+        return (yield from documents.replace(row, value, build_expiry_write(row.key, expires_at)))
 
     yield from retry_until_done(write_once, rng)
 
--- a/flamingofront/request/directory.py
+++ b/flamingofront/request/directory.py
@@ -13,8 +13,8 @@
 from flamingofront.decisions.choice import Candidate, report_weight
 from flamingofront.decisions.retry import EndpointHealth
 from flamingofront.decisions.rollout import VersionRule
-from flamingofront.decisions.shares import NotedPrompts
-from flamingofront.decisions.zone_reach import ZoneReach
+from flamingofront.decisions.shares import RemotePrompts
+from flamingofront.decisions.zone_reach import ZoneReachability
 from flamingofront.process.membership import Fact, FactTable, Role, VmState
 from flamingofront.process.rendezvous import rank
 from flamingofront.request.prefixes import PrefixIndex
@@ -36,10 +36,10 @@
 def is_drained(fact: Fact, cfg: Configuration) -> bool:
     """Return True if an operator has drained an endpoint, its VM, its side or its zone."""
     return (
-        fact.vm_id in cfg.drained(DrainKind.ENDPOINT)
-        or fact.vm_id in cfg.drained(DrainKind.VM)
-        or fact.side in cfg.drained(DrainKind.SIDE)
-        or fact.zone in cfg.drained(DrainKind.ZONE)
+        fact.vm_id in cfg.drained_targets(DrainKind.ENDPOINT)
+        or fact.vm_id in cfg.drained_targets(DrainKind.VM)
+        or fact.side in cfg.drained_targets(DrainKind.SIDE)
+        or fact.zone in cfg.drained_targets(DrainKind.ZONE)
     )
 
 
@@ -127,7 +127,7 @@
         Called before each choice, to update the loads from other processes.
     local_share : callable
         Returns the share of the load that comes from this process, from 0 to 1.
-    noted_prompts : NotedPrompts
+    noted_prompts : RemotePrompts
         Prompts that other processes have reported recently, which load reports may not include.
     """
 
@@ -139,7 +139,7 @@
             lambda endpoints: ()
         )
         self.refresh_loads: Callable[[], None] = lambda: None
-        self.noted_prompts = NotedPrompts()
+        self.noted_prompts = RemotePrompts()
         self.health = EndpointHealth(rng)
         self.prefixes = PrefixIndex()
         self.configuration = Configuration()
@@ -156,7 +156,7 @@
         self._backoff_until: dict[str, float] = {}
         self._connect_failures: Counter[str] = Counter()
         self._last_contact_at: dict[str, float] = {}
-        self.zones = ZoneReach()
+        self.zones = ZoneReachability()
         self._index: dict[str, _ServiceEndpoints] = {}
         self._index_key = (-1, -1)
 
@@ -229,7 +229,7 @@
         endpoints = self._endpoints_of(service.name)
         if rule is not None:
             endpoints = _ServiceEndpoints(rule.select(endpoints.facts), endpoints.drained)
-        ejected = self.health.ejected(endpoints.facts, now)
+        ejected = self.health.list_ejected(endpoints.facts, now)
         prefix_owner = self._find_prefix_owner(endpoints, shared)
         if include_all or len(endpoints.facts) <= self.sample_size():
             facts = list(endpoints.facts.values())
@@ -307,7 +307,7 @@
         report = self._reports.get(endpoint_id)
         if report is not None and context.now - report.received_at > MAX_REPORT_AGE_SECONDS:
             report = None
-        noted_requests, noted_tokens = self.noted_prompts.at(endpoint_id, context.now)
+        noted_requests, noted_tokens = self.noted_prompts.get_counts(endpoint_id, context.now)
         backlog = self._backlog[endpoint_id] + self._peer_backlog.get(endpoint_id, 0)
         return Candidate(
             endpoint_id=endpoint_id,
@@ -316,9 +316,9 @@
             side=fact.side,
             price=fact.price,
             slots=fact.slots or service.slots,
-            own_in_flight=self._in_flight[endpoint_id],
+            local_in_flight=self._in_flight[endpoint_id],
             reported_load=(report.load if report else 0.0) + noted_requests,
-            own_at_report=report.local_in_flight if report else 0,
+            local_at_report=report.local_in_flight if report else 0,
             cached_tokens=self._cached_tokens(endpoint_id, hashes, context),
             backlog_tokens=backlog + noted_tokens,
             reclaim_risk=DEFAULT_RECLAIM_RISK if fact.reclaimable else 0.0,
@@ -326,7 +326,7 @@
             leaving=endpoint_id in context.drained,
             ejected=endpoint_id in context.ejected,
             reachable=self._is_reachable(fact, context.now),
-            own_share=context.local_share,
+            local_share=context.local_share,
             report_weight=context.report_weight,
             closed=endpoint_id in context.closed,
         )
@@ -362,7 +362,7 @@
 
     def mark_address_reused(self, endpoint_id: str) -> None:
         """Mark an endpoint as gone because another endpoint now has its address."""
-        self._facts.mark(endpoint_id, VmState.GONE)
+        self._facts.advance_state(endpoint_id, VmState.GONE)
 
     def record_attempt_start(self, endpoint_id: str) -> None:
         """Count an attempt of this process that starts at an endpoint."""
@@ -464,7 +464,7 @@
         self._backoff_until[endpoint_id] = now + seconds
         fact = self._facts.get(endpoint_id)
         if fact is not None and not is_refused:
-            self.zones.failed(fact.zone, endpoint_id, now)
+            self.zones.record_connect_failure(fact.zone, endpoint_id, now)
 
     def record_contact(self, endpoint_id: str, now: float) -> None:
         """Record that data from an endpoint has been received."""
@@ -473,7 +473,7 @@
             del self._connect_failures[endpoint_id]
         fact = self._facts.get(endpoint_id)
         if fact is not None:
-            self.zones.spoke(fact.zone, now)
+            self.zones.record_response(fact.zone, now)
 
     def last_contact_at(self, endpoint_id: str) -> float:
         """Return the time of the last data from an endpoint; minus infinity if there was none."""
@@ -487,7 +487,7 @@
     def _is_reachable(self, fact: Fact, now: float) -> bool:
         if self._backoff_until.get(fact.vm_id, -math.inf) > now:
             return False
-        return not self.zones.is_cut_off(fact.zone, now)
+        return not self.zones.is_partitioned(fact.zone, now)
 
     def version_of(self, endpoint_id: str) -> str:
         """Return the software version of an endpoint; empty if the endpoint is unknown."""
--- a/flamingofront/request/endpoint_ends.py
+++ b/flamingofront/request/endpoint_ends.py
@@ -8,8 +8,8 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from flamingofront.connection.interfaces import Reach, Transport
-from flamingofront.decisions.quarantine_facts import EndpointEnd
+from flamingofront.connection.interfaces import ConnectResult, Transport
+from flamingofront.decisions.quarantine_facts import EndpointCrash
 from flamingofront.process.logs import Log
 from flamingofront.process.metrics import Metrics
 from flamingofront.process.timers import TimerService
@@ -58,7 +58,7 @@
     Attributes
     ----------
     on_crash : callable
-        Called with each `EndpointEnd`, with its time on the clock of the timer service. Another
+        Called with each `EndpointCrash`, with its time on the clock of the timer service. Another
         call for the same crash has the requests that were detected later.
     on_unobserved_crash : callable
         Called with each endpoint whose row was deleted without notice while this process had no
@@ -81,7 +81,7 @@
         self._metrics = metrics
         self._log = log
         self._checks: dict[str, _CrashCheck] = {}
-        self.on_crash: Callable[[EndpointEnd], None] = lambda end: None
+        self.on_crash: Callable[[EndpointCrash], None] = lambda end: None
         self.on_unobserved_crash: Callable[[str], None] = lambda endpoint_id: None
         self.on_crash_found: Callable[[str], None] = lambda endpoint_id: None
 
@@ -135,9 +135,9 @@
         )
 
     def _on_confirmation_probe(
-        self, endpoint_id: str, reach: Reach, on_confirmed: Callable[[], None]
+        self, endpoint_id: str, reach: ConnectResult, on_confirmed: Callable[[], None]
     ) -> None:
-        if reach is Reach.CONNECTED and not self._directory.is_replaced(endpoint_id):
+        if reach is ConnectResult.CONNECTED and not self._directory.is_replaced(endpoint_id):
             self._log.info("endpoint still listens after its row was deleted", endpoint=endpoint_id)
         else:
             on_confirmed()
@@ -177,14 +177,14 @@
             lambda reach: self._on_probe_result(endpoint_id, check, reach),
         )
 
-    def _on_probe_result(self, endpoint_id: str, check: _CrashCheck, reach: Reach) -> None:
+    def _on_probe_result(self, endpoint_id: str, check: _CrashCheck, reach: ConnectResult) -> None:
         if self._checks.get(endpoint_id) is not check or check.is_crashed:
             return
-        if reach is Reach.REFUSED:
+        if reach is ConnectResult.REFUSED:
             self._timers.once(
                 SETTLE_DELAY_SECONDS, lambda: self._conclude_check(endpoint_id, check)
             )
-        elif reach is Reach.UNANSWERED and check.probe_count < MAX_PROBES:
+        elif reach is ConnectResult.UNANSWERED and check.probe_count < MAX_PROBES:
             self._timers.once(PROBE_RETRY_SECONDS, lambda: self._send_probe(endpoint_id, check))
         else:
             del self._checks[endpoint_id]
@@ -216,5 +216,5 @@
         self, endpoint_id: str, check: _CrashCheck, fingerprints: frozenset[str]
     ) -> None:
         self.on_crash(
-            EndpointEnd(endpoint_id, check.zone, check.lost_at, tuple(sorted(fingerprints)))
+            EndpointCrash(endpoint_id, check.zone, check.lost_at, tuple(sorted(fingerprints)))
         )
--- a/flamingofront/request/forward_gateway.py
+++ b/flamingofront/request/forward_gateway.py
@@ -146,7 +146,7 @@
     def _recheck_route(self, req: InboundRequest, exchange: Exchange) -> None:
         """Check for a newer configuration, then look up the route or workspace again."""
         caller_presence = _CallerPresence()
-        exchange.on_gone = caller_presence.mark_disconnected
+        exchange.on_disconnect = caller_presence.mark_disconnected
         self.config_freshness.verify(
             lambda is_current: caller_presence.is_disconnected
             or self._on_config_checked(req, exchange, is_current)
@@ -175,7 +175,7 @@
             status=self._protocol.render_error(exc)[0],
             retry_after=exc.retry_after,
             configuration=self.configuration.version,
-            **exc.inputs,
+            **exc.log_fields,
         )
 
     def _accept_or_raise(self, req: InboundRequest, exchange: Exchange) -> None:
@@ -183,7 +183,7 @@
         if not cfg.version:
             raise RequestError(ErrorKind.NOT_READY, retry_after=NOT_READY_RETRY_SECONDS)
         caller = self._protocol.decode(req)
-        route = cfg.route_for(caller.host, caller.path)
+        route = cfg.find_route(caller.host, caller.path)
         if route is None:
             raise RequestError(ErrorKind.UNKNOWN_SERVICE, f"no route for {caller.path[:80]!r}")
         workspace = self._find_workspace(caller, route)
@@ -198,7 +198,7 @@
         # Before the arbiter request: its reply could arrive after this process exits.
         self._check_shutdown(record)
         requested_at = self._hub.now()
-        exchange.on_gone = pending.mark_disconnected
+        exchange.on_disconnect = pending.mark_disconnected
         self.quota_gate.decide(
             workspace,
             units,
@@ -228,7 +228,7 @@
             pending.record, _make_admission_share(pending.route, pending.workspace)
         )
         if pending.workspace is not None:
-            self._quota.spend(pending.workspace, pending.units, self._hub.now())
+            self._quota.consume(pending.workspace, pending.units, self._hub.now())
         request.on_response_start = self._on_response_start
         request.version_rule_of = self._version_rule
         request.on_end = lambda finished: self._on_request_end(finished, pending)
@@ -243,7 +243,7 @@
         self, caller: CallerRequest, route: ForwardedRoute
     ) -> ForwardedWorkspace | None:
         cfg = self.configuration
-        workspace = cfg.workspace_of(caller.key) if caller.key else None
+        workspace = cfg.find_workspace_by_key(caller.key) if caller.key else None
         if workspace is None and route.needs_key and cfg.workspaces:
             raise RequestError(ErrorKind.UNKNOWN_WORKSPACE, "unknown API key")
         return workspace
@@ -252,8 +252,8 @@
         if decision.wait <= 0:
             return
         workspace = pending.workspace
-        state = decision.state or self._quota.state(workspace, self._hub.now())
-        inputs = {
+        state = decision.state or self._quota.get_state(workspace, self._hub.now())
+        log_fields = {
             "workspace": workspace.name,
             "units": pending.units,
             "rate": workspace.rate,
@@ -265,7 +265,7 @@
             ErrorKind.LIMIT_EXCEEDED,
             f"workspace {workspace.name} exceeds its quota of {workspace.rate:g} per second",
             retry_after=decision.wait,
-            inputs=inputs,
+            log_fields=log_fields,
         )
 
     def _check_shutdown(self, record: RequestRecord) -> None:
@@ -281,13 +281,13 @@
         route: ForwardedRoute,
         workspace: ForwardedWorkspace | None,
     ) -> RequestRecord:
-        spent = self._hub.now() - req.began_at
+        spent = self._hub.now() - req.head_received_at
         seconds_left = route.timeout - spent
         if caller.deadline is not None:
             seconds_left = min(seconds_left, caller.deadline - spent)
         if seconds_left <= 0:
             raise RequestError(ErrorKind.DEADLINE_EXCEEDED, "the deadline has passed")
-        name = route.backend_for(caller.request_id)
+        name = route.select_backend(caller.request_id)
         slots = self._hub.directory.advertised_slots(name)
         work = ForwardWork(
             method=req.method,
@@ -296,7 +296,7 @@
             fields=caller.fields,
             body=req.body,
             stream=route.kind is RequestKind.STREAM,
-            repeatable=route.may_repeat,
+            repeatable=route.can_repeat,
             resumable=route.resumable,
             max_attempts=route.max_attempts,
             caller_id=caller.request_id,
@@ -309,7 +309,7 @@
             request_id=f"{caller.request_id}#{next(self._numbers)}",
             workspace=work.workspace,
             route=route.name,
-            service=self.configuration.service_for(route, name, slots),
+            service=self.configuration.build_service(route, name, slots),
             work=work,
             deadline_left=seconds_left,
         )
