--- a/flamingofront/request/forwarded_request.py
+++ b/flamingofront/request/forwarded_request.py
@@ -6,10 +6,10 @@
 from flamingofront.decisions.admission import Ticket
 from flamingofront.decisions.choice import Candidate
 from flamingofront.decisions.engine_rates import ServiceRates
-from flamingofront.decisions.lateness import Expectation, postponement, urgency
+from flamingofront.decisions.lateness import LatencyEstimate, classify_urgency, compute_yield_delay
 from flamingofront.decisions.rollout import VersionRule
 from flamingofront.decisions.stopping import StreamTimes
-from flamingofront.errors import ErrorKind, Ran, RequestError
+from flamingofront.errors import ErrorKind, Executed, RequestError
 from flamingofront.messages import (
     CallFailed,
     Fail,
@@ -117,7 +117,7 @@
     @property
     def _rates(self) -> ServiceRates:
         """Processing rates of the service's endpoints, learned from their responses."""
-        return self.hub.rates.of(self.record.service.name)
+        return self.hub.rates.for_service(self.record.service.name)
 
     def version_rule(self) -> VersionRule | None:
         """Return the endpoint versions that the next attempt may use; None for any version."""
@@ -140,12 +140,12 @@
         self._backlog_endpoint = chosen.endpoint_id
         self.hub.directory.add_backlog(self._backlog_endpoint, self._backlog_tokens)
 
-    def _make_expectation(self, chosen: Candidate) -> Expectation:
+    def _make_expectation(self, chosen: Candidate) -> LatencyEstimate:
         """Return the expected time to first event and the time left of the latency objective."""
-        first = self._rates.now().first_event(self._tokens_ahead) * chosen.slowness
+        first = self._rates.estimate().first_event_seconds(self._tokens_ahead) * chosen.slowness
         objective = self.record.service.first_token_target
         seconds_left = objective - (self.hub.now() - self.accepted_at)
-        return Expectation(first, seconds_left, self.has_sent_events)
+        return LatencyEstimate(first, seconds_left, self.has_sent_events)
 
     def _compute_postponement(self, chosen: Candidate) -> float:
         """Return the seconds to postpone a request that cannot meet its latency objective.
@@ -159,8 +159,8 @@
         if not self._is_load_recorded:
             self._is_load_recorded = True
             self.hub.record_load(self.record.service.name, new_tokens)
-        rates, now = self._rates.now(), self.hub.now()
-        wait = postponement(
+        rates, now = self._rates.estimate(), self.hub.now()
+        wait = compute_yield_delay(
             self._make_expectation(chosen),
             rates.token_seconds * chosen.backlog_tokens * chosen.slowness,
             now - self.accepted_at,
@@ -173,7 +173,7 @@
                 endpoint=chosen.endpoint_id,
                 backlog=chosen.backlog_tokens,
                 prompt=self.work.prompt_tokens,
-                expected_ms=round(self._make_expectation(chosen).first_event * 1000),
+                expected_ms=round(self._make_expectation(chosen).first_event_seconds * 1000),
                 loads_age=self.hub.directory.load_report_age(now),
             )
         return wait * (0.5 + self.hub.rng.random())
@@ -225,13 +225,15 @@
             chosen.endpoint_id,
             seconds_left,
             self.relay.last_id,
-            urgency(self._make_expectation(chosen)),
+            classify_urgency(self._make_expectation(chosen)),
         )
         work = self.work
         self.endpoints.append(chosen.endpoint_id)
         self.sent_at = self.hub.now()
         tokens_ahead = self._tokens_ahead if work.stream else 0
-        self._latency = AttemptLatency(self.sent_at, self._rates.now().first_event(tokens_ahead))
+        self._latency = AttemptLatency(
+            self.sent_at, self._rates.estimate().first_event_seconds(tokens_ahead)
+        )
         self._events_before_attempt = self.relay.count
         return OutboundCall(
             chosen.address,
@@ -242,7 +244,7 @@
             timeout=seconds_left + CALL_MARGIN_SECONDS,
             stream=True,
             # After a reset of a reused connection it is unknown whether the request ran.
-            fresh=self.needs_fresh_connection,
+            new_connection=self.needs_fresh_connection,
             host=work.host,
             connect_timeout=CONNECT_TIMEOUT_SECONDS,
         )
@@ -264,7 +266,7 @@
         self._latency.record_start(self.hub.now())
         if self._backlog_tokens:
             if self.work.stream and self.endpoint_id == self._backlog_endpoint:
-                self._rates.first_event(self._tokens_ahead, self.hub.now() - self.sent_at)
+                self._rates.record_first_event(self._tokens_ahead, self.hub.now() - self.sent_at)
             self._clear_backlog()
             self._record_cached_prefix()
         if self.first_response_at is None:
@@ -295,13 +297,15 @@
         if self.first_response_at is not None and count > 0:
             interval = (now - self._last_event_at) / count
             self.hub.directory.record_token_time(self.endpoint_id, interval)
-            self._rates.pause(interval)
+            self._rates.record_pause(interval)
         self._event_count, self._last_event_at = self.relay.count, now
 
     def _report_outcome(self, is_failure: bool) -> None:
         self.hub.on_outcome(self.record.service.name, self.endpoint_id, is_failure)
 
-    def fail_attempt(self, attempt_id: str, executed: Ran, reason: str, sent: bool = True) -> None:
+    def fail_attempt(
+        self, attempt_id: str, executed: Executed, reason: str, sent: bool = True
+    ) -> None:
         """Handle an attempt that ended without a response.
 
         Parameters
@@ -312,7 +316,7 @@
             False if no byte of the attempt can have reached the endpoint.
         """
         is_current = not self.done and attempt_id == self.machine.attempt_id
-        if is_current and sent and executed is not Ran.NO:
+        if is_current and sent and executed is not Executed.NO:
             self._report_outcome(is_failure=True)
         super().fail_attempt(attempt_id, executed, reason, sent)
 
@@ -320,17 +324,17 @@
         """Record the endpoint's health and processing rates from a complete response."""
         directory, now = self.hub.directory, self.hub.now()
         events = self.relay.count - self._events_before_attempt
-        is_slow = self._latency.is_slow(now, events, self._rates.now())
+        is_slow = self._latency.is_slow(now, events, self._rates.estimate())
         self._report_outcome(is_slow or answer.status >= FIRST_ERROR_STATUS)
         if answer.status >= FIRST_ERROR_STATUS:
             self.hub.record_endpoint_failure(self.record.service, self.endpoint_id, now)
             return
-        directory.health.succeeded(self.endpoint_id)
+        directory.health.record_success(self.endpoint_id)
         if not self.work.stream:
             directory.record_token_time(self.endpoint_id, now - self.sent_at)
-            self._rates.call(now - self.sent_at)
+            self._rates.record_call(now - self.sent_at)
         elif self.relay.count:
-            self._rates.ended(self.relay.count)
+            self._rates.record_event_count(self.relay.count)
             self._record_stream_times(now)
 
     def _record_stream_times(self, now: float) -> None:
@@ -340,7 +344,7 @@
             now - self.first_response_at,
             self.work.output_tokens,
         )
-        self.hub.completion.of(self.record.service.name).observe(times)
+        self.hub.completion.for_service(self.record.service.name).observe(times)
 
     def complete_response(self, attempt_id: str, answer: EndpointResponse) -> None:
         """Send the endpoint's complete response to the caller."""
@@ -358,7 +362,7 @@
         if self.work.repeatable and self.machine.attempt_id == attempt_id:
             self._error_response = answer
             self.record_response_start()
-            self.fail_attempt(attempt_id, Ran.UNKNOWN, f"status {answer.status}")
+            self.fail_attempt(attempt_id, Executed.UNKNOWN, f"status {answer.status}")
         else:
             self.complete_response(attempt_id, answer)
 
@@ -370,7 +374,7 @@
         """Retry at another endpoint, if allowed, because the current one is partitioned."""
         if self.work.repeatable and self.machine.attempt_id and self._has_attempts_left():
             # The outcome is unknown, so it must not count against the endpoint's version.
-            super().fail_attempt(self.machine.attempt_id, Ran.UNKNOWN, "zone cut off")
+            super().fail_attempt(self.machine.attempt_id, Executed.UNKNOWN, "zone cut off")
 
     def fail_if_restarted(self, started_at: float) -> None:
         """Fail the current attempt if it was sent before its endpoint restarted.
@@ -384,7 +388,7 @@
             self.hub.guard.crash_detector.record_restart(
                 self.endpoint_id, frozenset((self.fingerprint,))
             )
-            self.fail_attempt(self.machine.attempt_id, Ran.UNKNOWN, "endpoint started again")
+            self.fail_attempt(self.machine.attempt_id, Executed.UNKNOWN, "endpoint started again")
 
     def _has_attempts_left(self) -> bool:
         limit = self.machine.facts.max_attempts
@@ -403,10 +407,10 @@
         """Start an attempt, unless it might not finish before this process shuts down."""
         seconds_left = self.machine.facts.deadline - self.hub.now()
         rejection = make_shutdown_rejection(self.hub, self.record, seconds_left)
-        if rejection is None or self.machine.ran is not Ran.NO:
+        if rejection is None or self.machine.ran is not Executed.NO:
             super()._start_attempt(action)
             return
-        self.log.info("request rejected during shutdown", **rejection.inputs)
+        self.log.info("request rejected during shutdown", **rejection.log_fields)
         self.execute(self.machine.fail(rejection.kind, rejection.detail, rejection.retry_after))
 
     def fail_for_shutdown(self) -> None:
@@ -415,7 +419,7 @@
             return
         self._record_written_bytes()
         kind = ErrorKind.DRAINING
-        if self.machine.ran is not Ran.NO:
+        if self.machine.ran is not Executed.NO:
             # A 503 would state that the request has not run.
             repeatable = self.work.repeatable
             kind = ErrorKind.ENDPOINT_FAILED if repeatable else ErrorKind.OUTCOME_UNKNOWN
--- a/flamingofront/request/gateway.py
+++ b/flamingofront/request/gateway.py
@@ -15,7 +15,7 @@
 from flamingofront.connection.interfaces import Exchange
 from flamingofront.connection.server import JSON_HEADERS
 from flamingofront.decisions.admission import WorkspaceShare
-from flamingofront.errors import ErrorKind, PlatformError, Ran, RequestError
+from flamingofront.errors import ErrorKind, Executed, PlatformError, RequestError
 from flamingofront.messages import InboundRequest
 from flamingofront.process.documents import DocumentStore
 from flamingofront.process.tasks import Task, TaskRunner
@@ -38,7 +38,7 @@
 from flamingofront.request.reattach import Reattachment
 from flamingofront.request.records import ModelWork, PlainWork, RequestRecord
 from flamingofront.version.model import Configuration, ObjectKind, Service, ServiceKind, Workspace
-from flamingofront.version.routing import side_for
+from flamingofront.version.routing import select_side
 
 __all__ = ["Gateway"]
 
@@ -154,12 +154,12 @@
         authorization = req.header("authorization")
         if authorization.startswith("Bearer "):
             digest = hashlib.sha256(authorization[len("Bearer ") :].strip().encode()).hexdigest()
-            for each in self.configuration.of(ObjectKind.WORKSPACE).values():
+            for each in self.configuration.objects_of(ObjectKind.WORKSPACE).values():
                 if each.credential == digest:
                     return each
             raise RequestError(ErrorKind.UNKNOWN_WORKSPACE, "unknown credential")
         name = req.header("x-workspace")
-        workspace = self.configuration.workspace(name)
+        workspace = self.configuration.find_workspace(name)
         if workspace is None or workspace.credential:
             raise RequestError(
                 ErrorKind.UNKNOWN_WORKSPACE,
@@ -168,8 +168,8 @@
         return workspace
 
     def _find_service(self, route_name: str, workspace: Workspace, kind: ServiceKind) -> Service:
-        route = self.configuration.route(route_name)
-        service = self.configuration.service(route.service) if route is not None else None
+        route = self.configuration.find_route(route_name)
+        service = self.configuration.find_service(route.service) if route is not None else None
         is_known = route is not None and service is not None and route.allows(workspace.name)
         if not is_known or service.kind is not kind:
             raise RequestError(
@@ -182,8 +182,9 @@
         cfg = self.configuration
         names = [
             route.name
-            for route in cfg.of(ObjectKind.ROUTE).values()
-            if route.allows(workspace.name) and cfg.service(route.service).kind is ServiceKind.MODEL
+            for route in cfg.objects_of(ObjectKind.ROUTE).values()
+            if route.allows(workspace.name)
+            and cfg.find_service(route.service).kind is ServiceKind.MODEL
         ]
         data = {"object": "list", "data": [{"id": name, "object": "model"} for name in names]}
         exchange.respond(200, JSON_HEADERS, orjson.dumps(data))
@@ -235,7 +236,7 @@
             route=route,
             service=service,
             work=work,
-            side=side_for(self.configuration, service.name, workspace.name, request_id),
+            side=select_side(self.configuration, service.name, workspace.name, request_id),
             deadline_left=options.deadline or self._default_deadline,
             job=options.respond_async,
             key=options.key,
@@ -285,7 +286,7 @@
         self._keyed.start_job(request)
 
     def _reject_job(self, request: ActiveRequest, error: PlatformError, exchange: Exchange) -> None:
-        ran = Ran.UNKNOWN if error.maybe_done else Ran.NO
+        ran = Executed.UNKNOWN if error.maybe_applied else Executed.NO
         exc = RequestError(
             ErrorKind.STORE_UNAVAILABLE, str(error), ran, retry_after=STORE_RETRY_SECONDS
         )
--- a/flamingofront/request/guard.py
+++ b/flamingofront/request/guard.py
@@ -10,15 +10,20 @@
 from typing import TYPE_CHECKING
 
 from flamingofront.decisions.quarantine import (
-    ENDS_KEPT,
+    CRASHES_TO_PERSIST,
     MAX_SUSPECTS,
-    MAX_UNWITNESSED,
-    SETTLED_SECONDS,
+    MAX_UNOBSERVED,
+    PROPAGATION_SECONDS,
     Quarantine,
-    is_about_restart,
+    is_near_restart,
 )
-from flamingofront.decisions.quarantine_facts import EndpointEnd, Hold, QuarantineWord, Standing
-from flamingofront.errors import ErrorKind, Ran, RequestError
+from flamingofront.decisions.quarantine_facts import (
+    EndpointCrash,
+    QuarantineEntry,
+    QuarantineStatus,
+    QuarantineUpdate,
+)
+from flamingofront.errors import ErrorKind, Executed, RequestError
 from flamingofront.process.logs import Log
 from flamingofront.process.metrics import Metrics
 from flamingofront.process.timers import TimerService
@@ -32,7 +37,7 @@
 
 __all__ = ["Evidence", "RequestGuard", "quarantine_error"]
 
-Evidence = Mapping[str, tuple[EndpointEnd, ...]]
+Evidence = Mapping[str, tuple[EndpointCrash, ...]]
 
 # Period of the removal of expired entries.
 CLEANUP_PERIOD_SECONDS = 10.0
@@ -40,7 +45,7 @@
 GOSSIP_BATCH_SECONDS = 0.03
 
 
-def quarantine_error(entry: Hold, wall: float) -> RequestError:
+def quarantine_error(entry: QuarantineEntry, wall: float) -> RequestError:
     """Return the error for a quarantined request, with the crashes that it caused.
 
     Parameters
@@ -53,7 +58,7 @@
         ErrorKind.CRASHES_ENDPOINTS,
         f"{len(entry.endpoints)} endpoints ended while they ran this request, the last one "
         f"{ago:.1f} s ago; do not repeat it",
-        inputs={
+        log_fields={
             "work": entry.fingerprint,
             "endpoints": entry.endpoints,
             "last_end_age": round(ago, 3),
@@ -109,11 +114,13 @@
         self.quarantine = Quarantine()
         self.wall: Callable[[], float] = timers.wall
         self.on_update: Callable[[], None] = lambda: None
-        self.on_quarantine_change: Callable[[Hold, bool], None] = lambda entry, is_local: None
+        self.on_quarantine_change: Callable[[QuarantineEntry, bool], None] = (
+            lambda entry, is_local: None
+        )
         self.on_evidence: Callable[[Evidence], None] = lambda evidence: None
         self.on_endpoint_crash: Callable[[str], None] = lambda endpoint_id: None
         self.entry_start_times: Callable[[], Sequence[float]] = lambda: ()
-        self.acquire_trial: Callable[[Hold, Callable[[bool], None]], None] = (
+        self.acquire_trial: Callable[[QuarantineEntry, Callable[[bool], None]], None] = (
             lambda entry, done: done(False)
         )
         self.intents: IntentLog = NullIntentLog()
@@ -122,7 +129,7 @@
         self._log = log
         self._active = active
         # Endpoints that crashed while no process had a request there, as far as is known.
-        self._unobserved: deque[str] = deque(maxlen=MAX_UNWITNESSED)
+        self._unobserved: deque[str] = deque(maxlen=MAX_UNOBSERVED)
         # Requests of crashes observed here, until the reports of all processes have been received.
         self._observed_fingerprints: set[str] = set()
         # Requests whose crashes are persisted in the store, by the local view.
@@ -135,19 +142,19 @@
 
     # Quarantine status
 
-    def quarantine_status(self, fingerprint: str) -> Standing:
+    def quarantine_status(self, fingerprint: str) -> QuarantineStatus:
         """Return the quarantine status of a request."""
         if not self.quarantine:
-            return Standing.CLEAR
-        return self.quarantine.standing(fingerprint, self.wall())
+            return QuarantineStatus.CLEAR
+        return self.quarantine.get_status(fingerprint, self.wall())
 
-    def quarantine_entry(self, fingerprint: str) -> Hold | None:
+    def quarantine_entry(self, fingerprint: str) -> QuarantineEntry | None:
         """Return the quarantine entry of a request; None if it is not quarantined."""
-        return self.quarantine.hold(fingerprint)
+        return self.quarantine.get_entry(fingerprint)
 
     def suspects(self) -> frozenset[str]:
         """Return the fingerprints of requests that are suspect but not quarantined."""
-        return self.quarantine.suspects(self.wall())
+        return self.quarantine.list_suspects(self.wall())
 
     def reject_quarantined(self, record: RequestRecord) -> None:
         """Reject a request that is quarantined.
@@ -160,7 +167,7 @@
         if not self.quarantine:
             return
         fingerprint = compute_fingerprint(record)
-        if self.quarantine_status(fingerprint) is Standing.HELD:
+        if self.quarantine_status(fingerprint) is QuarantineStatus.QUARANTINED:
             raise quarantine_error(self.quarantine_entry(fingerprint), self.wall())
 
     def endpoints_to_avoid(self, request: "ActiveRequest") -> frozenset[str]:
@@ -175,7 +182,7 @@
             return frozenset()
         if (
             not request.is_trial
-            and self.quarantine_status(request.fingerprint) is not Standing.SUSPECTED
+            and self.quarantine_status(request.fingerprint) is not QuarantineStatus.SUSPECTED
         ):
             return frozenset()
         return frozenset(
@@ -189,29 +196,35 @@
     def _must_separate(self, request: "ActiveRequest", other: "ActiveRequest") -> bool:
         if other.fingerprint == request.fingerprint:
             return True
-        return request.is_trial or self.quarantine_status(other.fingerprint) is not Standing.CLEAR
+        return (
+            request.is_trial
+            or self.quarantine_status(other.fingerprint) is not QuarantineStatus.CLEAR
+        )
 
     # Crashes and responses
 
-    def _on_crash(self, crash: EndpointEnd) -> None:
+    def _on_crash(self, crash: EndpointCrash) -> None:
         """Record a crash that this process has observed."""
         at = self.wall() - (self._timers.now() - crash.at)
         self.on_endpoint_crash(crash.endpoint_id)
-        if self.quarantine.ended(replace(crash, at=at), self.wall()):
+        if self.quarantine.record_crash(replace(crash, at=at), self.wall()):
             self._observed_fingerprints.update(crash.requests)
             self._evaluate(is_local=True)
-            self._persist_evidence(crash.requests, ENDS_KEPT)
+            self._persist_evidence(crash.requests, CRASHES_TO_PERSIST)
             self.on_update()
         self.intents.record_crash(crash.endpoint_id)
 
     def _is_recorded(self, endpoint_id: str) -> bool:
-        return endpoint_id in self.quarantine.ended_endpoints() or endpoint_id in self._unobserved
+        return (
+            endpoint_id in self.quarantine.get_crashed_endpoints()
+            or endpoint_id in self._unobserved
+        )
 
     def _on_unobserved_crash(self, endpoint_id: str) -> None:
         """Record that the row of an endpoint without known requests was deleted."""
         if self._is_recorded(endpoint_id):
             return
-        if is_about_restart(self.wall(), self.entry_start_times()):
+        if is_near_restart(self.wall(), self.entry_start_times()):
             self.crash_detector.confirm_crash(
                 endpoint_id, lambda: self._record_unobserved(endpoint_id, "row")
             )
@@ -227,9 +240,9 @@
             return
         now, start_times = self.wall(), self.entry_start_times()
         self._unobserved.append(endpoint_id)
-        self.quarantine.unwitnessed(endpoint_id, now)
+        self.quarantine.add_unobserved_crash(endpoint_id, now)
         self._log.info("unobserved endpoint crash", endpoint=endpoint_id, source=source)
-        if is_about_restart(now, start_times):
+        if is_near_restart(now, start_times):
             self.intents.record_unobserved_crash(endpoint_id)
         self.intents.record_crash(endpoint_id)
 
@@ -239,12 +252,12 @@
             return
         self._record_unobserved(endpoint_id, "probe")
         zone, now = self.crash_detector.zone_of(endpoint_id), self.wall()
-        self.quarantine.ended(EndpointEnd(endpoint_id, zone, now, ()), now)
+        self.quarantine.record_crash(EndpointCrash(endpoint_id, zone, now, ()), now)
         self._schedule_gossip()
 
     def _persist_evidence(self, fingerprints: Iterable[str], min_crashes: int) -> None:
         """Persist the crashes of requests that have at least `min_crashes` of them."""
-        evidence = self.quarantine.evidence(fingerprints, min_crashes)
+        evidence = self.quarantine.collect_evidence(fingerprints, min_crashes)
         if evidence:
             self._mark_persisted(evidence)
             self.on_evidence(evidence)
@@ -254,12 +267,12 @@
         while len(self._persisted) > MAX_SUSPECTS:
             self._persisted.popitem(last=False)
 
-    def load_evidence(self, crashes: Iterable[EndpointEnd]) -> None:
+    def load_evidence(self, crashes: Iterable[EndpointCrash]) -> None:
         """Merge crashes that were read from the store."""
         changes = []
         for each in crashes:
             self._mark_persisted(each.requests)
-            changes.append(self.quarantine.ended(each, self.wall()))
+            changes.append(self.quarantine.record_crash(each, self.wall()))
         if any(changes):
             self._evaluate(is_local=False)
 
@@ -268,16 +281,16 @@
         self.intents.record_response(fingerprint)
         if not self.quarantine:
             return
-        entry, now = self.quarantine.hold(fingerprint), self.wall()
-        crashes = self.quarantine.ends_under(fingerprint)
-        if not self.quarantine.answered(fingerprint, now):
+        entry, now = self.quarantine.get_entry(fingerprint), self.wall()
+        crashes = self.quarantine.get_crashes(fingerprint)
+        if not self.quarantine.clear_request(fingerprint, now):
             return
         if entry is not None or fingerprint in self._persisted:
             self._persisted.pop(fingerprint, None)
             self.on_evidence({fingerprint: ()})
         if entry is not None:
             self._log_release(entry, "answered")
-            self.on_quarantine_change(replace(entry, lifted=True), True)
+            self.on_quarantine_change(replace(entry, is_released=True), True)
         else:
             self._log.info(
                 "request no longer suspect",
@@ -287,17 +300,17 @@
             )
         self.on_update()
 
-    def merge_update(self, update: QuarantineWord | None) -> None:
+    def merge_update(self, update: QuarantineUpdate | None) -> None:
         """Merge an update from another process; None is ignored."""
         if update is None:
             return
-        previous = {each.fingerprint: each for each in self.quarantine.holds()}
-        known_crashes = self.quarantine.ended_endpoints()
-        if not self.quarantine.hear(update, self.wall()):
+        previous = {each.fingerprint: each for each in self.quarantine.list_entries()}
+        known_crashes = self.quarantine.get_crashed_endpoints()
+        if not self.quarantine.merge_update(update, self.wall()):
             return
-        for endpoint_id in self.quarantine.ended_endpoints() - known_crashes:
+        for endpoint_id in self.quarantine.get_crashed_endpoints() - known_crashes:
             self.on_endpoint_crash(endpoint_id)
-            if self.quarantine.is_unexplained(endpoint_id):
+            if self.quarantine.is_unattributed(endpoint_id):
                 self._record_unobserved(endpoint_id, "peer")
             else:
                 self.intents.record_crash(endpoint_id)
@@ -305,16 +318,16 @@
         self._evaluate(is_local=False)
         self._schedule_gossip()
 
-    def load_entry(self, entry: Hold) -> None:
+    def load_entry(self, entry: QuarantineEntry) -> None:
         """Merge a quarantine entry that was read from the store."""
-        previous = {each.fingerprint: each for each in self.quarantine.holds()}
-        if self.quarantine.take_hold(entry, self.wall()):
+        previous = {each.fingerprint: each for each in self.quarantine.list_entries()}
+        if self.quarantine.merge_entry(entry, self.wall()):
             self._apply_changes(previous, "store")
             self._schedule_gossip()
 
-    def build_update(self) -> QuarantineWord | None:
+    def build_update(self) -> QuarantineUpdate | None:
         """Return the update for other processes; None if there is nothing to send."""
-        return self.quarantine.word(self.wall())
+        return self.quarantine.build_update(self.wall())
 
     def _schedule_gossip(self) -> None:
         """Schedule the forwarding of an update: some processes cannot reach its source."""
@@ -328,9 +341,9 @@
 
     # Enforcement
 
-    def _apply_changes(self, previous: dict[str, Hold], source: str) -> None:
+    def _apply_changes(self, previous: dict[str, QuarantineEntry], source: str) -> None:
         """Enforce entries that an update added, and log those that it removed."""
-        after = {each.fingerprint: each for each in self.quarantine.holds()}
+        after = {each.fingerprint: each for each in self.quarantine.list_entries()}
         for fingerprint, entry in after.items():
             if fingerprint not in previous:
                 self._enforce_quarantine(entry, source)
@@ -339,23 +352,23 @@
                 self._log_release(entry, f"answered, says {source}")
 
     def _evaluate(self, is_local: bool) -> None:
-        for entry in self.quarantine.judge(self.wall(), self.entry_start_times()):
+        for entry in self.quarantine.evaluate(self.wall(), self.entry_start_times()):
             self._enforce_quarantine(entry, "own" if is_local else "ends")
             self.on_quarantine_change(entry, is_local)
         if not self._evaluation_scheduled:
             self._evaluation_scheduled = True
-            self._timers.once(SETTLED_SECONDS, self._evaluate_settled)
+            self._timers.once(PROPAGATION_SECONDS, self._evaluate_settled)
 
     def _evaluate_settled(self) -> None:
         """Evaluate again once the reports of all processes have been received."""
         self._evaluation_scheduled = False
         self._persist_evidence(self._observed_fingerprints, min_crashes=1)
         self._observed_fingerprints.clear()
-        for entry in self.quarantine.judge(self.wall(), self.entry_start_times()):
+        for entry in self.quarantine.evaluate(self.wall(), self.entry_start_times()):
             self._enforce_quarantine(entry, "settled")
             self.on_quarantine_change(entry, False)
 
-    def _enforce_quarantine(self, entry: Hold, source: str) -> None:
+    def _enforce_quarantine(self, entry: QuarantineEntry, source: str) -> None:
         """Log a new quarantine entry and quarantine the matching requests in flight here."""
         self._metrics.count("requests_held_total", source=source)
         self._log.warning(
@@ -368,11 +381,11 @@
             next_trial_in=round(entry.next_trial - self.wall(), 1),
         )
         for request in self._active():
-            has_started = request.machine.ran is Ran.YES
+            has_started = request.machine.ran is Executed.YES
             if request.fingerprint == entry.fingerprint and not (has_started or request.is_trial):
                 request.fail_quarantined()
 
-    def _log_release(self, entry: Hold, reason: str) -> None:
+    def _log_release(self, entry: QuarantineEntry, reason: str) -> None:
         self._metrics.count("requests_released_total", reason=reason)
         self._log.info(
             "request released from quarantine",
@@ -393,12 +406,14 @@
             longer quarantined.
         """
         entry = self.quarantine_entry(fingerprint)
-        if entry is None or self.quarantine_status(fingerprint) is not Standing.TRIAL_DUE:
+        if entry is None or self.quarantine_status(fingerprint) is not QuarantineStatus.TRIAL_DUE:
             on_done(entry is None)
             return
         self.acquire_trial(entry, lambda granted: self._on_trial_claim(entry, granted, on_done))
 
-    def _on_trial_claim(self, entry: Hold, granted: bool, on_done: Callable[[bool], None]) -> None:
+    def _on_trial_claim(
+        self, entry: QuarantineEntry, granted: bool, on_done: Callable[[bool], None]
+    ) -> None:
         result = "granted" if granted else "denied"
         self._metrics.count("request_trials_total", result=result)
         self._log.info(
@@ -411,6 +426,6 @@
         on_done(granted)
 
     def _remove_expired(self) -> None:
-        previous = {each.fingerprint: each for each in self.quarantine.holds()}
-        for fingerprint in self.quarantine.forget(self.wall()):
+        previous = {each.fingerprint: each for each in self.quarantine.list_entries()}
+        for fingerprint in self.quarantine.drop_expired(self.wall()):
             self._log_release(previous[fingerprint], "forgotten")
--- a/flamingofront/request/hub.py
+++ b/flamingofront/request/hub.py
@@ -12,13 +12,13 @@
     ChoicePolicy,
     CostChoice,
     WorkEstimate,
-    usable,
+    filter_usable,
 )
-from flamingofront.decisions.demand import WorkMeter
+from flamingofront.decisions.demand import LoadMeter
 from flamingofront.decisions.engine_rates import LearnedRates
 from flamingofront.decisions.retry import PacedRetryBudget, RetryBudget
 from flamingofront.decisions.stopping import CompletionBounds
-from flamingofront.errors import ErrorKind, Ran, RequestError
+from flamingofront.errors import ErrorKind, Executed, RequestError
 from flamingofront.process.logs import Log
 from flamingofront.process.metrics import Metrics
 from flamingofront.process.timers import Timer, TimerService
@@ -110,7 +110,7 @@
         self.permits = Permits(self.limits, timers, metrics, rng)
         self.backoffs = EndpointBackoffs(timers, metrics, log, rng)
         self.on_endpoint_leaving: Callable[[str, str], None] = lambda endpoint_id, request: None
-        self.load_meter = WorkMeter()
+        self.load_meter = LoadMeter()
         self._policy = policy or CostChoice()
         self._admissions: dict[str, FairAdmission] = {}
         self._budgets: dict[str, RetryBudget] = {}
@@ -174,7 +174,7 @@
         self._in_flight[record.workspace] = self._in_flight.get(record.workspace, 0) + 1
         self.metrics.count("requests_accepted_total", service=service.name)
         if not resumed:
-            self.retry_budget(service).accepted(now)
+            self.retry_budget(service).record_request(now)
         return request
 
     def choice_timeout(self, record: RequestRecord) -> float:
@@ -194,25 +194,25 @@
     def _start_service(self, name: str) -> None:
         admission = self._admissions[name]
         while True:
-            ticket = admission.next_ready(self.now())
+            ticket = admission.start_next(self.now())
             if ticket is None:
                 return
             request = self.active.get(ticket.request_id)
             if request is not None and not request.done:
                 request.start_first_attempt()
             else:
-                admission.finished(ticket, self.now())
+                admission.release(ticket, self.now())
 
     def _reject_expired(self) -> None:
         """Reject requests that waited too long, then start requests that may start now."""
         self._expiry_timer = None
         for admission in self._admissions.values():
-            for ticket in admission.expired(self.now()):
+            for ticket in admission.drop_expired(self.now()):
                 request = self.active.get(ticket.request_id)
                 if request is not None and not request.done:
                     retry_after = admission.retry_after(self.now())
                     request.reject_unstarted(
-                        RequestError(ErrorKind.OVERLOADED, ran=Ran.NO, retry_after=retry_after)
+                        RequestError(ErrorKind.OVERLOADED, ran=Executed.NO, retry_after=retry_after)
                     )
         self.refresh_capacity()
         self.start_ready_requests()
@@ -296,15 +296,17 @@
             service.first_token_target,
             service.token_target,
             self.settings.zone,
-            self.rates.of(service.name).now(),
+            self.rates.for_service(service.name).estimate(),
         )
 
     def record_load(self, service: str, tokens: int) -> None:
         """Record the load of a request, by the prompt tokens that its endpoint has to prefill."""
-        self.load_meter.add(service, self.rates.of(service).now().work(tokens), self.now())
+        self.load_meter.add(
+            service, self.rates.for_service(service).estimate().endpoint_seconds(tokens), self.now()
+        )
 
     def record_attempt_loss(
-        self, service: Service, endpoint_id: str, ran: Ran, reason: str, now: float
+        self, service: Service, endpoint_id: str, ran: Executed, reason: str, now: float
     ) -> None:
         """Count a failed attempt and record the failure of its endpoint."""
         self.metrics.count("retries_total", reason=reason)
@@ -312,7 +314,7 @@
 
     def record_endpoint_failure(self, service: Service, endpoint_id: str, now: float) -> None:
         """Record a failure of an endpoint, which may eject it temporarily."""
-        if self.directory.health.failed(endpoint_id, now):
+        if self.directory.health.record_failure(endpoint_id, now):
             self.metrics.count("ejections_total", service=service.name)
             self.log.warning("endpoint ejected", service=service.name, endpoint=endpoint_id)
 
@@ -373,7 +375,7 @@
         del self.active[request.request_id]
         now = self.now()
         record = request.record
-        self._admissions[record.service.name].finished(request.ticket, now)
+        self._admissions[record.service.name].release(request.ticket, now)
         remaining = self._in_flight.get(record.workspace, 0) - 1
         if remaining > 0:
             self._in_flight[record.workspace] = remaining
@@ -447,18 +449,18 @@
 
     Notes
     -----
-    The exclusions are relaxed first, then the checks of `usable`. The side is relaxed last: the
+    The exclusions are relaxed first, then the checks of `filter_usable`. The side is relaxed last: the
     other side is used only if the wanted one has no endpoint at all.
     """
     for wanted_side in (side, None):
-        on_side = list(usable(candidates, wanted_side, frozenset()))
+        on_side = list(filter_usable(candidates, wanted_side, frozenset()))
         fresh = [each for each in on_side if each.endpoint_id not in exclude]
         if fresh or on_side:
             return fresh or on_side
         alive = [
             each
             for each in candidates
-            if not each.barred and (wanted_side is None or each.side == wanted_side)
+            if not each.is_unavailable and (wanted_side is None or each.side == wanted_side)
         ]
         if alive:
             return alive
--- a/flamingofront/request/inheritance.py
+++ b/flamingofront/request/inheritance.py
@@ -5,7 +5,7 @@
 from typing import Any
 
 from flamingofront.decisions.admission import WorkspaceShare
-from flamingofront.errors import ErrorKind, PlatformError, Ran, RequestError
+from flamingofront.errors import ErrorKind, Executed, PlatformError, RequestError
 from flamingofront.messages import Sleep
 from flamingofront.process.backoff import Backoff
 from flamingofront.process.documents import DocumentStore
@@ -89,7 +89,7 @@
             try:
                 return (yield from move_job(self._documents, request_id, sender, self._vm_id))
             except PlatformError:
-                yield Sleep(_BACKOFF.delay(tries, self._hub.rng))
+                yield Sleep(_BACKOFF.compute_delay(tries, self._hub.rng))
                 tries += 1
 
     def _on_job_taken_over(self, request: ActiveRequest, adopted: AdoptedJob | None) -> None:
@@ -123,7 +123,7 @@
                     yield from move_jobs(self._documents, vm_id, self._vm_id)
                 return (yield from list_owned_jobs(self._documents, self._vm_id))
             except PlatformError:
-                yield Sleep(_BACKOFF.delay(tries, self._hub.rng))
+                yield Sleep(_BACKOFF.compute_delay(tries, self._hub.rng))
                 tries += 1
 
     def _on_jobs_adopted(self, jobs: list[AdoptedJob]) -> None:
@@ -132,7 +132,7 @@
             if request_id in self._hub.active or self._keyed.is_storing_answer(request_id):
                 continue
             if is_outcome_unknown(job):
-                exc = RequestError(ErrorKind.OUTCOME_UNKNOWN, ran=Ran.UNKNOWN)
+                exc = RequestError(ErrorKind.OUTCOME_UNKNOWN, ran=Executed.UNKNOWN)
                 self._keyed.store_job_answer(request_id, None, exc)
                 continue
             request = self._adopt(job.record)
--- a/flamingofront/request/jobs.py
+++ b/flamingofront/request/jobs.py
@@ -12,7 +12,7 @@
 from flamingofront.messages import Sleep
 from flamingofront.process.backoff import Backoff
 from flamingofront.process.documents import Condition, DocumentStore, Write
-from flamingofront.process.expiry import expiry_write
+from flamingofront.process.expiry import build_expiry_write
 from flamingofront.process.tasks import Task
 from flamingofront.request.claims import retry_until_done
 from flamingofront.request.records import RequestRecord
@@ -85,24 +85,24 @@
     Raises
     ------
     PlatformError
-        If the store did not confirm the write; `maybe_done` if it may have taken effect.
+        If the store did not confirm the write; `maybe_applied` if it may have taken effect.
     """
     key = _job_key(record.request_id)
     value = {"record": record.to_json(), "owner": owner, "state": JobState.QUEUED.value}
     writes = (Write(key, value), Write(_owner_key(owner, record.request_id), {}))
-    maybe_done = False
+    maybe_applied = False
     detail = ""
     for tries in range(CREATE_TRIES):
         try:
             result = yield from documents.transact((Condition(key, 0),), writes)
             # A failed condition means that an earlier, unacknowledged write took effect.
-            if result.ok or maybe_done:
+            if result.ok or maybe_applied:
                 return
         except PlatformError as exc:
-            maybe_done = maybe_done or exc.maybe_done
+            maybe_applied = maybe_applied or exc.maybe_applied
             detail = str(exc)
-        yield Sleep(_BACKOFF.delay(tries, rng))
-    raise PlatformError(detail, maybe_done)
+        yield Sleep(_BACKOFF.compute_delay(tries, rng))
+    raise PlatformError(detail, maybe_applied)
 
 
 def fetch_job(documents: DocumentStore, request_id: str) -> Task:
@@ -153,7 +153,7 @@
         stored = answer_to_json(answer)
         value = {**row.value, "state": JobState.DONE.value, "answer": stored, "until": expires_at}
         drop_index = Write(_owner_key(owner, request_id), None)
-        removal = expiry_write(row.key, expires_at)
+        removal = build_expiry_write(row.key, expires_at)
         return (yield from documents.replace(row, value, drop_index, removal))
 
     yield from retry_until_done(write_once, rng)
--- a/flamingofront/request/keyed.py
+++ b/flamingofront/request/keyed.py
@@ -5,13 +5,13 @@
 from collections.abc import Callable
 
 from flamingofront.connection.interfaces import Exchange
-from flamingofront.connection.server import error_body
+from flamingofront.connection.server import encode_error
 from flamingofront.decisions.admission import WorkspaceShare
-from flamingofront.errors import ANSWERS, ErrorKind, PlatformError, Ran, RequestError
+from flamingofront.errors import ERROR_RESPONSES, ErrorKind, Executed, PlatformError, RequestError
 from flamingofront.messages import InboundRequest, Sleep
 from flamingofront.process.backoff import Backoff
 from flamingofront.process.documents import DocumentStore
-from flamingofront.process.expiry import KEPT_SECONDS
+from flamingofront.process.expiry import RETENTION_SECONDS
 from flamingofront.process.tasks import Task, TaskRunner
 from flamingofront.request.active import ActiveRequest
 from flamingofront.request.attachments import Attachment, respond_accepted, respond_error
@@ -121,7 +121,7 @@
             try:
                 yield from create_job(self._documents, record, self._vm_id, self._rng)
             except PlatformError as exc:
-                if exc.maybe_done:
+                if exc.maybe_applied:
                     return ClaimOutcome(ClaimDecision.JOB_UNCONFIRMED)
                 return ClaimOutcome(ClaimDecision.UNAVAILABLE, may_exist=True)
         return outcome
@@ -162,7 +162,7 @@
             self._documents, key, request.request_id, None, self._rng, self._compute_expiry()
         )
         self._tasks.start(task, lambda _: self._claiming.pop(key, None))
-        exc = RequestError(ErrorKind.STORE_UNAVAILABLE, ran=Ran.UNKNOWN)
+        exc = RequestError(ErrorKind.STORE_UNAVAILABLE, ran=Executed.UNKNOWN)
         self._reject(request, exc, exchange)
 
     def _reject(self, request: ActiveRequest, exc: RequestError, exchange: Exchange) -> None:
@@ -213,7 +213,7 @@
         """Store the outcome of the request before its key can be claimed again."""
         if request.record.job:
             self.store_job_answer(request.request_id, answer, exc)
-        if answer is None and exc is not None and exc.ran is Ran.NO:
+        if answer is None and exc is not None and exc.ran is Executed.NO:
             self._release_claim(key, request.request_id, 0.0)
             self._claiming.pop(key, None)
             return
@@ -248,7 +248,7 @@
         """
         if request.done:
             # The deadline passed while the row was written; nothing was sent.
-            late = RequestError(ErrorKind.DEADLINE_EXCEEDED, ran=Ran.NO)
+            late = RequestError(ErrorKind.DEADLINE_EXCEEDED, ran=Executed.NO)
             self.store_job_answer(request.request_id, None, late)
             return
         if request.on_finished is None:
@@ -271,7 +271,7 @@
             try:
                 return (yield from mark_running(self._documents, request_id, self._vm_id))
             except PlatformError:
-                yield Sleep(_BACKOFF.delay(tries, self._rng))
+                yield Sleep(_BACKOFF.compute_delay(tries, self._rng))
                 tries += 1
 
     def _on_marked_running(self, request: ActiveRequest, is_owner: bool) -> None:
@@ -289,15 +289,15 @@
 
     def _compute_expiry(self) -> float:
         """Return the expiry time of an answer that is stored now, in seconds since the epoch."""
-        return self._hub.timers.wall() + KEPT_SECONDS
+        return self._hub.timers.wall() + RETENTION_SECONDS
 
     def store_job_answer(
         self, request_id: str, answer: StoredAnswer | None, exc: RequestError | None
     ) -> None:
         """Store the answer or error of a job."""
         if answer is None:
-            status = ANSWERS[exc.kind].status
-            answer = StoredAnswer(status, "application/json", error_body(exc, request_id))
+            status = ERROR_RESPONSES[exc.kind].status
+            answer = StoredAnswer(status, "application/json", encode_error(exc, request_id))
         self._jobs_being_stored.add(request_id)
         task = store_job_result(
             self._documents, request_id, self._vm_id, answer, self._rng, self._compute_expiry()
--- a/flamingofront/request/model_request.py
+++ b/flamingofront/request/model_request.py
@@ -7,7 +7,7 @@
 from flamingofront.connection.interfaces import CallEvent
 from flamingofront.decisions.admission import Ticket
 from flamingofront.decisions.choice import Candidate
-from flamingofront.errors import Ran
+from flamingofront.errors import Executed
 from flamingofront.messages import (
     Emit,
     Frame,
@@ -82,7 +82,7 @@
             (("Content-Type", "application/json"),),
             self.record.service.call_timeout,
             stream=True,
-            fresh=self.needs_fresh_connection,
+            new_connection=self.needs_fresh_connection,
         )
 
     def _make_listener(self, attempt_id: str, chosen: Candidate) -> Callable[[CallEvent], None]:
@@ -125,7 +125,7 @@
         super()._send_tokens(action)
 
     def _complete_answer(self) -> None:
-        self.hub.directory.health.succeeded(self.endpoint_id)
+        self.hub.directory.health.record_success(self.endpoint_id)
         self.hub.guard.record_response(self.fingerprint)
         self.hub.directory.prefixes.add_blocks(self.endpoint_id, self.prefix_blocks())
         # Reading the response to its end keeps the connection reusable.
@@ -162,7 +162,7 @@
             for data in _join_adjacent(frames):
                 self._handle_frame(data)
         except (orjson.JSONDecodeError, KeyError, TypeError):
-            self._request.fail_attempt(self._attempt_id, Ran.UNKNOWN, "malformed frame")
+            self._request.fail_attempt(self._attempt_id, Executed.UNKNOWN, "malformed frame")
 
     def _handle_frame(self, data: dict) -> None:
         if self._request.done or self._request.machine.attempt_id != self._attempt_id:
@@ -178,7 +178,7 @@
 
     def _on_response_end(self) -> None:
         is_rejected = self._status != 200 and _is_not_run(self._buffer)
-        executed = Ran.NO if is_rejected else Ran.UNKNOWN
+        executed = Executed.NO if is_rejected else Executed.UNKNOWN
         reason = "refused" if is_rejected else f"ended with status {self._status}"
         self._request.fail_attempt(self._attempt_id, executed, reason)
 
--- a/flamingofront/request/plain_request.py
+++ b/flamingofront/request/plain_request.py
@@ -4,8 +4,8 @@
 
 from flamingofront.connection.interfaces import CallEvent
 from flamingofront.decisions.choice import Candidate
-from flamingofront.errors import Ran
-from flamingofront.messages import CallFailed, OutboundCall, StartAttempt, WholeResponse
+from flamingofront.errors import Executed
+from flamingofront.messages import BufferedResponse, CallFailed, OutboundCall, StartAttempt
 from flamingofront.process.tasks import Reply, ReplyCollector
 from flamingofront.request.active import ActiveRequest
 from flamingofront.request.records import PlainWork
@@ -37,7 +37,7 @@
             self.work.body,
             headers,
             self.record.service.call_timeout,
-            fresh=self.needs_fresh_connection,
+            new_connection=self.needs_fresh_connection,
         )
 
     def _make_listener(self, attempt_id: str, chosen: Candidate) -> Callable[[CallEvent], None]:
@@ -48,16 +48,16 @@
         if isinstance(reply, CallFailed):
             self.handle_call_failure(attempt_id, reply)
         elif reply.headers.get(NOT_RUN_HEADER) == "true":
-            self.fail_attempt(attempt_id, Ran.NO, "refused")
+            self.fail_attempt(attempt_id, Executed.NO, "refused")
         elif reply.headers.get("x-request-id", self.request_id) != self.request_id:
-            self.fail_attempt(attempt_id, Ran.UNKNOWN, "crossed answer")
+            self.fail_attempt(attempt_id, Executed.UNKNOWN, "crossed answer")
         else:
             self._complete_response(attempt_id, reply)
 
-    def _complete_response(self, attempt_id: str, reply: WholeResponse) -> None:
+    def _complete_response(self, attempt_id: str, reply: BufferedResponse) -> None:
         if not self.machine.accept_response(attempt_id):
             return
-        self.hub.directory.health.succeeded(self.endpoint_id)
+        self.hub.directory.health.record_success(self.endpoint_id)
         self.hub.guard.record_response(self.fingerprint)
         self.hub.metrics.observe("first_token_seconds", self.hub.now() - self.accepted_at)
         content_type = reply.headers.get("content-type", "application/octet-stream")
--- a/flamingofront/request/quota_gate.py
+++ b/flamingofront/request/quota_gate.py
@@ -68,7 +68,7 @@
         on_decision: Callable[[QuotaDecision], None],
     ) -> None:
         """Check a request against the local quota and pass on the decision at once."""
-        on_decision(QuotaDecision(self._quota.wait(workspace, units, self._timers.now())))
+        on_decision(QuotaDecision(self._quota.get_wait(workspace, units, self._timers.now())))
 
     def unused(self, workspace: ForwardedWorkspace, units: float, decision: QuotaDecision) -> None:
         """Do nothing: the local quota is charged only when the request is accepted."""
--- a/flamingofront/request/rate_gate.py
+++ b/flamingofront/request/rate_gate.py
@@ -67,7 +67,7 @@
 
     def unused(self, endpoint_id: str, decision: RateDecision) -> None:
         """Return a granted permit that was not used."""
-        self._limiter.give_back(endpoint_id)
+        self._limiter.return_permit(endpoint_id)
 
     def forget(self, endpoint_id: str) -> None:
         """Discard the permits granted for an endpoint."""
--- a/flamingofront/request/reattach.py
+++ b/flamingofront/request/reattach.py
@@ -11,7 +11,7 @@
 
 from flamingofront.connection.interfaces import CallEvent, CallHandle, Exchange, Transport
 from flamingofront.connection.server import JSON_HEADERS
-from flamingofront.errors import ErrorKind, PlatformError, Ran, RequestError
+from flamingofront.errors import ErrorKind, Executed, PlatformError, RequestError
 from flamingofront.messages import OutboundCall, ResponseData, ResponseEnd, ResponseHead
 from flamingofront.process.documents import DocumentStore
 from flamingofront.process.tasks import Task, TaskRunner
@@ -152,7 +152,7 @@
         """
         if isinstance(status, PlatformError):
             kind = ErrorKind.STORE_UNAVAILABLE
-            exc = RequestError(kind, str(status), Ran.UNKNOWN, RETRY_SECONDS)
+            exc = RequestError(kind, str(status), Executed.UNKNOWN, RETRY_SECONDS)
             self._reject(exc, request_id, exchange)
         elif status is None or status.workspace != workspace:
             kind = ErrorKind.HOLDER_UNREACHABLE if unreachable else ErrorKind.UNKNOWN_REQUEST
@@ -255,7 +255,7 @@
             self._stream,
             relay,
         )
-        self._exchange.on_gone = handle.cancel
+        self._exchange.on_disconnect = handle.cancel
 
     def skip_holder(self, is_reachable: bool) -> None:
         """Continue the search after a peer that lacks the request or is unreachable."""
@@ -263,7 +263,7 @@
         self.query_next_holder()
 
     def _fetch_job_status(self) -> None:
-        self._exchange.on_gone = None
+        self._exchange.on_disconnect = None
         reattachment = self._reattachment
         reattachment._tasks.start(
             reattachment.fetch_job(self.request_id),
@@ -321,14 +321,14 @@
     def _handle_line(self, data: dict) -> None:
         if "work" in data:
             work = data["work"]
-            callback = self._exchange.on_gone
+            callback = self._exchange.on_disconnect
             self._attachment = self._search.make_attachment(
                 ModelWork(work["model"], (), 1, work["chat"], work["stream"])
             )
-            self._exchange.on_gone = callback
+            self._exchange.on_disconnect = callback
         elif "running" in data:
             self._finished = True
-            self._exchange.on_gone = None
+            self._exchange.on_disconnect = None
             _respond_running(self._exchange, self._search.request_id, data["offset"])
         elif "tokens" in data:
             if not self._attachment.send_tokens(data["offset"], tuple(data["tokens"])):
@@ -350,7 +350,7 @@
                 RequestError(
                     ErrorKind(error["kind"]),
                     error["detail"],
-                    Ran(error["ran"]),
+                    Executed(error["ran"]),
                     data.get("retry_after"),
                 )
             )
--- a/flamingofront/request/stop_refusal.py
+++ b/flamingofront/request/stop_refusal.py
@@ -2,8 +2,8 @@
 
 import math
 
-from flamingofront.decisions.stopping import ends_in_time
-from flamingofront.errors import ErrorKind, Ran, RequestError
+from flamingofront.decisions.stopping import can_complete
+from flamingofront.errors import ErrorKind, Executed, RequestError
 from flamingofront.request.forward_work import ForwardWork
 from flamingofront.request.host import RequestHost
 from flamingofront.request.records import RequestRecord
@@ -28,12 +28,12 @@
     if math.isinf(seconds_left):
         return None
     bound = _duration_bound(hub, record.service.name, record.work)
-    if ends_in_time(deadline_left, bound, seconds_left):
+    if can_complete(deadline_left, bound, seconds_left):
         return None
     return RequestError(
         ErrorKind.DRAINING,
         "this process shuts down before the request could finish",
-        Ran.NO,
+        Executed.NO,
         SHUTDOWN_RETRY_SECONDS,
         {
             "stop_left": round(seconds_left, 2),
@@ -46,4 +46,8 @@
 
 def _duration_bound(hub: RequestHost, service: str, work: ForwardWork) -> float:
     """Return the longest expected duration in seconds, by output size; infinity if unknown."""
-    return hub.completion.of(service).seconds(work.output_tokens) if work.stream else math.inf
+    return (
+        hub.completion.for_service(service).estimate_max_seconds(work.output_tokens)
+        if work.stream
+        else math.inf
+    )
--- a/flamingofront/request/tests/test_attempts.py
+++ b/flamingofront/request/tests/test_attempts.py
@@ -6,7 +6,7 @@
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, rule
 
 from flamingofront.decisions.retry import PacedRetryBudget, UnlimitedRetryBudget
-from flamingofront.errors import ErrorKind, Ran
+from flamingofront.errors import ErrorKind, Executed
 from flamingofront.messages import Complete, Emit, Fail, Frame, ScheduleRetry, StartAttempt
 from flamingofront.request.attempts import Phase, RequestFacts, RequestMachine
 
@@ -22,41 +22,41 @@
     def test_attempt_that_did_not_run_is_retried_even_if_not_repeatable(self):
         machine = make_machine(repeatable=False)
         (start,) = machine.start()
-        actions = machine.handle_attempt_failure(start.attempt_id, "e", Ran.NO, 1.0)
+        actions = machine.handle_attempt_failure(start.attempt_id, "e", Executed.NO, 1.0)
         assert isinstance(actions[0], ScheduleRetry)
-        assert machine.ran is Ran.NO
+        assert machine.ran is Executed.NO
 
     def test_attempt_that_may_have_run_is_not_retried_if_not_repeatable(self):
         machine = make_machine(repeatable=False)
         (start,) = machine.start()
         machine.record_write(start.attempt_id)
-        (fail,) = machine.handle_attempt_failure(start.attempt_id, "e", Ran.UNKNOWN, 1.0)
-        assert (fail.kind, fail.ran) == (ErrorKind.OUTCOME_UNKNOWN, Ran.UNKNOWN)
+        (fail,) = machine.handle_attempt_failure(start.attempt_id, "e", Executed.UNKNOWN, 1.0)
+        assert (fail.kind, fail.ran) == (ErrorKind.OUTCOME_UNKNOWN, Executed.UNKNOWN)
 
     def test_rejection_after_an_unknown_attempt_leaves_the_outcome_unknown(self):
         machine = make_machine()
         (start,) = machine.start()
         machine.record_write(start.attempt_id)
-        machine.handle_attempt_failure(start.attempt_id, "e", Ran.UNKNOWN, 1.0)
+        machine.handle_attempt_failure(start.attempt_id, "e", Executed.UNKNOWN, 1.0)
         (second,) = machine.start()
-        machine.handle_attempt_failure(second.attempt_id, "f", Ran.NO, 1.0)
+        machine.handle_attempt_failure(second.attempt_id, "f", Executed.NO, 1.0)
         (fail,) = machine.expire()
-        assert fail.ran is Ran.UNKNOWN
+        assert fail.ran is Executed.UNKNOWN
 
     def test_two_rejected_attempts_are_reported_as_not_run(self):
         machine = make_machine()
         for endpoint in ("e", "f"):
             (start,) = machine.start()
             machine.record_write(start.attempt_id)
-            machine.handle_attempt_failure(start.attempt_id, endpoint, Ran.NO, 1.0)
+            machine.handle_attempt_failure(start.attempt_id, endpoint, Executed.NO, 1.0)
         (fail,) = machine.expire()
-        assert fail.ran is Ran.NO
+        assert fail.ran is Executed.NO
 
     def test_retry_delay_beyond_the_deadline_fails_immediately(self):
         budget = PacedRetryBudget(ratio=0.0, floor_rate=0.1, burst=0.0)
         machine = make_machine(deadline=5.0, budget=budget)
         (start,) = machine.start()
-        (fail,) = machine.handle_attempt_failure(start.attempt_id, "e", Ran.UNKNOWN, 1.0)
+        (fail,) = machine.handle_attempt_failure(start.attempt_id, "e", Executed.UNKNOWN, 1.0)
         assert fail.kind is ErrorKind.RETRY_BUDGET_EXHAUSTED
         assert fail.retry_after == 10.0
 
@@ -64,7 +64,7 @@
         machine = make_machine()
         (start,) = machine.start()
         machine.accept_frame(Frame("r", start.attempt_id, 0, ("x", "y")))
-        machine.handle_attempt_failure(start.attempt_id, "e", Ran.UNKNOWN, 1.0)
+        machine.handle_attempt_failure(start.attempt_id, "e", Executed.UNKNOWN, 1.0)
         (again,) = machine.start()
         assert again.offset == 2
         assert again.exclude == {"e"}
@@ -78,7 +78,7 @@
         machine.accept_frame(Frame("r", start.attempt_id, 0, ("x",)))
         machine.freeze()
         assert machine.accept_frame(Frame("r", start.attempt_id, 1, ("y",), True)) == []
-        assert machine.handle_attempt_failure(start.attempt_id, "e", Ran.UNKNOWN, 1.0) == []
+        assert machine.handle_attempt_failure(start.attempt_id, "e", Executed.UNKNOWN, 1.0) == []
         assert machine.start() == machine.expire() == machine.end_without_answer() == []
         assert machine.assembler.tokens == ["x"]
 
@@ -149,15 +149,15 @@
         attempt = self.current_attempt()
         if attempt is None or self.machine.phase is not Phase.RUNNING:
             return
-        executed = Ran.NO
+        executed = Executed.NO
         if kind == "refused":
             self.machine.record_write(attempt)
         elif kind.startswith("reset"):
             self.machine.record_write(attempt)
-            executed = Ran.UNKNOWN
+            executed = Executed.UNKNOWN
             self.executions += kind == "reset after"
-        if self.text and executed is Ran.NO:
-            executed = Ran.UNKNOWN
+        if self.text and executed is Executed.NO:
+            executed = Executed.UNKNOWN
         self.execute(self.machine.handle_attempt_failure(attempt, "e", executed, self.now))
 
     @rule(seconds=st.floats(0.0, 5.0))
@@ -188,7 +188,7 @@
     @invariant()
     def executed_request_is_never_reported_as_not_run(self):
         for final in getattr(self, "final_actions", ()):
-            if isinstance(final, Fail) and final.ran is Ran.NO:
+            if isinstance(final, Fail) and final.ran is Executed.NO:
                 assert self.executions == 0
 
     @invariant()
--- a/flamingofront/request/tests/test_crashing_requests.py
+++ b/flamingofront/request/tests/test_crashing_requests.py
@@ -133,10 +133,10 @@
         nodes = crashing.world.nodes.values()
         crashing.send_poison("stream")
         crashing.world.run_until(
-            lambda: any(each.hub.guard.quarantine.holds() for each in nodes), limit=5.0
+            lambda: any(each.hub.guard.quarantine.list_entries() for each in nodes), limit=5.0
         )
         crashing.world.run(0.2)
-        assert all(each.hub.guard.quarantine.holds() for each in nodes)
+        assert all(each.hub.guard.quarantine.list_entries() for each in nodes)
 
     def test_caller_gets_crashes_endpoints_error(self):
         crashing = CrashingWorld()
@@ -191,7 +191,7 @@
             crashing.world.entry(name, zone)
         nodes = crashing.world.nodes.values()
         crashing.world.run_until(
-            lambda: any(each.hub.guard.quarantine.holds() for each in nodes), limit=10.0
+            lambda: any(each.hub.guard.quarantine.list_entries() for each in nodes), limit=10.0
         )
         sent_count = len(crashing.sent_at)
         crashing.world.run(5.0)
@@ -210,7 +210,7 @@
             world.kill(f"engine-{'ab'[turn % 2]}{turn // 2 + 1}")
             world.run(1.0)
         world.finish(*callers)
-        assert not any(each.hub.guard.quarantine.holds() for each in world.nodes.values())
+        assert not any(each.hub.guard.quarantine.list_entries() for each in world.nodes.values())
         assert all(b"crashes_endpoints" not in each.body for each in callers)
 
     def test_reclaimed_engine_is_not_evidence(self):
@@ -219,7 +219,7 @@
         world.run(0.5)
         node = world.nodes["entry-a1"]
         engine = node.hub.active[next(iter(node.hub.active))].endpoint_id
-        node.mark(engine, VmState.LEAVING)
+        node.set_vm_state(engine, VmState.LEAVING)
         world.run(0.1)
         world.kill(engine)
         world.finish(caller)
--- a/flamingofront/request/tests/test_endpoint_pauses.py
+++ b/flamingofront/request/tests/test_endpoint_pauses.py
@@ -102,7 +102,7 @@
 class TestCounters:
     def test_backoff_and_leaving_are_counted(self):
         world = ready_world(plains=1)
-        world.endpoints["plain-1"].fail(ForwardFault.REJECT, 1)
+        world.endpoints["plain-1"].inject_fault(ForwardFault.REJECT, 1)
         world.finish(world.ask("front-1", "/write/x"))
         world.run(4.0)
         world.endpoints["plain-1"].leaving = True
--- a/flamingofront/request/tests/test_zone_of_ended_endpoints.py
+++ b/flamingofront/request/tests/test_zone_of_ended_endpoints.py
@@ -26,6 +26,6 @@
         for _ in range(20):
             callers += [world.ask("front-0", "/stream/again/x") for _ in range(4)]
             world.run(0.1)
-            assert not zones.is_cut_off("zone-b", world.clock.now())
+            assert not zones.is_partitioned("zone-b", world.clock.now())
         world.finish(*callers)
         assert {each.status for each in callers} == {200}
--- a/flamingofront/tests/forwarding_world.py
+++ b/flamingofront/tests/forwarding_world.py
@@ -182,7 +182,7 @@
             return
         node = self.fronts[target.name]
         target.timers.once(
-            LATENCY, lambda: target.dead or node.peers.received(data, source.address)
+            LATENCY, lambda: target.dead or node.peers.receive_datagram(data, source.address)
         )
 
     def _link_takes(self, source, size: int) -> bool:
--- a/flamingofront/tests/narrow_links.py
+++ b/flamingofront/tests/narrow_links.py
@@ -145,7 +145,9 @@
             return
         node = self.fronts[target.name]
         delay = LATENCY + self._busy_delay() + self._passes(source, target, len(data)) - now
-        target.timers.once(delay, lambda: target.dead or node.peers.received(data, source.address))
+        target.timers.once(
+            delay, lambda: target.dead or node.peers.receive_datagram(data, source.address)
+        )
 
 
 def with_more_routes(version: int, count: int) -> dict:
--- a/flamingofront/tests/test_endpoint_limits.py
+++ b/flamingofront/tests/test_endpoint_limits.py
@@ -117,7 +117,7 @@
     def test_further_attempts_count(self):
         world = LimitedWorld(8, (1.9, 1.9, 1.9))
         for each in world.endpoints.values():
-            each.fail(ForwardFault.ERROR)
+            each.inject_fault(ForwardFault.ERROR)
         world.offer(40, 8.0)
         assert all(world.most(name) <= allowed(1.9) for name in world.endpoints)
 
@@ -133,7 +133,7 @@
     def test_arbiter_is_killed_and_others_start_again(self, seed):
         world = LimitedWorld(8, (10.0, 10.0, 10.0), seed=seed)
         world.offer(50, 3.0)
-        first = world.fronts["front-0"].quota_members.by_hash("plain-0")[0]
+        first = world.fronts["front-0"].quota_members.rank_by_hash("plain-0")[0]
         world.restart(*[each.name for each in world.hosts.values() if each.address == first])
         world.offer(50, 2.0)
         world.restart(*world.rng.sample(list(world.fronts), 4))
@@ -154,7 +154,7 @@
         """It served on for seconds, and gave out the limit a second time to its own callers."""
         world = LimitedWorld(4, (10.0, 10.0, 10.0))
         world.offer(60, 3.0)
-        first = world.fronts["front-0"].quota_members.by_hash("plain-0")[0]
+        first = world.fronts["front-0"].quota_members.rank_by_hash("plain-0")[0]
         next(each for each in world.fronts.values() if each.settings.ip == first).stopping = True
         world.offer(120, 6.0)
         assert all(world.most(name) <= allowed(10.0) for name in world.endpoints)
