--- a/bench/mutations.py
+++ b/bench/mutations.py
@@ -33,7 +33,7 @@
     Mutation(
         "1 overlap is cut off",
         "request/assembly.py",
-        "self.tokens.extend(frame.tokens[known:])",
+        "self.tokens.extend(frame.tokens[overlap:])",
         "self.tokens.extend(frame.tokens)",
         "request/tests/test_assembly.py",
     ),
@@ -68,8 +68,8 @@
     Mutation(
         "3 adoption of jobs",
         "request/jobs.py",
-        "        yield from move_job(documents, request_id, old_owner, new_owner)\n\n\ndef owned",
-        "        yield from ()\n\n\ndef owned",
+        "        yield from move_job(documents, request_id, old_owner, new_owner)\n\n\ndef list",
+        "        yield from ()\n\n\ndef list",
         "request/tests/test_reclaims.py",
     ),
     Mutation(
--- a/bench/platform_mutations.py
+++ b/bench/platform_mutations.py
@@ -315,7 +315,7 @@
     Mutation(
         "P what would outlast a stop is refused",
         "request/forward_gateway.py",
-        "        if refusal is not None:\n            raise refusal\n",
+        "        if rejection is not None:\n            raise rejection\n",
         "",
         "process/forwarding/tests/test_stopping.py",
     ),
--- a/bench/proofs.py
+++ b/bench/proofs.py
@@ -6,7 +6,7 @@
 from flamingofront.request.recovery import ResumeOnLoss
 from flamingofront.request.tests.test_reclaims import (
     count_recomputed_tokens,
-    reclaim,
+    reclaim_vms,
     start_streams,
 )
 from flamingofront.standins.platform import FaultMode
@@ -67,7 +67,7 @@
             if policy is not None:
                 node.migrations._policy = policy
         callers = start_streams(world, 12)
-        reclaim(world, ["engine-a1", "engine-a2"], notice)
+        reclaim_vms(world, ["engine-a1", "engine-a2"], notice)
         world.finish(*callers)
         yield name, count_recomputed_tokens(world)
 
--- a/bench/restart_mutations.py
+++ b/bench/restart_mutations.py
@@ -125,8 +125,8 @@
     Mutation(
         "R slow answers count as bad",
         "request/forwarded_request.py",
-        "self._tell_outcome(is_slow or answer.status >= FIRST_ERROR_STATUS)",
-        "self._tell_outcome(answer.status >= FIRST_ERROR_STATUS)",
+        "self._report_outcome(is_slow or answer.status >= FIRST_ERROR_STATUS)",
+        "self._report_outcome(answer.status >= FIRST_ERROR_STATUS)",
         ROLLOUTS,
     ),
     Mutation(
--- a/flamingofront/platform/tests/test_adapter.py
+++ b/flamingofront/platform/tests/test_adapter.py
@@ -269,4 +269,4 @@
     )
     def test_execution_and_request_id_of_responses(self, headers, not_run, crossed):
         response = PlatformProtocol().decode_response_head("r", ResponseHead(503, headers))
-        assert (response.not_run, response.crossed) == (not_run, crossed)
+        assert (response.not_run, response.is_mismatched) == (not_run, crossed)
--- a/flamingofront/process/node.py
+++ b/flamingofront/process/node.py
@@ -253,7 +253,7 @@
         while True:
             try:
                 for each in (yield from self._quarantine_rows.read_all()):
-                    self.quarantine_sync.take(each)
+                    self.quarantine_sync.merge_entry(each)
                 evidence = yield from self._quarantine_rows.read_evidence()
                 for fingerprint, crashes in evidence.items():
                     self.quarantine_sync.merge_evidence(fingerprint, crashes)
--- a/flamingofront/request/attachments.py
+++ b/flamingofront/request/attachments.py
@@ -1,4 +1,4 @@
-"""Where the answer of a request goes: the callers that wait for it."""
+"""Consumers of the answer of a request: callers and peers that relay it."""
 
 from abc import ABC, abstractmethod
 from collections.abc import Callable
@@ -22,10 +22,10 @@
     "Attachment",
     "RelayAttachment",
     "StreamAttachment",
-    "WholeAttachment",
+    "ResponseAttachment",
     "respond_accepted",
     "respond_error",
-    "whole_completion",
+    "make_completion_answer",
 ]
 
 STREAM_HEADERS = (("Content-Type", "text/event-stream"), ("Cache-Control", "no-store"))
@@ -34,7 +34,7 @@
 
 
 def respond_error(exchange: Exchange, exc: RequestError, request_id: str = "") -> None:
-    """Send the table's answer for an error."""
+    """Send the error response for an error kind."""
     headers = build_error_headers(exc)
     if request_id:
         headers += (("X-Request-Id", request_id),)
@@ -44,7 +44,7 @@
 
 
 def respond_accepted(exchange: Exchange, request_id: str) -> None:
-    """Answer 202 with the place where the whole answer can be fetched."""
+    """Respond with 202 and the location of the future answer."""
     path = f"/v1/requests/{request_id}"
     headers = (*JSON_HEADERS, ("Location", path), ("X-Request-Id", request_id))
     body = {"id": request_id, "status": "accepted", "location": path}
@@ -52,12 +52,21 @@
 
 
 class Attachment(ABC):
-    """One reader of a request's answer.
+    """One consumer of a request's answer.
 
     Parameters
     ----------
     exchange : Exchange
-        Connection to the reader.
+        HTTP exchange with the consumer.
+    request_id : str
+        Id of the request.
+
+    Attributes
+    ----------
+    wants_tokens : bool
+        True if tokens are sent as they arrive.
+    on_disconnect : callable or None
+        Called with the attachment when the consumer disconnects.
     """
 
     wants_tokens = False
@@ -65,61 +74,61 @@
     def __init__(self, exchange: Exchange, request_id: str):
         self._exchange = exchange
         self._request_id = request_id
-        self.on_gone: Callable[[Attachment], None] | None = None
-        exchange.on_disconnect = self._gone
+        self.on_disconnect: Callable[[Attachment], None] | None = None
+        exchange.on_disconnect = self._on_exchange_closed
 
-    def _gone(self) -> None:
-        if self.on_gone is not None:
-            self.on_gone(self)
+    def _on_exchange_closed(self) -> None:
+        if self.on_disconnect is not None:
+            self.on_disconnect(self)
 
     def abort(self) -> None:
-        """Break the connection to the reader."""
+        """Abort the connection to the consumer."""
         self.detach()
         self._exchange.abort()
 
     def detach(self) -> None:
-        """Stop listening for the reader's departure."""
-        self.on_gone = None
+        """Stop watching for the disconnection of the consumer."""
+        self.on_disconnect = None
         self._exchange.on_disconnect = None
 
-    def tokens(self, start: int, tokens: tuple[str, ...]) -> bool:
-        """Pass on tokens that begin at offset `start`; False if the reader cannot keep up."""
+    def send_tokens(self, start: int, tokens: tuple[str, ...]) -> bool:
+        """Send tokens that start at an offset; return False if the consumer reads too slowly."""
         return True
 
     @abstractmethod
-    def complete(self, answer: StoredAnswer) -> None:
-        """Pass on the end of the answer."""
+    def send_answer(self, answer: StoredAnswer) -> None:
+        """Send the complete answer, or the end of a stream."""
 
-    def repeat(self, answer: StoredAnswer) -> None:
-        """Pass on an answer that was given before, in one piece."""
+    def replay(self, answer: StoredAnswer) -> None:
+        """Send the stored answer of an earlier request as one response."""
         headers = (("Content-Type", answer.content_type), ("X-Request-Id", self._request_id))
         self._exchange.respond(answer.status, headers, answer.body)
 
-    def failed(self, exc: RequestError) -> None:
-        """Tell that the request ended with an error."""
+    def send_error(self, exc: RequestError) -> None:
+        """Send the error with which the request failed."""
         respond_error(self._exchange, exc, self._request_id)
 
-    def moved(self, offset: int) -> None:
-        """Tell that the request goes on at another entry VM."""
+    def send_moved(self, offset: int) -> None:
+        """Report that the request continues at another entry VM."""
         exc = RequestError(ErrorKind.HANDED_OVER, retry_after=MOVED_RETRY_SECONDS)
         respond_error(self._exchange, exc, self._request_id)
 
 
-class WholeAttachment(Attachment):
-    """A caller who gets the answer in one piece."""
+class ResponseAttachment(Attachment):
+    """A caller that receives the answer as one response."""
 
-    def complete(self, answer: StoredAnswer) -> None:
-        """Send the whole answer."""
-        self.repeat(answer)
+    def send_answer(self, answer: StoredAnswer) -> None:
+        """Send the complete answer."""
+        self.replay(answer)
 
 
 class StreamAttachment(Attachment):
-    """A caller who reads the text as server-sent events.
+    """A caller that receives the text as server-sent events.
 
     Parameters
     ----------
     offset : int
-        Tokens that the caller has already.
+        Number of tokens that the caller has already received.
     """
 
     wants_tokens = True
@@ -128,52 +137,52 @@
         super().__init__(exchange, request_id)
         self._work = work
         self._offset = offset
-        self._begun = False
+        self._has_started = False
 
-    def _begin(self) -> None:
-        if not self._begun:
-            self._begun = True
+    def _start_stream(self) -> None:
+        if not self._has_started:
+            self._has_started = True
             self._exchange.begin(200, (*STREAM_HEADERS, ("X-Request-Id", self._request_id)))
 
-    def tokens(self, start: int, tokens: tuple[str, ...]) -> bool:
-        """Send the tokens that the caller lacks as one event."""
-        lacking = tokens[max(0, self._offset - start) :]
-        if not lacking:
+    def send_tokens(self, start: int, tokens: tuple[str, ...]) -> bool:
+        """Send the tokens that the caller has not received, as one event."""
+        missing = tokens[max(0, self._offset - start) :]
+        if not missing:
             return True
-        self._begin()
-        self._offset += len(lacking)
+        self._start_stream()
+        self._offset += len(missing)
         work = self._work
         return self._exchange.send(
             encode_chunk_event(
-                self._request_id, work.model, work.chat, self._offset, "".join(lacking)
+                self._request_id, work.model, work.chat, self._offset, "".join(missing)
             )
         )
 
-    def complete(self, answer: StoredAnswer) -> None:
-        """Send the last events."""
-        self._begin()
+    def send_answer(self, answer: StoredAnswer) -> None:
+        """Send the final events and end the stream."""
+        self._start_stream()
         work = self._work
         last = encode_chunk_event(self._request_id, work.model, work.chat, self._offset, "", "stop")
         self._exchange.send(last + DONE_EVENT)
         self._exchange.finish()
 
-    def failed(self, exc: RequestError) -> None:
-        """Answer with the error, or end the stream with an error event."""
-        if not self._begun:
-            super().failed(exc)
+    def send_error(self, exc: RequestError) -> None:
+        """Send an error response, or an error event if the stream has started."""
+        if not self._has_started:
+            super().send_error(exc)
             return
         self._exchange.send(encode_error_event(encode_error(exc, self._request_id)))
         self._exchange.finish()
 
-    def moved(self, offset: int) -> None:
-        """Ask the caller to come back for the rest."""
-        self._begin()
+    def send_moved(self, offset: int) -> None:
+        """Send an event that asks the caller to reattach for the rest."""
+        self._start_stream()
         self._exchange.send(encode_reattach_event(self._request_id, self._offset))
         self._exchange.finish()
 
 
 class RelayAttachment(Attachment):
-    """A peer that relays the text to a caller who came back there."""
+    """A peer that relays the text to a caller that has reattached there."""
 
     wants_tokens = True
 
@@ -182,41 +191,41 @@
         self._offset = offset
         head = {"work": {"model": work.model, "chat": work.chat, "stream": work.stream}}
         exchange.begin(200, RELAY_HEADERS)
-        self._line(head)
+        self._send_line(head)
 
-    def _line(self, data: dict) -> bool:
+    def _send_line(self, data: dict) -> bool:
         return self._exchange.send(orjson.dumps(data) + b"\n")
 
-    def tokens(self, start: int, tokens: tuple[str, ...]) -> bool:
-        """Send the tokens that the peer lacks as one line."""
-        lacking = tokens[max(0, self._offset - start) :]
-        if not lacking:
+    def send_tokens(self, start: int, tokens: tuple[str, ...]) -> bool:
+        """Send the tokens that the peer has not received, as one line."""
+        missing = tokens[max(0, self._offset - start) :]
+        if not missing:
             return True
-        sent = self._line({"offset": self._offset, "tokens": lacking})
-        self._offset += len(lacking)
+        sent = self._send_line({"offset": self._offset, "tokens": missing})
+        self._offset += len(missing)
         return sent
 
-    def complete(self, answer: StoredAnswer) -> None:
-        """Send the last line with the whole answer."""
-        self._line({"done": True, "body": answer.body.decode(), "type": answer.content_type})
+    def send_answer(self, answer: StoredAnswer) -> None:
+        """Send the complete answer as the last line."""
+        self._send_line({"done": True, "body": answer.body.decode(), "type": answer.content_type})
         self._exchange.finish()
 
-    def failed(self, exc: RequestError) -> None:
+    def send_error(self, exc: RequestError) -> None:
         """Send the error as the last line."""
         error = {"kind": exc.kind.value, "detail": exc.detail, "ran": exc.ran.value}
-        self._line({"error": error, "retry_after": exc.retry_after})
+        self._send_line({"error": error, "retry_after": exc.retry_after})
         self._exchange.finish()
 
-    def moved(self, offset: int) -> None:
-        """Send that the request goes on elsewhere as the last line."""
-        self._line({"moved": True})
+    def send_moved(self, offset: int) -> None:
+        """Report in the last line that the request continues at another entry VM."""
+        self._send_line({"moved": True})
         self._exchange.finish()
 
 
-def whole_completion(
+def make_completion_answer(
     request_id: str, work: ModelWork, tokens: tuple[str, ...] | list[str]
 ) -> StoredAnswer:
-    """Return the whole answer of a completion."""
+    """Return the complete, unstreamed answer of a completion."""
     body = encode_completion(
         request_id, work.model, work.chat, "".join(tokens), len(work.prompt), len(tokens)
     )
--- a/flamingofront/request/claims.py
+++ b/flamingofront/request/claims.py
@@ -1,8 +1,7 @@
-"""Idempotency keys: a claim in the table service before the first byte goes to an endpoint.
+"""Idempotency keys: a claim row is written to the store before a request is sent to an endpoint.
 
-The claim row is the only authority on whether a key was used. It holds the digest of the request,
-the owner, and in the end the answer, so that a second call with the key gets the same answer from
-any entry VM.
+The claim row alone decides whether a key was used. It holds the digest of the request, the owner
+and finally the answer, so that a second call with the key gets the same answer from any entry VM.
 """
 
 import hashlib
@@ -24,12 +23,12 @@
     "ClaimKey",
     "ClaimOutcome",
     "ClaimState",
-    "claim",
-    "finish_claim",
-    "move_claim",
+    "acquire_claim",
+    "store_claim_result",
+    "reassign_claim",
     "release_claim",
-    "repeat_until_done",
-    "request_digest",
+    "retry_until_done",
+    "compute_request_digest",
 ]
 
 CLAIM_PREFIX = "claim/"
@@ -45,7 +44,7 @@
 
 
 class ClaimDecision(StrEnum):
-    """What the caller of `claim` may do."""
+    """Decision on a request with an idempotency key."""
 
     GRANTED = "granted"
     ANSWERED = "answered"
@@ -72,25 +71,29 @@
 
 @dataclass(frozen=True)
 class ClaimOutcome:
-    """Result of `claim`.
+    """Result of `acquire_claim`.
 
     Parameters
     ----------
     owner : str
-        VM that holds the key, if it is in progress.
-    maybe_left : bool
-        True if a row of this request may stand although the claim was not granted.
+        Entry VM that owns the claim.
+    request_id : str
+        Request that the claim belongs to.
+    answer : StoredAnswer or None
+        Stored answer, if the decision is ``ANSWERED``.
+    may_exist : bool
+        True if the store may have a claim of this request although it was not granted.
     """
 
     decision: ClaimDecision
     owner: str = ""
     request_id: str = ""
     answer: StoredAnswer | None = None
-    maybe_left: bool = False
+    may_exist: bool = False
 
 
-def request_digest(method: str, path: str, body: bytes) -> str:
-    """Return what must be the same in each call with one key."""
+def compute_request_digest(method: str, path: str, body: bytes) -> str:
+    """Return a digest that must be equal for all calls with the same key."""
     digest = hashlib.sha256()
     for part in (method.encode(), path.encode(), body):
         digest.update(len(part).to_bytes(8, "big"))
@@ -98,10 +101,10 @@
     return digest.hexdigest()
 
 
-def _judge(
+def _evaluate_row(
     row: Document, request_id: str, digest: str, is_gone: Callable[[str], bool]
 ) -> ClaimOutcome:
-    """Return what a standing row means for this request."""
+    """Return the decision on this request by an existing claim row."""
     value = row.value
     if value["digest"] != digest:
         return ClaimOutcome(ClaimDecision.OTHER_REQUEST)
@@ -119,11 +122,11 @@
 def _may_take_over(
     outcome: ClaimOutcome, ask_owner: Callable[[str, str], Task] | None, repeatable: bool
 ) -> Task:
-    """Tell whether a standing claim may be replaced.
+    """Return True if an existing claim may be replaced.
 
     Notes
     -----
-    It may if its request was certainly not run, or if the work may be repeated.
+    It may if its request was certainly not run, or if the request may run more than once.
     """
     if outcome.decision is ClaimDecision.OUTCOME_UNKNOWN:
         return repeatable
@@ -132,7 +135,7 @@
     return (yield from ask_owner(outcome.owner, outcome.request_id))
 
 
-def claim(
+def acquire_claim(
     documents: DocumentStore,
     key: ClaimKey,
     request_id: str,
@@ -145,25 +148,32 @@
     ask_owner: Callable[[str, str], Task] | None = None,
     repeatable: bool = False,
 ) -> Task:
-    """Claim a key for a request.
+    """Claim an idempotency key for a request.
 
     Parameters
     ----------
+    owner : str
+        Id of this entry VM.
+    digest : str
+        Digest of the request, by `compute_request_digest`.
     is_gone : callable
-        Tells whether the VM that owns a claim is gone for good.
+        Returns True if the VM that owns a claim has left permanently.
+    budget : float
+        Seconds after which the store is not retried.
     ask_owner : callable, optional
-        Starts a task that returns True if the owner says that its request was not run.
+        Starts a task that returns True if the owner confirms that its request was not run.
     repeatable : bool
-        True if the work may run again after its owner is gone.
+        True if the request may run again after its owner has left.
 
     Returns
     -------
     ClaimOutcome
-        ``GRANTED`` only if the row was read or confirmed to name this request.
+        ``GRANTED`` only if the store has confirmed that the row belongs to this request.
 
     Notes
     -----
-    After a lost answer the row is read back: the request id in it tells whose write took effect.
+    After a lost response of the store the row is read back: its request id shows which write took
+    effect.
     """
     value = {
         "request_id": request_id,
@@ -174,31 +184,31 @@
     deadline = now() + budget
     backoff = Backoff(0.05, 0.5)
     tries = 0
-    maybe_left = False
+    may_exist = False
     while True:
         try:
             (row,) = yield from documents.read([key.row_key])
             if row.value is not None:
-                outcome = _judge(row, request_id, digest, is_gone)
+                outcome = _evaluate_row(row, request_id, digest, is_gone)
                 if not (yield from _may_take_over(outcome, ask_owner, repeatable)):
                     return outcome
             if (yield from documents.replace(row, value)):
                 return ClaimOutcome(ClaimDecision.GRANTED, owner, request_id)
         except PlatformError as exc:
-            maybe_left = maybe_left or exc.maybe_applied
+            may_exist = may_exist or exc.maybe_applied
         if now() >= deadline:
-            return ClaimOutcome(ClaimDecision.UNAVAILABLE, maybe_left=maybe_left)
+            return ClaimOutcome(ClaimDecision.UNAVAILABLE, may_exist=may_exist)
         yield Sleep(backoff.compute_delay(tries, rng))
         tries += 1
 
 
-def repeat_until_done(step: Callable[[], Task], rng: random.Random) -> Task:
-    """Repeat a step until the platform has answered it."""
+def retry_until_done(write_once: Callable[[], Task], rng: random.Random) -> Task:
+    """Retry a write until the store has confirmed it."""
     backoff = Backoff(0.1, 5.0)
     tries = 0
     while True:
         try:
-            done = yield from step()
+            done = yield from write_once()
         except PlatformError:
             done = False
         if done:
@@ -207,46 +217,48 @@
         tries += 1
 
 
-def finish_claim(
+def store_claim_result(
     documents: DocumentStore,
     key: ClaimKey,
     request_id: str,
     answer: StoredAnswer | None,
     rng: random.Random,
-    until: float,
+    expires_at: float,
 ) -> Task:
-    """Store the answer with the claim, or that the outcome is unknown; repeat until it stands.
+    """Store the answer in the claim row, with retries.
 
     Parameters
     ----------
-    until : float
+    answer : StoredAnswer or None
+        Answer of the request; None if its outcome is unknown.
+    expires_at : float
         Seconds since the epoch at which the claim is removed.
     """
 
-    def step() -> Task:
+    def write_once() -> Task:
         (row,) = yield from documents.read([key.row_key])
         if row.value is None or row.value["request_id"] != request_id:
             return True
         state = ClaimState.DONE if answer is not None else ClaimState.UNKNOWN
         stored = answer_to_json(answer) if answer is not None else None
-        value = {**row.value, "state": state.value, "answer": stored, "until": until}
-        return (yield from documents.replace(row, value, build_expiry_write(row.key, until)))
+        value = {**row.value, "state": state.value, "answer": stored, "until": expires_at}
+        return (yield from documents.replace(row, value, build_expiry_write(row.key, expires_at)))
 
-    yield from repeat_until_done(step, rng)
+    yield from retry_until_done(write_once, rng)
 
 
-def move_claim(
+def reassign_claim(
     documents: DocumentStore, key: ClaimKey, request_id: str, owner: str, rng: random.Random
 ) -> Task:
-    """Become the owner of the claim of a request that was handed over; repeat until it stands."""
+    """Set the owner of the claim of a request that was handed over, with retries."""
 
-    def step() -> Task:
+    def write_once() -> Task:
         (row,) = yield from documents.read([key.row_key])
         if row.value is None or row.value["request_id"] != request_id:
             return True
         return (yield from documents.replace(row, {**row.value, "owner": owner}))
 
-    yield from repeat_until_done(step, rng)
+    yield from retry_until_done(write_once, rng)
 
 
 def release_claim(
@@ -254,22 +266,22 @@
     key: ClaimKey,
     request_id: str,
     rng: random.Random,
-    settle: float = 0.0,
+    settle_seconds: float = 0.0,
 ) -> Task:
-    """Remove the claim of a request that was certainly not run; repeat until it is gone.
+    """Delete the claim of a request that was certainly not run, with retries.
 
     Parameters
     ----------
-    settle : float
-        Seconds to wait first, for a write whose answer was lost and which may still arrive.
+    settle_seconds : float
+        Initial wait, for an unacknowledged write that may still arrive at the store.
     """
 
-    def step() -> Task:
+    def write_once() -> Task:
         (row,) = yield from documents.read([key.row_key])
         if row.value is None or row.value["request_id"] != request_id:
             return True
         return (yield from documents.replace(row, None))
 
-    if settle:
-        yield Sleep(settle)
-    yield from repeat_until_done(step, rng)
+    if settle_seconds:
+        yield Sleep(settle_seconds)
+    yield from retry_until_done(write_once, rng)
--- a/flamingofront/request/gateway.py
+++ b/flamingofront/request/gateway.py
@@ -1,4 +1,4 @@
-"""The callers' interface: from an HTTP request to an accepted request.
+"""Gateway of callers: checks their HTTP requests and accepts or rejects them.
 
 Paths: ``POST /v1/chat/completions``, ``POST /v1/completions``, ``ANY /services/ROUTE/...``,
 ``GET /v1/requests/ID`` for re-attachment and asynchronous answers, ``GET /v1/models``.
@@ -22,8 +22,8 @@
 from flamingofront.request.active import ActiveRequest
 from flamingofront.request.attachments import (
     Attachment,
+    ResponseAttachment,
     StreamAttachment,
-    WholeAttachment,
     respond_accepted,
     respond_error,
 )
@@ -47,7 +47,7 @@
 REQUESTS_PREFIX = "/v1/requests/"
 NOT_READY_RETRY_SECONDS = 1.0
 STORE_RETRY_SECONDS = 2.0
-# Fields of one hop, and those that are for this system alone.
+# Hop-by-hop headers and headers that only this system interprets.
 DROPPED_HEADERS = frozenset(
     {
         "connection",
@@ -70,12 +70,18 @@
 
 
 class Gateway:
-    """Turns callers' HTTP requests into accepted requests or refusals.
+    """Accepts or rejects callers' HTTP requests.
 
     Parameters
     ----------
-    is_open : callable
-        Returns the error kind to refuse all new work with, None if the process takes work.
+    vm_id : str
+        Id of this entry VM, with which request ids start.
+    default_deadline : float
+        Seconds for requests without a deadline of their own.
+    workspace_limit : callable
+        Returns the maximum number of requests of a workspace in flight in this process.
+    rejection_kind : callable
+        Returns the error kind with which all new requests are rejected; None to accept them.
     """
 
     def __init__(
@@ -89,7 +95,7 @@
         rng: random.Random,
         default_deadline: float,
         workspace_limit: Callable[[Workspace], int],
-        is_open: Callable[[], ErrorKind | None],
+        rejection_kind: Callable[[], ErrorKind | None],
     ):
         self.configuration = Configuration()
         self._vm_id = vm_id
@@ -101,10 +107,10 @@
         self._rng = rng
         self._default_deadline = default_deadline
         self._workspace_limit = workspace_limit
-        self._is_open = is_open
+        self._rejection_kind = rejection_kind
 
     def handle(self, req: InboundRequest, exchange: Exchange) -> None:
-        """Take one request; every error is answered from the table."""
+        """Handle a request; a `RequestError` is sent as an error response."""
         request_id = self._new_id()
         try:
             self._dispatch(req, exchange, request_id)
@@ -118,60 +124,61 @@
     def _dispatch(self, req: InboundRequest, exchange: Exchange, request_id: str) -> None:
         if req.path in COMPLETION_PATHS:
             self._require_method(req, "POST")
-            self._completion(req, exchange, request_id, COMPLETION_PATHS[req.path])
+            self._handle_completion(req, exchange, request_id, COMPLETION_PATHS[req.path])
         elif req.path.startswith(SERVICES_PREFIX):
-            self._plain(req, exchange, request_id)
+            self._handle_plain_call(req, exchange, request_id)
         elif req.path.startswith(REQUESTS_PREFIX):
             self._require_method(req, "GET")
-            self._come_back(req, exchange)
+            self._reattach(req, exchange)
         elif req.path == "/v1/models":
             self._require_method(req, "GET")
-            self._models(req, exchange)
+            self._list_models(req, exchange)
         else:
-            raise RequestError(ErrorKind.NOT_FOUND, f"no such path {req.path[:80]!r}")
+            raise RequestError(ErrorKind.NOT_FOUND, f"unknown path {req.path[:80]!r}")
 
     def _require_method(self, req: InboundRequest, method: str) -> None:
         if req.method != method:
             raise RequestError(
-                ErrorKind.METHOD_NOT_ALLOWED, f"{req.path} takes {method}, got {req.method}"
+                ErrorKind.METHOD_NOT_ALLOWED, f"{req.path} requires {method}, got {req.method}"
             )
 
     def _require_open(self) -> None:
-        kind = self._is_open()
+        kind = self._rejection_kind()
         if kind is not None:
             raise RequestError(kind, retry_after=NOT_READY_RETRY_SECONDS)
 
-    def _workspace(self, req: InboundRequest) -> Workspace:
-        """Return the workspace by credential or header."""
-        if self._is_open() is ErrorKind.NOT_READY:
-            self._require_open()  # without a configuration every workspace would seem unknown
+    def _find_workspace(self, req: InboundRequest) -> Workspace:
+        """Return the workspace that the credential or the header names."""
+        if self._rejection_kind() is ErrorKind.NOT_READY:
+            self._require_open()  # without a configuration every workspace would be unknown
         authorization = req.header("authorization")
         if authorization.startswith("Bearer "):
             digest = hashlib.sha256(authorization[len("Bearer ") :].strip().encode()).hexdigest()
             for each in self.configuration.objects_of(ObjectKind.WORKSPACE).values():
                 if each.credential == digest:
                     return each
-            raise RequestError(ErrorKind.UNKNOWN_WORKSPACE, "the credential is not known")
+            raise RequestError(ErrorKind.UNKNOWN_WORKSPACE, "unknown credential")
         name = req.header("x-workspace")
         workspace = self.configuration.find_workspace(name)
         if workspace is None or workspace.credential:
             raise RequestError(
-                ErrorKind.UNKNOWN_WORKSPACE, f"workspace {name[:80]!r} needs a known credential"
+                ErrorKind.UNKNOWN_WORKSPACE,
+                f"workspace {name[:80]!r} is unknown or requires a credential",
             )
         return workspace
 
-    def _service(self, route_name: str, workspace: Workspace, kind: ServiceKind) -> Service:
+    def _find_service(self, route_name: str, workspace: Workspace, kind: ServiceKind) -> Service:
         route = self.configuration.find_route(route_name)
         service = self.configuration.find_service(route.service) if route is not None else None
-        known = route is not None and service is not None and route.allows(workspace.name)
-        if not known or service.kind is not kind:
+        is_known = route is not None and service is not None and route.allows(workspace.name)
+        if not is_known or service.kind is not kind:
             raise RequestError(
                 ErrorKind.UNKNOWN_SERVICE, f"no {kind.value} named {route_name[:80]!r}"
             )
         return service
 
-    def _models(self, req: InboundRequest, exchange: Exchange) -> None:
-        workspace = self._workspace(req)
+    def _list_models(self, req: InboundRequest, exchange: Exchange) -> None:
+        workspace = self._find_workspace(req)
         cfg = self.configuration
         names = [
             route.name
@@ -182,39 +189,39 @@
         data = {"object": "list", "data": [{"id": name, "object": "model"} for name in names]}
         exchange.respond(200, JSON_HEADERS, orjson.dumps(data))
 
-    def _completion(
+    def _handle_completion(
         self, req: InboundRequest, exchange: Exchange, request_id: str, chat: bool
     ) -> None:
         self._require_open()
-        workspace = self._workspace(req)
+        workspace = self._find_workspace(req)
         options = parse_options(req)
-        wanted = parse_completion(req.body, chat)
-        service = self._service(wanted.model, workspace, ServiceKind.MODEL)
-        work = ModelWork(wanted.model, wanted.prompt, wanted.max_tokens, chat, wanted.stream)
-        record = self._record(request_id, workspace, wanted.model, service, work, options)
+        parsed = parse_completion(req.body, chat)
+        service = self._find_service(parsed.model, workspace, ServiceKind.MODEL)
+        work = ModelWork(parsed.model, parsed.prompt, parsed.max_tokens, chat, parsed.stream)
+        record = self._build_record(request_id, workspace, parsed.model, service, work, options)
         attachment: Attachment
-        if wanted.stream and not options.respond_async:
+        if parsed.stream and not options.respond_async:
             attachment = StreamAttachment(exchange, request_id, work)
         else:
-            attachment = WholeAttachment(exchange, request_id)
+            attachment = ResponseAttachment(exchange, request_id)
         self._accept(req, record, workspace, options, attachment, exchange)
 
-    def _plain(self, req: InboundRequest, exchange: Exchange, request_id: str) -> None:
+    def _handle_plain_call(self, req: InboundRequest, exchange: Exchange, request_id: str) -> None:
         self._require_open()
-        workspace = self._workspace(req)
+        workspace = self._find_workspace(req)
         options = parse_options(req)
         route, slash, rest = req.path[len(SERVICES_PREFIX) :].partition("/")
-        service = self._service(route, workspace, ServiceKind.PLAIN)
+        service = self._find_service(route, workspace, ServiceKind.PLAIN)
         headers = tuple(
             (name, value) for name, value in req.headers.items() if name not in DROPPED_HEADERS
         )
-        path = _with_query("/" + rest, req)
+        path = _join_query("/" + rest, req)
         work = PlainWork(req.method, path, headers, req.body)
-        record = self._record(request_id, workspace, route, service, work, options)
-        attachment = WholeAttachment(exchange, request_id)
+        record = self._build_record(request_id, workspace, route, service, work, options)
+        attachment = ResponseAttachment(exchange, request_id)
         self._accept(req, record, workspace, options, attachment, exchange)
 
-    def _record(
+    def _build_record(
         self,
         request_id: str,
         workspace: Workspace,
@@ -245,16 +252,18 @@
         exchange: Exchange,
     ) -> None:
         if options.key:
-            self._keyed.handle(req, record, self._share(workspace), attachment, exchange)
+            self._keyed.handle(
+                req, record, self._make_admission_share(workspace), attachment, exchange
+            )
         elif options.respond_async:
             attachment.detach()
-            self._accept_job(record, self._share(workspace), exchange)
+            self._accept_job(record, self._make_admission_share(workspace), exchange)
         else:
-            request = self._hub.accept(record, self._share(workspace))
+            request = self._hub.accept(record, self._make_admission_share(workspace))
             request.attach(attachment)
             self._hub.start_ready_requests()
 
-    def _share(self, workspace: Workspace) -> WorkspaceShare:
+    def _make_admission_share(self, workspace: Workspace) -> WorkspaceShare:
         limit = self._workspace_limit(workspace)
         return WorkspaceShare(workspace.name, workspace.weight, workspace.priority, limit)
 
@@ -262,40 +271,38 @@
         request = self._hub.accept(record, share)
         request.defer_start()
 
-        def created(outcome: PlatformError | None) -> None:
+        def on_created(outcome: PlatformError | None) -> None:
             if outcome is None:
-                self._job_accepted(request, exchange)
+                self._accept_created_job(request, exchange)
             else:
-                self._job_refused(request, outcome, exchange)
+                self._reject_job(request, outcome, exchange)
 
         task = create_job(self._documents, record, self._vm_id, self._rng)
-        self._tasks.start(_caught(task), created)
+        self._tasks.start(_catch_platform_error(task), on_created)
 
-    def _job_accepted(self, request: ActiveRequest, exchange: Exchange) -> None:
-        """Tell the caller where the answer will be, and start the work."""
+    def _accept_created_job(self, request: ActiveRequest, exchange: Exchange) -> None:
+        """Respond with the location of the future answer and start the job."""
         respond_accepted(exchange, request.request_id)
         self._keyed.start_job(request)
 
-    def _job_refused(
-        self, request: ActiveRequest, fault: PlatformError, exchange: Exchange
-    ) -> None:
-        ran = Executed.UNKNOWN if fault.maybe_applied else Executed.NO
+    def _reject_job(self, request: ActiveRequest, error: PlatformError, exchange: Exchange) -> None:
+        ran = Executed.UNKNOWN if error.maybe_applied else Executed.NO
         exc = RequestError(
-            ErrorKind.STORE_UNAVAILABLE, str(fault), ran, retry_after=STORE_RETRY_SECONDS
+            ErrorKind.STORE_UNAVAILABLE, str(error), ran, retry_after=STORE_RETRY_SECONDS
         )
         if not request.done:
             request.reject_unstarted(exc)
         respond_error(exchange, exc, request.request_id)
 
-    def _come_back(self, req: InboundRequest, exchange: Exchange) -> None:
-        workspace = self._workspace(req)
+    def _reattach(self, req: InboundRequest, exchange: Exchange) -> None:
+        workspace = self._find_workspace(req)
         request_id = req.path[len(REQUESTS_PREFIX) :]
-        offset, stream = _position(req, request_id)
+        offset, stream = _parse_position(req, request_id)
         self._reattachment.attach_caller(request_id, workspace.name, offset, stream, exchange)
 
 
-def _caught(task: Task) -> Task:
-    """Return None if a task succeeds, its `PlatformError` if not."""
+def _catch_platform_error(task: Task) -> Task:
+    """Run a task; return its `PlatformError`, or None if it succeeds."""
     try:
         yield from task
     except PlatformError as exc:
@@ -303,19 +310,20 @@
     return None
 
 
-def _with_query(path: str, req: InboundRequest) -> str:
+def _join_query(path: str, req: InboundRequest) -> str:
     encoded = quote(path, safe="/:@!$&'()*+,;=~-._")
     return f"{encoded}?{urlencode(req.query)}" if req.query else encoded
 
 
-def _position(req: InboundRequest, request_id: str) -> tuple[int, bool]:
-    """Return from which offset the caller wants the text, and whether as a stream."""
+def _parse_position(req: InboundRequest, request_id: str) -> tuple[int, bool]:
+    """Return the token offset at which the caller reattaches, and whether it wants a stream."""
     last = req.headers.get("last-event-id")
     if last is not None:
         position = parse_event_id(last)
         if position.request_id != request_id:
             raise RequestError(
-                ErrorKind.MALFORMED_REQUEST, f"Last-Event-ID {last[:80]!r} is of another request"
+                ErrorKind.MALFORMED_REQUEST,
+                f"Last-Event-ID {last[:80]!r} belongs to another request",
             )
         return position.offset, True
     text = req.query.get("offset")
@@ -323,6 +331,7 @@
         return 0, "text/event-stream" in req.header("accept")
     if not text.isdigit() or len(text) > 9:
         raise RequestError(
-            ErrorKind.MALFORMED_REQUEST, f"offset must be a whole number, got {text[:40]!r}"
+            ErrorKind.MALFORMED_REQUEST,
+            f"offset must be an integer of at most 9 digits, got {text[:40]!r}",
         )
     return int(text), True
--- a/flamingofront/request/inheritance.py
+++ b/flamingofront/request/inheritance.py
@@ -1,4 +1,4 @@
-"""Take requests over from other entry processes: by hand-over, or after their death."""
+"""Adoption of requests from other entry processes, by hand-over or after their termination."""
 
 from collections import OrderedDict
 from collections.abc import Callable
@@ -26,13 +26,13 @@
 
 __all__ = ["RequestAdopter"]
 
-READER_GRACE_SECONDS = 30.0
-MAX_REMEMBERED = 10_000
+REATTACH_GRACE_SECONDS = 30.0
+MAX_REMEMBERED_REQUESTS = 10_000
 _BACKOFF = Backoff(0.2, 5.0)
 
 
 class RequestAdopter:
-    """Makes requests of others requests of this process.
+    """Adopts requests and jobs of other entry processes.
 
     Parameters
     ----------
@@ -57,33 +57,33 @@
         self._share_of = share_of
         self._epochs: OrderedDict[str, int] = OrderedDict()
 
-    def take(self, data: dict[str, Any], sender: str) -> None:
-        """Take a record that a peer hands over; taking the same one again has no effect."""
+    def accept_handover(self, data: dict[str, Any], sender: str) -> None:
+        """Accept a record that a peer hands over; idempotent."""
         record = RequestRecord.from_json(data)
         if self._epochs.get(record.request_id, 0) >= record.epoch:
             return
         self._epochs[record.request_id] = record.epoch
-        while len(self._epochs) > MAX_REMEMBERED:
+        while len(self._epochs) > MAX_REMEMBERED_REQUESTS:
             self._epochs.popitem(last=False)
         request = self._adopt(record)
         if record.job:
             request.defer_start()
             self._tasks.start(
-                self._take_job(record.request_id, sender),
-                lambda taken: self._job_taken(request, taken),
+                self._take_over_job(record.request_id, sender),
+                lambda adopted: self._on_job_taken_over(request, adopted),
             )
         elif record.key:
-            self._keyed.keep_claim_answer(request)
+            self._keyed.adopt_claim(request)
         else:
-            request.start_reattach_timer(READER_GRACE_SECONDS)
+            request.start_reattach_timer(REATTACH_GRACE_SECONDS)
         self._hub.start_ready_requests()
 
     def _adopt(self, record: RequestRecord) -> ActiveRequest:
         self._hub.moved_to.pop(record.request_id, None)
         return self._hub.accept(record, self._share_of(record.workspace), resumed=True)
 
-    def _take_job(self, request_id: str, sender: str) -> Task:
-        """Become the owner of a job's row; repeat until the platform has answered."""
+    def _take_over_job(self, request_id: str, sender: str) -> Task:
+        """Set this process as the owner of a job, retrying while the store is unavailable."""
         tries = 0
         while True:
             try:
@@ -92,27 +92,27 @@
                 yield Sleep(_BACKOFF.compute_delay(tries, self._hub.rng))
                 tries += 1
 
-    def _job_taken(self, request: ActiveRequest, taken: AdoptedJob | None) -> None:
-        if taken is None:
+    def _on_job_taken_over(self, request: ActiveRequest, adopted: AdoptedJob | None) -> None:
+        if adopted is None:
             request.cancel_unstarted()
             return
         self._keyed.start_job(request)
 
-    def member_gone(self, vm_id: str, peers: tuple[Fact, ...]) -> None:
-        """Adopt the jobs of a process that is gone, if that falls to this one first.
+    def adopt_jobs_of(self, vm_id: str, peers: tuple[Fact, ...]) -> None:
+        """Adopt the jobs of a process that has left, after a delay by rendezvous rank.
 
         Notes
         -----
-        Each survivor tries after a time that grows with its rank, so that one does it at once and
-        the others only find what it left. The rows themselves decide between two that try together.
+        The survivor of the first rank adopts the jobs immediately; later ones find only what it
+        left. Compare-and-swap on the rows resolves concurrent adoptions.
         """
         survivors = [self._vm_id, *(each.vm_id for each in peers if each.vm_id != vm_id)]
-        turn = rank(f"adopt/{vm_id}", survivors).index(self._vm_id)
-        self._tasks.start(self._adopt_jobs(vm_id, turn * 2.0), self._jobs_adopted)
+        position = rank(f"adopt/{vm_id}", survivors).index(self._vm_id)
+        self._tasks.start(self._adopt_jobs(vm_id, position * 2.0), self._on_jobs_adopted)
 
-    def reclaim_own(self) -> None:
-        """Adopt the jobs that an earlier process on this VM left behind."""
-        self._tasks.start(self._adopt_jobs(self._vm_id, 0.0), self._jobs_adopted)
+    def adopt_own_jobs(self) -> None:
+        """Adopt the unfinished jobs of an earlier process on this VM."""
+        self._tasks.start(self._adopt_jobs(self._vm_id, 0.0), self._on_jobs_adopted)
 
     def _adopt_jobs(self, vm_id: str, delay: float) -> Task:
         yield Sleep(delay)
@@ -126,10 +126,10 @@
                 yield Sleep(_BACKOFF.compute_delay(tries, self._hub.rng))
                 tries += 1
 
-    def _jobs_adopted(self, jobs: list[AdoptedJob]) -> None:
+    def _on_jobs_adopted(self, jobs: list[AdoptedJob]) -> None:
         for job in jobs:
             request_id = job.record.request_id
-            if request_id in self._hub.active or self._keyed.storing(request_id):
+            if request_id in self._hub.active or self._keyed.is_storing_answer(request_id):
                 continue
             if is_outcome_unknown(job):
                 exc = RequestError(ErrorKind.OUTCOME_UNKNOWN, ran=Executed.UNKNOWN)
--- a/flamingofront/request/keyed.py
+++ b/flamingofront/request/keyed.py
@@ -1,4 +1,4 @@
-"""Requests with an idempotency key, and the answers of jobs: what is kept by the platform."""
+"""Requests with an idempotency key, and storage of the answers of keyed requests and jobs."""
 
 import random
 from collections import OrderedDict
@@ -19,14 +19,14 @@
     ClaimDecision,
     ClaimKey,
     ClaimOutcome,
-    claim,
-    finish_claim,
-    move_claim,
+    acquire_claim,
+    compute_request_digest,
+    reassign_claim,
     release_claim,
-    request_digest,
+    store_claim_result,
 )
 from flamingofront.request.hub import RequestHub
-from flamingofront.request.jobs import create_job, finish_job, mark_running
+from flamingofront.request.jobs import create_job, mark_running, store_job_result
 from flamingofront.request.records import RequestRecord
 from flamingofront.request.stored_answer import StoredAnswer
 
@@ -35,10 +35,10 @@
 IN_PROGRESS_RETRY_SECONDS = 1.0
 STORE_RETRY_SECONDS = 2.0
 LATE_WRITE_SECONDS = 5.0
-MAX_REMEMBERED = 10_000
+MAX_REMEMBERED_REQUESTS = 10_000
 _BACKOFF = Backoff(0.1, 2.0)
 
-_REFUSALS = {
+_REJECTIONS = {
     ClaimDecision.IN_PROGRESS: (ErrorKind.KEY_IN_PROGRESS, IN_PROGRESS_RETRY_SECONDS),
     ClaimDecision.OUTCOME_UNKNOWN: (ErrorKind.OUTCOME_UNKNOWN, None),
     ClaimDecision.OTHER_REQUEST: (ErrorKind.KEY_REUSED, None),
@@ -47,14 +47,15 @@
 
 
 class KeyedRequests:
-    """Claims keys before work starts and stores answers after it ended.
+    """Claims idempotency keys before requests start and stores answers after they finish.
 
     Parameters
     ----------
     is_gone : callable
-        Tells whether an entry VM is gone for good.
+        Returns True if an entry VM has left permanently.
     ask_owner : callable
-        Starts a task that returns True if the VM that owns a claim says that it was not run.
+        Starts a task that returns True if the VM that owns a claim confirms that its request was
+        not run.
     """
 
     def __init__(
@@ -75,8 +76,8 @@
         self._is_gone = is_gone
         self._ask_owner = ask_owner
         self._claiming: dict[ClaimKey, str] = {}
-        self._storing: set[str] = set()
-        self._not_run: OrderedDict[str, None] = OrderedDict()
+        self._jobs_being_stored: set[str] = set()
+        self._not_run_ids: OrderedDict[str, None] = OrderedDict()
 
     def handle(
         self,
@@ -86,7 +87,7 @@
         attachment: Attachment,
         exchange: Exchange,
     ) -> None:
-        """Admit a keyed request, claim its key, and start it once the claim stands."""
+        """Admit a keyed request, claim its key, and start it once the claim is confirmed."""
         key = ClaimKey(record.workspace, record.key)
         if key in self._claiming:
             raise RequestError(ErrorKind.KEY_IN_PROGRESS, retry_after=IN_PROGRESS_RETRY_SECONDS)
@@ -97,12 +98,14 @@
             request.attach(attachment)
         request.defer_start()
         self._claiming[key] = request.request_id
-        digest = request_digest(req.method, req.path, req.body)
+        digest = compute_request_digest(req.method, req.path, req.body)
         task = self._claim(key, record, digest)
-        self._tasks.start(task, lambda outcome: self._claimed(key, request, outcome, exchange))
+        self._tasks.start(
+            task, lambda outcome: self._on_claim_outcome(key, request, outcome, exchange)
+        )
 
     def _claim(self, key: ClaimKey, record: RequestRecord, digest: str) -> Task:
-        outcome = yield from claim(
+        outcome = yield from acquire_claim(
             self._documents,
             key,
             record.request_id,
@@ -120,7 +123,7 @@
             except PlatformError as exc:
                 if exc.maybe_applied:
                     return ClaimOutcome(ClaimDecision.JOB_UNCONFIRMED)
-                return ClaimOutcome(ClaimDecision.UNAVAILABLE, maybe_left=True)
+                return ClaimOutcome(ClaimDecision.UNAVAILABLE, may_exist=True)
         return outcome
 
     def _ask_owner_of_claim(self, owner: str, request_id: str) -> Task:
@@ -129,48 +132,50 @@
         return (yield from self._ask_owner(owner, request_id))
 
     def was_not_run(self, request_id: str) -> bool:
-        """Tell whether a request of this process ended with the certainty that it was not run."""
-        return request_id in self._not_run
+        """Return True if a request of this process has ended and was certainly not run."""
+        return request_id in self._not_run_ids
 
-    def _claimed(
+    def _on_claim_outcome(
         self, key: ClaimKey, request: ActiveRequest, outcome: ClaimOutcome, exchange: Exchange
     ) -> None:
         self._hub.metrics.count("claims_total", result=outcome.decision.value)
         if outcome.decision is ClaimDecision.GRANTED:
-            self._start(key, request, exchange)
+            self._start_claimed(key, request, exchange)
             return
         if outcome.decision is ClaimDecision.JOB_UNCONFIRMED:
-            self._job_unconfirmed(key, request, exchange)
+            self._reject_unconfirmed_job(key, request, exchange)
             return
         self._claiming.pop(key, None)
-        if outcome.maybe_left:
-            self._release(key, request.request_id, LATE_WRITE_SECONDS)
+        if outcome.may_exist:
+            self._release_claim(key, request.request_id, LATE_WRITE_SECONDS)
         if outcome.decision is ClaimDecision.ANSWERED:
-            self._repeat_answer(request, outcome, exchange)
+            self._replay_answer(request, outcome, exchange)
             return
-        kind, retry_after = _REFUSALS[outcome.decision]
-        self._refuse(request, RequestError(kind, retry_after=retry_after), exchange)
+        kind, retry_after = _REJECTIONS[outcome.decision]
+        self._reject(request, RequestError(kind, retry_after=retry_after), exchange)
 
-    def _job_unconfirmed(self, key: ClaimKey, request: ActiveRequest, exchange: Exchange) -> None:
-        """Refuse a job whose row may stand: an adopter may run it, so its key stays used."""
-        task = finish_claim(
-            self._documents, key, request.request_id, None, self._rng, self._until()
+    def _reject_unconfirmed_job(
+        self, key: ClaimKey, request: ActiveRequest, exchange: Exchange
+    ) -> None:
+        """Reject a job whose row may exist; its key stays claimed, as an adopter may run it."""
+        task = store_claim_result(
+            self._documents, key, request.request_id, None, self._rng, self._compute_expiry()
         )
         self._tasks.start(task, lambda _: self._claiming.pop(key, None))
         exc = RequestError(ErrorKind.STORE_UNAVAILABLE, ran=Executed.UNKNOWN)
-        self._refuse(request, exc, exchange)
+        self._reject(request, exc, exchange)
 
-    def _refuse(self, request: ActiveRequest, exc: RequestError, exchange: Exchange) -> None:
-        """Tell the caller; one of a job waits on the exchange, others on the request."""
+    def _reject(self, request: ActiveRequest, exc: RequestError, exchange: Exchange) -> None:
+        """Send an error; the caller of a job waits on the exchange, others on the request."""
         if not request.done:
             request.reject_unstarted(exc)
         if request.record.job:
             respond_error(exchange, exc, request.request_id)
 
-    def _repeat_answer(
+    def _replay_answer(
         self, request: ActiveRequest, outcome: ClaimOutcome, exchange: Exchange
     ) -> None:
-        """Give the answer that the first call with the key got."""
+        """Send the stored answer of the first request with the key."""
         if not request.record.job:
             if not request.done:
                 request.replay_answer(outcome.answer)
@@ -181,16 +186,16 @@
         headers = (("Content-Type", answer.content_type), ("X-Request-Id", outcome.request_id))
         exchange.respond(answer.status, headers, answer.body)
 
-    def _start(self, key: ClaimKey, request: ActiveRequest, exchange: Exchange) -> None:
+    def _start_claimed(self, key: ClaimKey, request: ActiveRequest, exchange: Exchange) -> None:
         if request.done:
-            # The caller's time ended while the claim was made; nothing was sent.
+            # The deadline passed while the key was claimed; nothing was sent.
             self._claiming.pop(key, None)
-            self._release(key, request.request_id, 0.0)
+            self._release_claim(key, request.request_id, 0.0)
             if request.record.job:
                 respond_accepted(exchange, request.request_id)
                 self.start_job(request)
             return
-        request.on_finished = lambda answer, exc: self._ended(key, request, answer, exc)
+        request.on_finished = lambda answer, exc: self._on_request_end(key, request, answer, exc)
         if request.record.job:
             respond_accepted(exchange, request.request_id)
             self.start_job(request)
@@ -198,49 +203,51 @@
         request.allow_start()
         self._hub.start_ready_requests()
 
-    def _ended(
+    def _on_request_end(
         self,
         key: ClaimKey,
         request: ActiveRequest,
         answer: StoredAnswer | None,
         exc: RequestError | None,
     ) -> None:
-        """Store what became of the request before its key is free again."""
+        """Store the outcome of the request before its key can be claimed again."""
         if request.record.job:
             self.store_job_answer(request.request_id, answer, exc)
         if answer is None and exc is not None and exc.ran is Executed.NO:
-            self._release(key, request.request_id, 0.0)
+            self._release_claim(key, request.request_id, 0.0)
             self._claiming.pop(key, None)
             return
-        task = finish_claim(
-            self._documents, key, request.request_id, answer, self._rng, self._until()
+        task = store_claim_result(
+            self._documents, key, request.request_id, answer, self._rng, self._compute_expiry()
         )
         self._tasks.start(task, lambda _: self._claiming.pop(key, None))
 
-    def _release(self, key: ClaimKey, request_id: str, settle: float) -> None:
-        self._not_run[request_id] = None
-        while len(self._not_run) > MAX_REMEMBERED:
-            self._not_run.popitem(last=False)
-        self._tasks.start(release_claim(self._documents, key, request_id, self._rng, settle))
+    def _release_claim(self, key: ClaimKey, request_id: str, settle_seconds: float) -> None:
+        self._not_run_ids[request_id] = None
+        while len(self._not_run_ids) > MAX_REMEMBERED_REQUESTS:
+            self._not_run_ids.popitem(last=False)
+        self._tasks.start(
+            release_claim(self._documents, key, request_id, self._rng, settle_seconds)
+        )
 
-    def keep_claim_answer(self, request: ActiveRequest) -> None:
-        """Own the claim of a request that was handed over to this process, and store its answer."""
+    def adopt_claim(self, request: ActiveRequest) -> None:
+        """Take over the claim of a handed-over request, and store its answer when it finishes."""
         key = ClaimKey(request.record.workspace, request.record.key)
         self._claiming[key] = request.request_id
-        task = move_claim(self._documents, key, request.request_id, self._vm_id, self._rng)
+        task = reassign_claim(self._documents, key, request.request_id, self._vm_id, self._rng)
         self._tasks.start(task)
-        request.on_finished = lambda answer, exc: self._ended(key, request, answer, exc)
+        request.on_finished = lambda answer, exc: self._on_request_end(key, request, answer, exc)
 
     def start_job(self, request: ActiveRequest) -> None:
-        """Let a job start whose row stands, and store its answer when it is there.
+        """Start a job whose row is stored, and store its answer when it finishes.
 
         Notes
         -----
-        Work that may run only once is noted as running before it is sent: whoever adopts the job
-        later then knows that it must not be sent again.
+        A job that may run only once is marked as running before it is sent, so that a later adopter
+        does not send it again.
         """
         if request.done:
-            # Its time ended while the row was written; nothing was sent.
+            # The deadline passed while the row was written; nothing was sent.
             late = RequestError(ErrorKind.DEADLINE_EXCEEDED, ran=Executed.NO)
             self.store_job_answer(request.request_id, None, late)
             return
@@ -254,7 +261,8 @@
             return
         request.defer_start()
         self._tasks.start(
-            self._mark_running(request.request_id), lambda ours: self._marked(request, ours)
+            self._mark_running(request.request_id),
+            lambda is_owner: self._on_marked_running(request, is_owner),
         )
 
     def _mark_running(self, request_id: str) -> Task:
@@ -266,32 +274,32 @@
                 yield Sleep(_BACKOFF.compute_delay(tries, self._rng))
                 tries += 1
 
-    def _marked(self, request: ActiveRequest, ours: bool) -> None:
+    def _on_marked_running(self, request: ActiveRequest, is_owner: bool) -> None:
         if request.done:
             return
-        if not ours:
+        if not is_owner:
             request.cancel_unstarted()
             return
         request.allow_start()
         self._hub.start_ready_requests()
 
-    def storing(self, request_id: str) -> bool:
-        """Tell whether the answer of a job is still being stored."""
-        return request_id in self._storing
+    def is_storing_answer(self, request_id: str) -> bool:
+        """Return True while the answer of a job is being stored."""
+        return request_id in self._jobs_being_stored
 
-    def _until(self) -> float:
-        """Return when an answer that is stored now may be removed."""
+    def _compute_expiry(self) -> float:
+        """Return the expiry time of an answer that is stored now, in seconds since the epoch."""
         return self._hub.timers.wall() + RETENTION_SECONDS
 
     def store_job_answer(
         self, request_id: str, answer: StoredAnswer | None, exc: RequestError | None
     ) -> None:
-        """Store the answer, or the error, of a job."""
+        """Store the answer or error of a job."""
         if answer is None:
             status = ERROR_RESPONSES[exc.kind].status
             answer = StoredAnswer(status, "application/json", encode_error(exc, request_id))
-        self._storing.add(request_id)
-        task = finish_job(
-            self._documents, request_id, self._vm_id, answer, self._rng, self._until()
+        self._jobs_being_stored.add(request_id)
+        task = store_job_result(
+            self._documents, request_id, self._vm_id, answer, self._rng, self._compute_expiry()
         )
-        self._tasks.start(task, lambda _: self._storing.discard(request_id))
+        self._tasks.start(task, lambda _: self._jobs_being_stored.discard(request_id))
