--- a/bench/quarantine_mutations.py
+++ b/bench/quarantine_mutations.py
@@ -144,8 +144,8 @@
     Mutation(
         "Q ends before a record use up trials",
         "decisions/quarantine.py",
-        "return len(crashed_near_restart.union(unobserved).difference(names))",
-        "return len(crashed_near_restart.difference(names))",
+        "return len(crashed_near_restart.union(unobserved).difference(endpoint_ids))",
+        "return len(crashed_near_restart.difference(endpoint_ids))",
         SERIES,
     ),
     Mutation(
--- a/flamingofront/decisions/admission.py
+++ b/flamingofront/decisions/admission.py
@@ -1,7 +1,7 @@
 """Admission control: concurrency limits, fair queueing and early rejection.
 
 A request is admitted immediately, queued for a bounded time, or rejected immediately with an
-accurate ``Retry-After``. No response is delayed to slow callers down.
+accurate ``Retry-After``. Responses are never delayed in order to slow callers down.
 """
 
 import heapq
@@ -170,7 +170,7 @@
 
 
 class _BaseAdmission(AdmissionPolicy):
-    """Counts, the completion rate and the retry time, common to both policies."""
+    """Base of both policies, with the request counts, completion rate and retry time."""
 
     def __init__(self, rng: random.Random, slots: float):
         self._rng = rng
@@ -314,9 +314,9 @@
         name = ticket.share.name
         self._waiting += sign
         self._waiting_cost = max(0.0, self._waiting_cost + sign * ticket.cost)
-        left = self._waiting_by_workspace.get(name, 0.0) + sign * ticket.cost
-        if left > 1e-9:
-            self._waiting_by_workspace[name] = left
+        remaining = self._waiting_by_workspace.get(name, 0.0) + sign * ticket.cost
+        if remaining > 1e-9:
+            self._waiting_by_workspace[name] = remaining
         else:
             self._waiting_by_workspace.pop(name, None)
 
@@ -353,9 +353,9 @@
             self._rate.add(ticket.cost, now)
         else:
             self._update_waiting(ticket, -1)
-        left = self._in_flight.get(ticket.share.name, 0) - 1
-        if left > 0:
-            self._in_flight[ticket.share.name] = left
+        remaining = self._in_flight.get(ticket.share.name, 0) - 1
+        if remaining > 0:
+            self._in_flight[ticket.share.name] = remaining
         else:
             self._in_flight.pop(ticket.share.name, None)
 
--- a/flamingofront/decisions/choice.py
+++ b/flamingofront/decisions/choice.py
@@ -264,9 +264,9 @@
         if len(available) <= self._sample:
             return available
         picked = rng.sample(available, self._sample)
-        warmest = max(available, key=lambda each: each.cached_tokens)
-        if warmest.cached_tokens and warmest not in picked:
-            picked.append(warmest)
+        best_cached = max(available, key=lambda each: each.cached_tokens)
+        if best_cached.cached_tokens and best_cached not in picked:
+            picked.append(best_cached)
         return picked
 
     def score(self, each: Candidate, work: WorkEstimate) -> float:
--- a/flamingofront/decisions/quarantine.py
+++ b/flamingofront/decisions/quarantine.py
@@ -49,19 +49,20 @@
 # Crashes after which a request is quarantined. Nine crashes within 1.3 s lose a whole fleet, and an
 # innocent retried stream was present at two crashes of a poison request in 50 observed cases.
 CRASHES_TO_QUARANTINE = 3
-# Sufficient even if quarantined requests explain some of the crashes: two poison requests may have
-# run on the same endpoints, and the one confirmed first must not hide the other.
+# Crashes that are sufficient even if quarantined requests explain some of them: two poison requests
+# may have run on the same endpoints, and the one confirmed first must not hide the other.
 MIXED_CRASHES_TO_QUARANTINE = CRASHES_TO_QUARANTINE + 1
-# Sufficient if no other request was present at all of the crashes.
+# Crashes that are sufficient if no other request was present at every one of them.
 LONE_CRASHES_TO_QUARANTINE = 2
 # Crashes of one request at which its evidence is stored immediately, so that one more crash is
 # enough after all processes restart. A single crash is stored if the request is not cleared within
 # `PROPAGATION_SECONDS`.
 CRASHES_TO_PERSIST = 2
-# Time in which gossip about requests at other processes arrives, also through relays.
+# Time after a crash until gossip has arrived, also through relays, about the requests that other
+# processes had on the endpoint.
 PROPAGATION_SECONDS = 1.0
-# Reports within this time describe the same crash: processes have different clocks, and an endpoint
-# takes longer than this to restart.
+# Reports on an endpoint within this time describe one crash: processes have different clocks, and
+# an endpoint takes longer than this to restart.
 SAME_CRASH_SECONDS = 3.0
 # Crashes with a common cause, such as a power loss in a zone, occur within this time.
 COMMON_CAUSE_SECONDS = 0.2
@@ -75,8 +76,8 @@
 MAX_CRASHES = 512
 MAX_ENTRIES = 1024
 MAX_RELEASES = 1024
-# How long and how much new evidence is gossiped: a report to 16 peers must stay small enough to be
-# sent to all of them at once.
+# Time for which new evidence is gossiped, and the maximum number of requests and entries in one
+# message: a report to 16 peers must stay small enough to be sent to all of them at once.
 GOSSIP_SECONDS = 3.0
 MAX_GOSSIPED_REQUESTS = 96
 MAX_GOSSIPED_ENTRIES = 48
@@ -84,6 +85,8 @@
 
 @dataclass(eq=False)
 class _Crash:
+    """Crash of an endpoint, with the requests that were running on it."""
+
     endpoint_id: str
     zone: str
     at: float
@@ -239,6 +242,7 @@
         return count
 
     def _count_cluster_causes(self, fingerprint: str, cluster: list[_Crash]) -> int:
+        """Count the causes of simultaneous crashes of one zone; 1 if the request missed any."""
         if len(cluster) == 1:
             return 1
         first, last = cluster[0].at - COMMON_CAUSE_SECONDS, cluster[-1].at + COMMON_CAUSE_SECONDS
@@ -271,12 +275,13 @@
         return others == {fingerprint} and not any(each.omitted for each in crashes)
 
     def _has_only_unanswered_sends(self, fingerprint: str) -> bool:
-        """Return True if enough sends got no response and there were unobserved crashes before.
+        """Return True if enough sends got no response and earlier crashes were unobserved.
 
         Notes
         -----
         A process killed just after it recorded a send may not have sent the request, so that the
-        endpoint is still running. Of three sends recorded 0.03 s before a kill, one was not sent.
+        endpoint is still running. In each run, one of three sends recorded 0.03 s before a kill had
+        not been sent.
         """
         intents = self._intents.get(fingerprint, NO_INTENTS)
         return intents.sends >= CRASHES_TO_QUARANTINE and bool(intents.unobserved)
@@ -312,8 +317,9 @@
 
         Notes
         -----
-        Requests with the most crashes are quarantined first, which explains these crashes for the
-        requests beside them. Requests with equally many crashes are quarantined together.
+        Requests with the most crashes are quarantined first, so that these crashes are explained
+        and no longer count against the requests that ran beside them. Requests with equally many
+        crashes are quarantined together.
         """
         found: list[QuarantineEntry] = []
         while confirmed := self._find_confirmed(now):
@@ -337,16 +343,18 @@
     def _create_entry(self, fingerprint: str, restarts: Sequence[float]) -> QuarantineEntry:
         crashes = self._suspects[fingerprint]
         since = max(each.at for each in crashes)
-        names = tuple(dict.fromkeys(each.endpoint_id for each in crashes))
-        entry = QuarantineEntry(fingerprint, names, since, next_trial=since + TRIAL_SECONDS[0])
+        endpoint_ids = tuple(dict.fromkeys(each.endpoint_id for each in crashes))
+        entry = QuarantineEntry(
+            fingerprint, endpoint_ids, since, next_trial=since + TRIAL_SECONDS[0]
+        )
         # Every crash or unanswered send beyond the third one uses up a trial.
         intents = self._intents.get(fingerprint, NO_INTENTS)
-        unobserved = self._count_unobserved_crashes(intents.unobserved, names, restarts)
-        used_trials = max(len(names), intents.sends) + unobserved - CRASHES_TO_QUARANTINE
+        unobserved = self._count_unobserved_crashes(intents.unobserved, endpoint_ids, restarts)
+        used_trials = max(len(endpoint_ids), intents.sends) + unobserved - CRASHES_TO_QUARANTINE
         return entry.with_trials(used_trials) if used_trials > 0 else entry
 
     def _count_unobserved_crashes(
-        self, unobserved: frozenset[str], names: tuple[str, ...], restarts: Sequence[float]
+        self, unobserved: frozenset[str], endpoint_ids: tuple[str, ...], restarts: Sequence[float]
     ) -> int:
         """Count further endpoints whose unattributed crashes the request may have caused."""
         crashes = [
@@ -356,7 +364,7 @@
         crashed_near_restart = {
             endpoint_id for endpoint_id, at in crashes if is_near_restart(at, restarts)
         }
-        return len(crashed_near_restart.union(unobserved).difference(names))
+        return len(crashed_near_restart.union(unobserved).difference(endpoint_ids))
 
     def _store_entry(self, entry: QuarantineEntry) -> None:
         self._entries[entry.fingerprint] = entry
@@ -457,7 +465,7 @@
             key=lambda each: (-len(self._suspects[each]), each),
         )
         included = frozenset(ranked[:MAX_GOSSIPED_REQUESTS])
-        return tuple(_to_message(each, included) for each in crashes)
+        return tuple(_build_crash_message(each, included) for each in crashes)
 
     def merge_update(self, update: QuarantineUpdate, now: float) -> bool:
         """Merge a gossip message from a peer; return True if it changed anything."""
@@ -469,17 +477,17 @@
 
 def is_near_restart(at: float, restarts: Sequence[float]) -> bool:
     """Return True if a restart close to a time may have lost the evidence of that time."""
-    return any(abs(at - began) <= RESTART_SECONDS for began in restarts)
+    return any(abs(at - started_at) <= RESTART_SECONDS for started_at in restarts)
 
 
-def _to_message(crash: _Crash, included: frozenset[str]) -> EndpointCrash:
+def _build_crash_message(crash: _Crash, included: frozenset[str]) -> EndpointCrash:
     requests = tuple(sorted(crash.requests & included))
     omitted = max(crash.omitted, len(crash.requests) - len(requests))
     return EndpointCrash(crash.endpoint_id, crash.zone, crash.at, requests, omitted)
 
 
 def _group_by_time(crashes: Iterable[_Crash]) -> list[list[_Crash]]:
-    """Group the crashes of one zone, sorted by time, by moments of simultaneous crashes."""
+    """Group the crashes of one zone, sorted by time, into clusters of simultaneous crashes."""
     found: list[list[_Crash]] = []
     for crash in crashes:
         if found and crash.at - found[-1][-1].at <= COMMON_CAUSE_SECONDS:
--- a/flamingofront/decisions/quota.py
+++ b/flamingofront/decisions/quota.py
@@ -34,9 +34,9 @@
 
 __all__ = ["QuotaPolicy", "QuotaLimits", "QuotaState", "SharedQuota", "UnlimitedQuota"]
 
-# Fraction of the allowance that is added to the burst, so that bursts within the quota are not
-# rejected. The rest covers large requests and late reports around a simultaneous restart of all
-# processes, which then do not know what was consumed.
+# Fraction of the allowance, by which a quota may be exceeded, that is added to the burst so that
+# bursts within the quota are not rejected. The rest covers large requests and late reports around
+# a simultaneous restart of all processes, which then do not know what was consumed.
 USED_ALLOWANCE_FRACTION = 0.3
 # Time over which the current rate of a workspace is measured: four report intervals.
 RATE_SECONDS = 1.0
@@ -49,7 +49,7 @@
 INITIAL_LEVEL_FRACTION = 0.25
 # Maximum level, as a fraction of the burst, with which a process becomes the only arbiter.
 ARBITER_LEVEL_FRACTION = 0.1
-# The lag is a mean; some reports are older by half.
+# Age of the oldest reports relative to the lag, which is a mean age.
 MAX_LAG_FACTOR = 1.5
 # Lower bound of the live share, used as a divisor when no peer is live.
 MIN_LIVE_SHARE = 0.001
@@ -63,8 +63,8 @@
 INITIAL_RESERVE_FACTOR = 2.0
 # Processes that may act as arbiter at the same time while the choice of the arbiter changes.
 CONCURRENT_ARBITERS = 2
-# The share of one side of a partition is not renewed within this time, by which the sides have
-# detected the partition.
+# Time within which all sides of a partition detect it. Until then the share of one side is not
+# renewed.
 PARTITION_DETECTION_SECONDS = 2.0
 # Time after which an unresponsive process is detected.
 SILENCE_DETECTION_SECONDS = 1.6
@@ -237,7 +237,12 @@
     # Decisions as arbiter
 
     def start_as_arbiter(self, workspace: ForwardedWorkspace, now: float) -> None:
-        """Lower the bucket level at the start as arbiter: grants of others may be unreported."""
+        """Lower the bucket level when this process becomes the only arbiter.
+
+        Notes
+        -----
+        Grants by earlier arbiters may not have been reported yet.
+        """
         bucket = self._update_bucket(workspace, now)
         bucket.level = min(bucket.level, ARBITER_LEVEL_FRACTION * workspace.burst)
 
--- a/flamingofront/decisions/rollout.py
+++ b/flamingofront/decisions/rollout.py
@@ -28,14 +28,15 @@
     "is_worse",
 ]
 
-# Used fraction of the share that a bad version may get: requests arrive unevenly, retries reach it
-# in addition to the counted requests, and the rollout may be received late.
+# Fraction of the permitted share of a bad version that is used, as a safety margin: requests arrive
+# unevenly, retries reach the version in addition to the counted requests, and a process may learn
+# of the rollout late.
 EXPOSED_FRACTION = 0.4
-# Minimum number of bad responses of a bad version; their share must also exceed twice the share of
-# the old version plus this margin.
+# Minimum number of bad responses for a version to count as bad. Their share must also exceed twice
+# the share of the old version plus the margin.
 MIN_BAD_RESPONSES = 6
 BAD_MARGIN = 0.10
-# Requests after which a version can be accepted early, and the minimum after a longer time.
+# Requests after which a version can be accepted early, and the minimum for accepting it later.
 SUFFICIENT_REQUESTS = 80
 MIN_REQUESTS = 20
 # Fraction of the rollout time for which a version is observed, with sufficient requests and with
@@ -164,11 +165,11 @@
     if phase is Phase.ORDERED:
         return Phase.RUNNING
     if phase is Phase.RUNNING:
-        return Phase.MOVING if _is_confirmed(order, evidence) else phase
+        return Phase.MOVING if _is_accepted(order, evidence) else phase
     return Phase.COMPLETED if evidence.clear >= IDLE_SECONDS else phase
 
 
-def _is_confirmed(order: RolloutSpec, evidence: RolloutEvidence) -> bool:
+def _is_accepted(order: RolloutSpec, evidence: RolloutEvidence) -> bool:
     """Return True if a version has had enough requests and observation time."""
     latest = order.seconds - DRAIN_SECONDS
     min_age = min(MIN_OBSERVATION_FRACTION * order.seconds, latest)
@@ -212,5 +213,5 @@
             for name, fact in facts.items()
             if name not in new and name not in blocked_facts
         }
-        is_return = bool(blocked_facts) and not old
-        return new if new and (self.exposed or is_return) else old
+        is_only_choice = bool(blocked_facts) and not old
+        return new if new and (self.exposed or is_only_choice) else old
