--- a/flamingofront/decisions/demand.py
+++ b/flamingofront/decisions/demand.py
@@ -14,7 +14,7 @@
 # Time constants of the two averages. A burst lasts one to three seconds, a wave 40.
 FAST_SECONDS = 2.0
 SLOW_SECONDS = 8.0
-# Minimum observed time of an average; longer than the start of a burst at one process.
+# Minimum time over which an average is taken: longer than a burst takes to begin at one process.
 MIN_OBSERVED_SECONDS = 1.5
 
 
--- a/flamingofront/decisions/fleet_plan.py
+++ b/flamingofront/decisions/fleet_plan.py
@@ -93,7 +93,7 @@
         The same for on-demand endpoints, which cost several times as much.
     survivor_utilization : float
         Maximum utilization of the remaining endpoints while replacements start. At 0.95 of 16
-        endpoints, 46 in 100 requests within four seconds were late.
+        endpoints, 46 in 100 requests of a period of four seconds were late.
     slot_utilization : float
         Maximum fraction of the slots in use.
     initial_per_zone : int
@@ -120,43 +120,46 @@
         """Return the target number of endpoints; cheaper zones are filled first."""
         zones = sorted(limits.zone_prices, key=lambda zone: (limits.zone_prices[zone], zone))
         need = self._compute_requirement(demand)
-        least = {
+        minimums = {
             zone: self._get_minimum(limits, demand, state.found.get(zone, 0)) for zone in zones
         }
         plans = (
             self._add_on_demand(reclaimable, zones, limits, need, state)
-            for reclaimable in self._generate_reclaimable_counts(zones, limits, least, state)
+            for reclaimable in self._generate_reclaimable_counts(zones, limits, minimums, state)
         )
-        return min(plans, key=lambda plan: self._sort_key(plan, limits, need, state))
+        return min(plans, key=lambda plan: self._compute_sort_key(plan, limits, need, state))
 
     def _compute_requirement(self, demand: Demand) -> _Requirement:
         peak = max(demand.work.fast, demand.work.slow)
         slots_in_use = demand.in_flight / demand.slots
         on_demand = _round_up(
-            _with_spare(peak, self.on_demand_spare), slots_in_use / self.slot_utilization
+            _add_spare(peak, self.on_demand_spare), slots_in_use / self.slot_utilization
         )
         return _Requirement(
-            steady=max(on_demand, _round_up(_with_spare(demand.work.slow, self.spare))),
+            steady=max(on_demand, _round_up(_add_spare(demand.work.slow, self.spare))),
             on_demand=on_demand,
             surviving=_round_up(peak / self.survivor_utilization, slots_in_use),
         )
 
     def _get_minimum(self, limits: ScalingLimits, demand: Demand, found: int) -> int:
         """Return the minimum number of endpoints of a zone."""
-        least = max(1, limits.least)
+        minimum = max(1, limits.least)
         if demand.known:
-            return least
+            return minimum
         return min(
-            limits.most, max(least, self.initial_per_zone, math.ceil(found * self.initial_fraction))
+            limits.most,
+            max(minimum, self.initial_per_zone, math.ceil(found * self.initial_fraction)),
         )
 
     @staticmethod
     def _generate_reclaimable_counts(
-        zones: list[str], limits: ScalingLimits, least: Counts, state: FleetState
+        zones: list[str], limits: ScalingLimits, minimums: Counts, state: FleetState
     ) -> Iterator[dict[str, int]]:
         """Yield increasing numbers of reclaimable endpoints; exhausted zones keep theirs."""
         counts = {
-            zone: state.reclaimable.get(zone, 0) if zone in state.exhausted_zones else least[zone]
+            zone: (
+                state.reclaimable.get(zone, 0) if zone in state.exhausted_zones else minimums[zone]
+            )
             for zone in zones
         }
         yield dict(counts)
@@ -186,9 +189,9 @@
         missing = cls._count_missing(reclaimable, need, state) - sum(on_demand.values())
         for zone in zones:
             free_places = limits.most - reclaimable[zone] - on_demand[zone]
-            more = max(0, min(missing, free_places))
-            on_demand[zone] += more
-            missing -= more
+            added = max(0, min(missing, free_places))
+            on_demand[zone] += added
+            missing -= added
         return FleetCounts(reclaimable, on_demand)
 
     @staticmethod
@@ -208,7 +211,7 @@
         return max(0, steady - total, need.surviving - survivors, uncovered)
 
     @classmethod
-    def _sort_key(
+    def _compute_sort_key(
         cls, plan: FleetCounts, limits: ScalingLimits, need: _Requirement, state: FleetState
     ) -> tuple[int, float]:
         """Return the sort key of a plan: the endpoints that it lacks, then its price."""
@@ -226,6 +229,6 @@
     return max(1, *(math.ceil(each) for each in endpoints))
 
 
-def _with_spare(work: float, spare: float) -> float:
+def _add_spare(work: float, spare: float) -> float:
     """Return a number of busy endpoints plus spare ones in proportion to its square root."""
     return work + spare * math.sqrt(work)
--- a/flamingofront/decisions/quota_ledger.py
+++ b/flamingofront/decisions/quota_ledger.py
@@ -126,7 +126,7 @@
         self._granted.append([now, units])
 
     def settle(self, units: float, now: float) -> float:
-        """Remove granted units up to the reported ones, and return how many were covered."""
+        """Remove reported units from the grants and return how many of them were granted."""
         while self._granted and self._granted[0][0] < now - GRANT_EXPIRY_SECONDS:
             self._granted.popleft()
         covered = 0.0
--- a/flamingofront/decisions/retry.py
+++ b/flamingofront/decisions/retry.py
@@ -92,9 +92,11 @@
 
 @dataclass
 class _Health:
+    """Consecutive failures and ejections of one endpoint."""
+
     failures: int = 0
     ejections: int = 0
-    until: float = -math.inf
+    ejected_until: float = -math.inf
 
 
 class EndpointHealth:
@@ -123,7 +125,7 @@
         if health.failures < limit:
             return False
         seconds = min(MAX_EJECTION_SECONDS, FIRST_EJECTION_SECONDS * 2**health.ejections)
-        health.until = now + seconds * (0.75 + 0.5 * self._rng.random())
+        health.ejected_until = now + seconds * (0.75 + 0.5 * self._rng.random())
         health.ejections += 1
         health.failures = 0
         return True
@@ -140,9 +142,9 @@
         If more endpoints are failing, those whose ejection ends first are left out.
         """
         ejected = [
-            (health.until, each)
+            (health.ejected_until, each)
             for each, health in self._health.items()
-            if health.until > now and each in endpoint_ids
+            if health.ejected_until > now and each in endpoint_ids
         ]
         max_ejected = int(len(endpoint_ids) * MAX_EJECTED_FRACTION)
         ejected.sort(reverse=True)
--- a/flamingofront/decisions/send_intents.py
+++ b/flamingofront/decisions/send_intents.py
@@ -22,7 +22,7 @@
 
 __all__ = ["UNANSWERED_WAIT_SECONDS", "IntentPolicy", "IntentRecord", "SendIntent"]
 
-# Unanswered sends of one request from which the next one waits for their outcome.
+# Number of unanswered sends of one request at which a further send waits for their outcome.
 MAX_UNANSWERED = CRASHES_TO_QUARANTINE
 # Delay of such a request: endpoints crashed 40 to 180 ms after a poison request arrived.
 UNANSWERED_WAIT_SECONDS = 0.2
@@ -31,9 +31,9 @@
 # Recording time after a start that may have followed a kill: until endpoints that crashed together
 # with the previous incarnation have been detected.
 STARTUP_SECONDS = 0.6
-# Requests remembered as having got a response.
+# Maximum number of requests that are remembered because an endpoint has responded to them.
 MAX_RESPONDED = 4096
-# Sends and unobserved crashes listed in one record.
+# Maximum number of sends and of unobserved crashes in one record.
 MAX_SENDS = 8
 MAX_UNOBSERVED_CRASHES = 16
 
@@ -83,9 +83,9 @@
 
     def with_unobserved(self, endpoint_ids: frozenset[str]) -> "IntentRecord":
         """Return the record with further endpoints that had an unobserved crash."""
-        own = {each.endpoint_id for each in self.sends}
+        sent_to = {each.endpoint_id for each in self.sends}
         unobserved = dict.fromkeys((*self.unobserved, *sorted(endpoint_ids)))
-        names = tuple(each for each in unobserved if each not in own)
+        names = tuple(each for each in unobserved if each not in sent_to)
         return replace(self, unobserved=names[-MAX_UNOBSERVED_CRASHES:])
 
 
--- a/flamingofront/decisions/shares.py
+++ b/flamingofront/decisions/shares.py
@@ -24,10 +24,11 @@
 ]
 
 # Preferred endpoints per process. In a simulation of 90 processes and 24 or 30 engines at about
-# half of their prefill capacity, two endpoints with exact load left no request late; two of all
-# endpoints with reports 0.2 to 0.5 s old left 0.5 to 2 in 100 late.
+# half of their prefill capacity, no request was late if each process chose between two endpoints
+# whose load it knew exactly; with two random endpoints and reports 0.2 to 0.5 s old, 0.5 to 2 in
+# 100 requests were late.
 PREFERRED_ENDPOINTS = 2
-# Time for which a notified prompt counts; later it is included in the digests.
+# Time for which a prompt reported by another process is counted; after it, digests include it.
 REMOTE_PROMPT_SECONDS = 0.3
 
 
--- a/flamingofront/decisions/stopping.py
+++ b/flamingofront/decisions/stopping.py
@@ -18,7 +18,7 @@
 MIN_STREAMS = 20
 # Minimum size, as a fraction of a stream's tokens, of the streams used to estimate its duration.
 SIMILAR_SIZE_FRACTION = 0.25
-# The slowest stream in this many is ignored: it lost its endpoint or waited for one.
+# One stream in this many, the slowest, is ignored: it lost its endpoint or waited for one.
 STREAMS_PER_OUTLIER = 100
 # The next stream may be slower than all observed ones by this factor.
 SAFETY_FACTOR = 1.25
--- a/flamingofront/decisions/tests/test_admission.py
+++ b/flamingofront/decisions/tests/test_admission.py
@@ -233,7 +233,7 @@
 
 class TestPrefixes:
     @given(st.lists(st.tuples(st.sampled_from("abc"), st.integers(0, 6), st.booleans())))
-    def test_warmest_endpoint_matches_linear_scan(self, steps):
+    def test_longest_prefix_holders_match_linear_scan(self, steps):
         hashes = block_hashes([str(n) for n in range(16 * 6)])
         index = PrefixIndex(max_blocks=4)
         for endpoint, count, store in steps:
--- a/flamingofront/decisions/tests/test_quarantine.py
+++ b/flamingofront/decisions/tests/test_quarantine.py
@@ -219,11 +219,11 @@
         (entry,) = case.quarantine.evaluate(case.now, restarts)
         return entry
 
-    @pytest.mark.parametrize(("unseen", "trials"), [(0, 0), (1, 1), (2, 2), (3, 3), (9, 3)])
-    def test_each_unobserved_crash_near_restart_uses_a_trial(self, unseen, trials):
+    @pytest.mark.parametrize(("unobserved", "trials"), [(0, 0), (1, 1), (2, 2), (3, 3), (9, 3)])
+    def test_each_unobserved_crash_near_restart_uses_a_trial(self, unobserved, trials):
         case = Case()
         restart = case.now
-        for number in range(unseen):
+        for number in range(unobserved):
             case.quarantine.add_unobserved_crash(f"unseen-{number}", case.now + 3.0)
         for _ in range(3):
             case.crash("bad")
--- a/flamingofront/decisions/tests/test_quota.py
+++ b/flamingofront/decisions/tests/test_quota.py
@@ -63,16 +63,17 @@
         if now - reported_at >= lag:
             reported_at = now
             for group in groups:
-                for one in group:
-                    for other in group:
-                        if one != other:
-                            quotas[one].merge_consumed(
-                                f"{other}/{starts}", quotas[other].get_consumed(), True, now
+                for receiver in group:
+                    for sender in group:
+                        if receiver != sender:
+                            quotas[receiver].merge_consumed(
+                                f"{sender}/{starts}", quotas[sender].get_consumed(), True, now
                             )
     return admitted
 
 
 def max_in_window(times, window=8.0):
+    """Return the maximum number of times within one window."""
     best, start = 0, 0
     for end, time in enumerate(times):
         while times[start] < time - window:
@@ -307,15 +308,15 @@
     """
 
     MEMBERS = 24
-    REQUEST = 8_000.0
+    UNITS_PER_REQUEST = 8_000.0
     WORKSPACE = ForwardedWorkspace("hot", ("k",), rate=250e3, burst=500e3, counts_tokens=True)
     LIMITS = QuotaLimits(8.0, 0.1, 140e3)
-    STEP = 0.005
+    STEP_SECONDS = 0.005
 
     def __init__(self, factor, lag, seed):
         self.rng = random.Random(seed)
         self.lag = lag
-        self.arrivals = factor * self.WORKSPACE.rate / self.REQUEST * self.STEP
+        self.arrivals = factor * self.WORKSPACE.rate / self.UNITS_PER_REQUEST * self.STEP_SECONDS
         self.live_share = 1.0
         self.starts = 0
         self.admitted = []
@@ -335,7 +336,7 @@
         self.start(0.0)
         report_at, now = 0.0, 0.0
         while now < seconds:
-            now += self.STEP
+            now += self.STEP_SECONDS
             if killed_at <= now < killed_at + downtime:
                 continue
             if now >= killed_at + downtime and self.starts == 1:
@@ -354,7 +355,9 @@
 
     def submit_requests(self, now):
         while self.rng.random() < self.arrivals / (1 + self.arrivals):
-            units = min(54_600, self.rng.lognormvariate(math.log(self.REQUEST) - 0.5, 1.0))
+            units = min(
+                54_600, self.rng.lognormvariate(math.log(self.UNITS_PER_REQUEST) - 0.5, 1.0)
+            )
             quota = self.rng.choice(self.quotas)
             self.requested += units
             if quota.get_wait(self.WORKSPACE, units, now) == 0:
--- a/flamingofront/decisions/zone_reach.py
+++ b/flamingofront/decisions/zone_reach.py
@@ -6,8 +6,8 @@
 and all entry processes of the zone, which report several times per second, are unresponsive.
 Unresponsive processes alone are not sufficient, since all processes of a zone may be killed while
 its endpoints are serving. An endpoint that has just sent data overrides all other evidence. A
-decision is valid for two seconds, then the zone is tried again. The zone of this process is never
-evaluated by its peers.
+decision is valid for two seconds, then the zone is tried again. Unresponsive processes are no
+evidence against the zone of this process itself.
 """
 
 from collections.abc import Collection
@@ -54,10 +54,10 @@
         """Return True if a zone appears to be partitioned from this process."""
         if now - self._responses.get(zone, -RESPONSE_RECENT_SECONDS) < RESPONSE_RECENT_SECONDS:
             return False
-        needed = MIN_FAILED_ENDPOINTS
+        min_failures = MIN_FAILED_ENDPOINTS
         if zone in self._unresponsive_zones:
             if now - self._pending.get(zone, -PARTITION_SECONDS) < PARTITION_SECONDS:
                 return True
-            needed = 1
+            min_failures = 1
         times = self._connect_failures.get(zone, {})
-        return sum(now - each <= PARTITION_SECONDS for each in times.values()) >= needed
+        return sum(now - each <= PARTITION_SECONDS for each in times.values()) >= min_failures
