--- a/flamingofront/decisions/fleet_plan.py
+++ b/flamingofront/decisions/fleet_plan.py
@@ -155,7 +155,7 @@
     def _generate_reclaimable_counts(
         zones: list[str], limits: ScalingLimits, minimums: Counts, state: FleetState
     ) -> Iterator[dict[str, int]]:
-        """Yield increasing numbers of reclaimable endpoints; exhausted zones keep theirs."""
+        """Yield growing, evenly spread reclaimable counts; exhausted zones keep theirs."""
         counts = {
             zone: (
                 state.reclaimable.get(zone, 0) if zone in state.exhausted_zones else minimums[zone]
--- a/flamingofront/decisions/tests/test_admission.py
+++ b/flamingofront/decisions/tests/test_admission.py
@@ -25,6 +25,7 @@
 
 
 def start_all(admission, now=0.0):
+    """Start requests until none may start, and return them."""
     found = []
     while (each := admission.start_next(now)) is not None:
         found.append(each)
@@ -115,9 +116,9 @@
         world.run(0.5)
         waiting = world.complete("entry-a1", "late", 10)
         assert not waiting.done
-        took = world.run_until(lambda: waiting.done)
+        wait_seconds = world.run_until(lambda: waiting.done)
         assert waiting.error["kind"] == "overloaded"
-        assert took < 1.6
+        assert wait_seconds < 1.6
         assert all(not each.done for each in running)
 
     def test_workspace_limit_holds_over_all_entry_vms(self):
@@ -138,7 +139,7 @@
     @given(st.integers(4, 500), st.lists(st.integers(0, 100), min_size=2, max_size=8))
     def test_shares_sum_to_at_most_the_limit(self, limit, demands):
         members = len(demands)
-        parts = [
+        shares = [
             compute_limit_share(
                 limit,
                 demand,
@@ -148,13 +149,13 @@
             )
             for i, demand in enumerate(demands)
         ]
-        assert sum(parts) <= max(limit, members)
+        assert sum(shares) <= max(limit, members)
 
     @given(st.integers(8, 500), st.integers(2, 8))
     def test_limit_holds_over_both_sides_of_partition(self, limit, members):
-        left = members // 2
+        first_side = members // 2
         total = 0
-        for size in (left, members - left):
+        for size in (first_side, members - first_side):
             live_demands = {str(index): 50.0 for index in range(size - 1)}
             total += size * compute_limit_share(limit, 50.0, live_demands, members, members - size)
         assert total <= max(limit, members)
--- a/flamingofront/decisions/tests/test_engine_rates.py
+++ b/flamingofront/decisions/tests/test_engine_rates.py
@@ -17,7 +17,7 @@
         rates.record_first_event(tokens, (base + token_seconds * tokens) * rng.gauss(1.0, noise))
 
 
-class TestReading:
+class TestPrefillRate:
     @pytest.mark.parametrize("token_seconds", [2e-6, 9e-6, 2e-5, 1e-4])
     @pytest.mark.parametrize("seed", range(3))
     def test_any_prefill_rate_is_learned_from_sixty_responses(self, token_seconds, seed):
@@ -81,12 +81,12 @@
         work = WorkEstimate(1000, zone="zone-a", rates=rates)
         return BacklogChoice().choose([self.near, self.far], work, random.Random(1)).endpoint_id
 
-    def test_backlog_of_fast_engine_outweighs_remote_zone_only_if_slow(self):
+    def test_backlog_outweighs_remote_zone_only_if_engine_is_slow(self):
         assert self.choose(1e-6) == "near"
         assert self.choose(2e-5) == "far"
 
 
-class TestWork:
+class TestOfferedLoad:
     def test_both_averages_match_offered_load(self):
         meter, now = LoadMeter(), 0.0
         for _ in range(400):
--- a/flamingofront/decisions/tests/test_lateness.py
+++ b/flamingofront/decisions/tests/test_lateness.py
@@ -19,8 +19,8 @@
 from flamingofront.request.forward_work import AttemptFacts, ForwardWork
 from flamingofront.tests.forwarding_world import ready_world
 
-OBJECTIVE = 0.4
-DEADLINE = 6.0
+OBJECTIVE_SECONDS = 0.4
+DEADLINE_SECONDS = 6.0
 
 
 class TestUrgency:
@@ -45,36 +45,48 @@
 
 
 class TestYieldDelay:
-    late = LatencyEstimate(2.0, OBJECTIVE)
+    late = LatencyEstimate(2.0, OBJECTIVE_SECONDS)
 
     def test_late_request_yields_to_queued_prompts(self):
-        assert compute_yield_delay(self.late, 1.0, 0.0, DEADLINE) > 0
+        assert compute_yield_delay(self.late, 1.0, 0.0, DEADLINE_SECONDS) > 0
 
     def test_late_request_is_sent_to_idle_engine(self):
-        assert compute_yield_delay(self.late, IDLE_BACKLOG_SECONDS, 0.0, DEADLINE) == 0
+        assert compute_yield_delay(self.late, IDLE_BACKLOG_SECONDS, 0.0, DEADLINE_SECONDS) == 0
 
     def test_request_in_time_is_sent_at_once(self):
-        assert compute_yield_delay(LatencyEstimate(0.3, OBJECTIVE), 0.25, 0.0, DEADLINE) == 0
+        assert (
+            compute_yield_delay(
+                LatencyEstimate(0.3, OBJECTIVE_SECONDS), 0.25, 0.0, DEADLINE_SECONDS
+            )
+            == 0
+        )
 
     def test_resumed_stream_never_yields(self):
-        assert compute_yield_delay(LatencyEstimate(2.0, -1.0, True), 1.0, 0.0, DEADLINE) == 0
+        assert (
+            compute_yield_delay(LatencyEstimate(2.0, -1.0, True), 1.0, 0.0, DEADLINE_SECONDS) == 0
+        )
 
     def test_late_request_is_sent_before_its_deadline(self):
-        assert compute_yield_delay(self.late, 1.0, MAX_YIELD_FRACTION * DEADLINE, DEADLINE) == 0
+        assert (
+            compute_yield_delay(
+                self.late, 1.0, MAX_YIELD_FRACTION * DEADLINE_SECONDS, DEADLINE_SECONDS
+            )
+            == 0
+        )
 
 
 @dataclass
 class Served:
-    """Arrival time of a request and time of its first event."""
+    """Time of arrival of a request and time of its first event, in seconds."""
 
-    arrived: float
-    first: float
+    arrived_at: float
+    first_event_at: float
 
 
 class PrefillQueue:
     """Simulated engines that prefill prompts one after another, on a virtual clock."""
 
-    BASE = 0.02
+    BASE_SECONDS = 0.02
     TOKEN_SECONDS = 1e-5
 
     def __init__(self, engines, yields, seed):
@@ -85,26 +97,28 @@
     def simulate(self, arrivals):
         """Return the served requests of arrivals, which are pairs of time and tokens."""
         order = itertools.count()
-        checks = [(time, next(order), time, tokens) for time, tokens in arrivals]
-        heapq.heapify(checks)
+        pending = [(time, next(order), time, tokens) for time, tokens in arrivals]
+        heapq.heapify(pending)
         served = []
-        while checks:
-            now, _, arrived, tokens = heapq.heappop(checks)
+        while pending:
+            now, _, arrived_at, tokens = heapq.heappop(pending)
             engine = min(range(len(self._free_at)), key=lambda each: self._free_at[each])
             ahead = max(0.0, self._free_at[engine] - now)
-            reading = tokens * self.TOKEN_SECONDS
-            expected = LatencyEstimate(self.BASE + ahead + reading, OBJECTIVE - (now - arrived))
-            wait = compute_yield_delay(expected, ahead, now - arrived, DEADLINE)
+            prefill_seconds = tokens * self.TOKEN_SECONDS
+            expected = LatencyEstimate(
+                self.BASE_SECONDS + ahead + prefill_seconds, OBJECTIVE_SECONDS - (now - arrived_at)
+            )
+            wait = compute_yield_delay(expected, ahead, now - arrived_at, DEADLINE_SECONDS)
             if wait > 0 and self._yields:
                 later = now + wait * (0.5 + self._rng.random())
-                heapq.heappush(checks, (later, next(order), arrived, tokens))
+                heapq.heappush(pending, (later, next(order), arrived_at, tokens))
                 continue
-            self._free_at[engine] = now + ahead + reading
-            served.append(Served(arrived, self.BASE + now + ahead + reading))
+            self._free_at[engine] = now + ahead + prefill_seconds
+            served.append(Served(arrived_at, self.BASE_SECONDS + now + ahead + prefill_seconds))
         return served
 
 
-def burst(rng, base_rate=15.0, factor=6.0, start=4.0, duration=4.0, end=20.0):
+def generate_burst(rng, base_rate=15.0, factor=6.0, start=4.0, duration=4.0, end=20.0):
     """Return arrivals at a base rate, and at a multiple of it during a burst."""
     now, found = 0.0, []
     while now < end:
@@ -118,19 +132,21 @@
     """Two engines with a base load of 0.3 and a burst of 1.8 of their prefill capacity."""
 
     def simulate(self, yields, seed):
-        served = PrefillQueue(2, yields, seed).simulate(burst(random.Random(seed)))
-        in_burst = [each for each in served if 4.0 <= each.arrived < 9.0]
-        in_time = sum(each.first - each.arrived <= OBJECTIVE for each in in_burst)
-        longest = max(each.first - each.arrived for each in served)
+        served = PrefillQueue(2, yields, seed).simulate(generate_burst(random.Random(seed)))
+        in_burst = [each for each in served if 4.0 <= each.arrived_at < 9.0]
+        in_time = sum(
+            each.first_event_at - each.arrived_at <= OBJECTIVE_SECONDS for each in in_burst
+        )
+        longest = max(each.first_event_at - each.arrived_at for each in served)
         return in_time / len(in_burst), longest, len(served)
 
     @pytest.mark.parametrize("seed", range(5))
     def test_yielding_serves_more_requests_in_time(self, seed):
-        naive, _, count = self.simulate(False, seed)
-        share, longest, served = self.simulate(True, seed)
-        assert share >= naive + 0.2
+        baseline, _, count = self.simulate(False, seed)
+        in_time_share, longest, served = self.simulate(True, seed)
+        assert in_time_share >= baseline + 0.2
         assert served == count
-        assert longest < DEADLINE
+        assert longest < DEADLINE_SECONDS
 
 
 class TestForwarding:
--- a/flamingofront/decisions/tests/test_quarantine.py
+++ b/flamingofront/decisions/tests/test_quarantine.py
@@ -24,10 +24,10 @@
     Release,
 )
 
-LATER = 100.0
+LATER_SECONDS = 100.0
 
 
-class Case:
+class QuarantineCase:
     """Quarantine that records crashes, by default one per second, each in another zone."""
 
     def __init__(self):
@@ -53,13 +53,13 @@
 
 class TestEvidence:
     def test_one_crash_only_makes_a_suspect(self):
-        case = Case()
+        case = QuarantineCase()
         case.crash("bad")
-        assert case.evaluate(LATER) == []
+        assert case.evaluate(LATER_SECONDS) == []
         assert case.get_status("bad") is QuarantineStatus.SUSPECTED
 
     def test_three_crashes_quarantine_at_once(self):
-        case = Case()
+        case = QuarantineCase()
         for _ in range(CRASHES_TO_QUARANTINE):
             case.crash("bad", f"beside-{case.count}", "often beside")
             if case.count == 1:
@@ -67,7 +67,7 @@
         assert set(case.evaluate()) == {"bad", "often beside"}
 
     def test_two_crashes_suffice_without_other_common_request(self):
-        case = Case()
+        case = QuarantineCase()
         case.crash("bad", "beside")
         case.crash("bad", "another")
         assert case.evaluate() == []
@@ -75,27 +75,27 @@
         assert case.get_status("bad") is QuarantineStatus.QUARANTINED
 
     def test_two_crashes_do_not_suffice_with_other_common_request(self):
-        case = Case()
+        case = QuarantineCase()
         case.crash("bad", "beside")
         case.crash("bad", "beside")
-        assert case.evaluate(LATER) == []
+        assert case.evaluate(LATER_SECONDS) == []
 
     def test_two_crashes_do_not_suffice_with_omitted_requests(self):
-        case = Case()
+        case = QuarantineCase()
         case.crash("bad")
         crash = EndpointCrash("e-x", "zone-x", case.now + 1, ("bad",), omitted=1)
         case.quarantine.record_crash(crash, case.now + 1)
-        assert case.evaluate(LATER) == []
+        assert case.evaluate(LATER_SECONDS) == []
 
     def test_crash_reported_by_several_processes_counts_once(self):
-        case = Case()
+        case = QuarantineCase()
         for offset in (0.0, 0.4, -0.3):
             crash = EndpointCrash("e-1", "zone-1", case.now + offset, ("bad",))
             case.quarantine.record_crash(crash, case.now + 1)
         assert len(case.quarantine.get_crashes("bad")) == 1
 
     def test_crashes_of_restarted_endpoint_count_separately(self):
-        case = Case()
+        case = QuarantineCase()
         for _ in range(CRASHES_TO_QUARANTINE):
             case.crash("bad", endpoint="e-same", zone="zone-1", after=5.0)
         assert case.evaluate() == ["bad"]
@@ -103,7 +103,7 @@
 
 class TestInnocentRequests:
     def test_quarantine_clears_requests_beside_it(self):
-        case = Case()
+        case = QuarantineCase()
         case.crash("bad", "beside")
         case.crash("bad", "beside")
         case.crash("bad")
@@ -111,7 +111,7 @@
         assert case.get_status("beside") is QuarantineStatus.CLEAR
 
     def test_request_with_most_crashes_explains_others(self):
-        case = Case()
+        case = QuarantineCase()
         for _ in range(CRASHES_TO_QUARANTINE):
             case.crash("bad", "beside")
         case.crash("bad")
@@ -119,21 +119,21 @@
         assert case.get_status("beside") is QuarantineStatus.CLEAR
 
     def test_simultaneous_crashes_in_zone_count_once_if_some_lack_the_request(self):
-        case = Case()
+        case = QuarantineCase()
         for number in range(4):
             requests = ("common",) if number else ("other",)
             case.crash(*requests, zone="zone-a", after=0.01)
-        assert case.evaluate(LATER) == []
+        assert case.evaluate(LATER_SECONDS) == []
         assert case.get_status("common") is QuarantineStatus.SUSPECTED
 
     def test_simultaneous_crashes_in_zone_count_each_if_all_have_the_request(self):
-        case = Case()
+        case = QuarantineCase()
         for _ in range(CRASHES_TO_QUARANTINE):
             case.crash("bad", f"beside-{case.count}", zone="zone-a", after=0.01)
         assert case.evaluate() == ["bad"]
 
     def test_each_zone_failure_counts_once(self):
-        case = Case()
+        case = QuarantineCase()
         for zone in ("zone-a", "zone-b"):
             for number in range(5):
                 case.crash(*(("common",) if number < 3 else ("other",)), zone=zone, after=0.01)
@@ -143,7 +143,7 @@
         assert "common" not in case.evaluate()
 
     def test_quarantined_request_does_not_hide_another_one(self):
-        case = Case()
+        case = QuarantineCase()
         for _ in range(3):
             case.crash("bad", "worse")
         case.crash("worse")
@@ -154,26 +154,26 @@
 
 class TestRelease:
     def test_response_clears_suspect(self):
-        case = Case()
+        case = QuarantineCase()
         case.crash("fine")
         case.crash("fine", "beside")
         assert case.quarantine.clear_request("fine", case.now)
         assert case.get_status("fine") is QuarantineStatus.CLEAR
         case.crash("fine")
-        assert case.evaluate(LATER) == []
+        assert case.evaluate(LATER_SECONDS) == []
 
     def test_late_report_of_old_crashes_does_not_undo_release(self):
-        case = Case()
+        case = QuarantineCase()
         crashes = [case.crash("fine") for _ in range(CRASHES_TO_QUARANTINE)]
         case.evaluate()
         case.quarantine.clear_request("fine", case.now + 1)
         for each in crashes:
             case.quarantine.record_crash(each, case.now + 2)
-        assert case.evaluate(LATER) == []
+        assert case.evaluate(LATER_SECONDS) == []
         assert case.get_status("fine") is QuarantineStatus.CLEAR
 
     def test_release_from_peer_does_not_clear_later_crashes(self):
-        local, remote = Case(), Case()
+        local, remote = QuarantineCase(), QuarantineCase()
         crash = local.crash("fine")
         remote.quarantine.record_crash(crash, local.now)
         remote.quarantine.clear_request("fine", local.now + 0.1)
@@ -192,7 +192,7 @@
         assert quarantine.merge_release(Release("bad", 101.0))
 
     def test_evidence_expires(self):
-        case = Case()
+        case = QuarantineCase()
         case.crash("fine")
         case.quarantine.drop_expired(case.now + EVIDENCE_LIFETIME_SECONDS + 1)
         assert case.get_status("fine") is QuarantineStatus.CLEAR and not case.quarantine
@@ -221,7 +221,7 @@
 
     @pytest.mark.parametrize(("unobserved", "trials"), [(0, 0), (1, 1), (2, 2), (3, 3), (9, 3)])
     def test_each_unobserved_crash_near_restart_uses_a_trial(self, unobserved, trials):
-        case = Case()
+        case = QuarantineCase()
         restart = case.now
         for number in range(unobserved):
             case.quarantine.add_unobserved_crash(f"unseen-{number}", case.now + 3.0)
@@ -235,7 +235,7 @@
             )
 
     def test_crashes_far_from_restarts_use_no_trial(self):
-        case = Case()
+        case = QuarantineCase()
         case.quarantine.add_unobserved_crash("unseen", case.now)
         for _ in range(3):
             case.crash("bad", after=5.0)
@@ -243,14 +243,14 @@
 
     def test_crashes_of_other_requests_near_restart_use_a_trial(self):
         """The requests of the killed process at that endpoint are missing from the crash."""
-        case = Case()
+        case = QuarantineCase()
         case.crash("other")
         for _ in range(3):
             case.crash("bad")
         assert self.quarantine_request(case, [case.now]).trials == 1
 
     def test_own_crashes_are_not_counted_twice(self):
-        case = Case()
+        case = QuarantineCase()
         crashes = [case.crash("bad") for _ in range(3)]
         case.quarantine.add_unobserved_crash(crashes[0].endpoint_id, case.now)
         assert self.quarantine_request(case, [case.now]).trials == 0
@@ -258,7 +258,7 @@
 
 class TestMemory:
     def test_memory_is_bounded_with_many_requests(self):
-        case = Case()
+        case = QuarantineCase()
         for number in range(2 * MAX_CRASHES):
             case.crash(*(f"r-{number}-{each}" for each in range(12)), after=0.01)
             case.evaluate()
@@ -270,7 +270,7 @@
         assert all(each.requests for each in list(inner._crashes.values())[-300:])
 
     def test_update_is_bounded_and_contains_most_suspected(self):
-        case = Case()
+        case = QuarantineCase()
         for _ in range(2):
             case.crash("bad", *(f"r-{case.count}-{each}" for each in range(200)), after=0.5)
         update = case.quarantine.build_update(case.now)
--- a/flamingofront/decisions/tests/test_quota.py
+++ b/flamingofront/decisions/tests/test_quota.py
@@ -213,11 +213,12 @@
 
         starts = [-math.inf, *restarts]
         accepted = attempts = 0
-        for began, until in zip(starts, [*restarts, window], strict=True):
+        for started_at, until in zip(starts, [*restarts, window], strict=True):
             budgets = [
-                SharedRetryBudget(ratio, allowance, window, share, began) for _ in range(members)
+                SharedRetryBudget(ratio, allowance, window, share, started_at)
+                for _ in range(members)
             ]
-            now = max(0.0, began)
+            now = max(0.0, started_at)
             while now < until:
                 now += 0.05
                 for budget in budgets:
--- a/flamingofront/decisions/tests/test_rate_limits.py
+++ b/flamingofront/decisions/tests/test_rate_limits.py
@@ -15,7 +15,7 @@
     return RateClaim("e", rate, priority, patience, claimant)
 
 
-def send_times(limiter, claims, share=1.0):
+def compute_send_times(limiter, claims, share=1.0):
     """Return the sorted send times of claims, which are pairs of time and claim."""
     found = []
     for at, claim in claims:
@@ -25,7 +25,7 @@
     return sorted(found)
 
 
-class TestBound:
+class TestLimit:
     @given(
         st.floats(0.5, 200.0),
         st.floats(0.1, 5.0),
@@ -40,10 +40,10 @@
             now += rng.expovariate(load_factor * rate)
             priority = rng.choice((0, 1, 3))
             claims.append((now, make_claim(rate, priority, patience)))
-        times = send_times(RateLimiter(), claims)
+        times = compute_send_times(RateLimiter(), claims)
         sums = (sum(at <= each < at + WINDOW_SECONDS for each in times) for at in times)
-        most = max(sums, default=0)
-        assert most <= 1.5 * rate * WINDOW_SECONDS + 5
+        max_sent = max(sums, default=0)
+        assert max_sent <= 1.5 * rate * WINDOW_SECONDS + 5
 
     def test_new_arbiter_starts_with_empty_bucket(self):
         """Permits that the previous arbiter granted a moment ago are unknown to it."""
@@ -51,14 +51,14 @@
 
     def test_share_of_limit_holds(self):
         claims = [(0.01 * number, make_claim(20.0)) for number in range(1000)]
-        assert len(send_times(RateLimiter(), claims, share=0.25)) <= 0.25 * 20.0 * 10 + 2
+        assert len(compute_send_times(RateLimiter(), claims, share=0.25)) <= 0.25 * 20.0 * 10 + 2
 
 
-class TestUse:
+class TestGrants:
     @pytest.mark.parametrize("rate", [0.5, 1.9, 50.0])
     def test_full_rate_is_granted(self, rate):
         claims = [(0.01 * number, make_claim(rate, patience=0.1)) for number in range(4000)]
-        assert len(send_times(RateLimiter(), claims)) >= 0.95 * rate * 40
+        assert len(compute_send_times(RateLimiter(), claims)) >= 0.95 * rate * 40
 
     def test_returned_wait_is_accurate(self):
         limiter = RateLimiter()
@@ -69,21 +69,21 @@
     def test_endpoint_with_zero_rate_is_probed(self):
         """Only a response shows that the endpoint accepts requests again."""
         claims = [(0.5 * number, make_claim(0.0)) for number in range(400)]
-        assert 10 <= len(send_times(RateLimiter(), claims)) <= 200 * MIN_RATE_PER_SECOND + 2
+        assert 10 <= len(compute_send_times(RateLimiter(), claims)) <= 200 * MIN_RATE_PER_SECOND + 2
 
     def test_tokens_are_reserved_for_urgent_requests(self):
         limiter = RateLimiter()
-        given = {0: 0, 3: 0}
+        granted = {0: 0, 3: 0}
         for number in range(4000):
             priority = 3 * (number % 2)
-            given[priority] += limiter.decide(
+            granted[priority] += limiter.decide(
                 make_claim(5.0, priority), 1.0, number * 0.01
             ).is_granted
-        assert given[0] > 3 * given[3]
+        assert granted[0] > 3 * granted[3]
 
     def test_less_urgent_requests_get_full_rate_without_urgent_ones(self):
         claims = [(0.01 * number, make_claim(5.0, priority=3)) for number in range(4000)]
-        assert len(send_times(RateLimiter(), claims)) >= 0.95 * 5.0 * 40
+        assert len(compute_send_times(RateLimiter(), claims)) >= 0.95 * 5.0 * 40
 
     def test_wait_grows_with_number_of_claimants(self):
         """Claims of 300 processes every 50 ms would overload the arbiter."""
--- a/flamingofront/decisions/tests/test_shares.py
+++ b/flamingofront/decisions/tests/test_shares.py
@@ -26,6 +26,7 @@
 
 
 def assign_all(endpoints, per_zone=PER_ZONE):
+    """Return the preferred endpoints of each process, with `per_zone` processes in each zone."""
     return [
         select_preferred_endpoints(RingPosition(zone, index, per_zone), ZONES, endpoints)
         for zone in ZONES
@@ -86,8 +87,8 @@
 class TestPlacement:
     """Ninety processes and thirty engines at half of their prefill capacity; late reports."""
 
-    arrivals = 480.0
-    seconds = 10.0
+    arrivals_per_second = 480.0
+    simulated_seconds = 10.0
     objective_seconds = 0.3
 
     def simulate(self, pick_candidates, has_exact_load, seed=1):
@@ -97,8 +98,8 @@
         free_at = dict.fromkeys(endpoints, 0.0)
         reported = dict(free_at)
         reported_at, now, late_count, count = 0.0, 0.0, 0, 0
-        while now < self.seconds:
-            now += rng.expovariate(self.arrivals)
+        while now < self.simulated_seconds:
+            now += rng.expovariate(self.arrivals_per_second)
             if now - reported_at >= 0.25:
                 reported, reported_at = dict(free_at), now
             chosen = pick_candidates(rng, endpoints)
@@ -116,11 +117,11 @@
             return select_preferred_endpoints(place, ZONES, endpoints)
 
         assert PREFERRED_ENDPOINTS == 2
-        shared = max(
+        late_preferred = max(
             self.simulate(pick_preferred, has_exact_load=True, seed=seed) for seed in range(3)
         )
-        at_random = min(
+        late_random = min(
             self.simulate(lambda rng, endpoints: rng.sample(sorted(endpoints), 1), False, seed)
             for seed in range(3)
         )
-        assert shared <= 0.002 < at_random
+        assert late_preferred <= 0.002 < late_random
--- a/flamingofront/decisions/tests/test_zone_reach.py
+++ b/flamingofront/decisions/tests/test_zone_reach.py
@@ -26,11 +26,11 @@
         reach.set_unresponsive_zones(())
         assert not reach.is_partitioned("b", 10.0)
 
-    @pytest.mark.parametrize("sign", ["none", "an answer that is not late yet"])
-    def test_unresponsive_peers_alone_are_not_sufficient(self, sign):
+    @pytest.mark.parametrize("evidence_kind", ["none", "response pending for a short time"])
+    def test_unresponsive_peers_alone_are_not_sufficient(self, evidence_kind):
         reach = ZoneReachability()
         reach.set_unresponsive_zones({"b"})
-        if sign != "none":
+        if evidence_kind != "none":
             reach.record_pending("b", 9.9, 10.0)
         assert not reach.is_partitioned("b", 10.0)
 
