--- a/flamingofront/decisions/admission.py
+++ b/flamingofront/decisions/admission.py
@@ -41,7 +41,7 @@
     priority : int
         Priority class; 0 is the most urgent.
     limit : int
-        Requests of the workspace that this process may hold at the same time.
+        Maximum number of queued and running requests of the workspace at this process.
     """
 
     name: str
@@ -190,7 +190,7 @@
         return self._running
 
     def estimate_wait(self, cost_ahead: float) -> float:
-        """Return the seconds until queued work of cost `cost_ahead` has started."""
+        """Return the expected seconds until queued work of cost `cost_ahead` has started."""
         rate = self._rate.get() or self._slots * PRIOR_COST_PER_SLOT_SECOND
         return cost_ahead / rate if cost_ahead > 0 and rate > 0 else 0.0
 
--- a/flamingofront/decisions/choice.py
+++ b/flamingofront/decisions/choice.py
@@ -51,6 +51,10 @@
         Expected reclaims per hour of its VM; 0 for on-demand VMs.
     slowness : float
         Observed latency relative to the other endpoints of the service; 1 is normal.
+    leaving : bool
+        True if it takes no new requests because it is about to stop.
+    ejected : bool
+        True while it is avoided after repeated failures, as in a circuit breaker.
     local_share : float
         Fraction of all attempts on the service that are made by this process.
     report_weight : float
@@ -269,26 +273,29 @@
             picked.append(best_cached)
         return picked
 
-    def score(self, each: Candidate, work: WorkEstimate) -> float:
+    def score(self, candidate: Candidate, work: WorkEstimate) -> float:
         """Return the expected cost of the request on one endpoint, in price units."""
         weights = self._weights
-        utilization = each.load / each.slots
+        utilization = candidate.load / candidate.slots
         interval_ratio = (
             weights.idle_interval_ratio + (1.0 - weights.idle_interval_ratio) * utilization
         )
-        new_tokens = max(0, work.prompt_tokens - each.cached_tokens)
+        new_tokens = max(0, work.prompt_tokens - candidate.cached_tokens)
         first_seconds = (
-            new_tokens / weights.prefill_tokens_per_second * (1.0 + utilization) * each.slowness
+            new_tokens
+            / weights.prefill_tokens_per_second
+            * (1.0 + utilization)
+            * candidate.slowness
         )
-        first_seconds += weights.remote_zone_seconds if each.zone != work.zone else 0.0
-        token_interval = work.token_target * interval_ratio * each.slowness
+        first_seconds += weights.remote_zone_seconds if candidate.zone != work.zone else 0.0
+        token_interval = work.token_target * interval_ratio * candidate.slowness
         duration = first_seconds + token_interval * work.output_tokens
         late_seconds = max(0.0, first_seconds - work.first_token_target)
         # The penalty starts below the target: reports are late, and other processes choose too.
         strain = max(0.0, token_interval / work.token_target - weights.strain_threshold)
         late_seconds += strain * strain * token_interval * work.output_tokens
-        machine_cost = each.price * duration / each.slots
-        expected_reclaims = each.reclaim_risk * duration / 3600.0
+        machine_cost = candidate.price * duration / candidate.slots
+        expected_reclaims = candidate.reclaim_risk * duration / 3600.0
         waste_seconds = (
             expected_reclaims
             * (new_tokens + work.output_tokens)
@@ -324,12 +331,12 @@
             default=None,
         )
 
-    def estimate_delay(self, each: Candidate, work: WorkEstimate) -> float:
+    def estimate_delay(self, candidate: Candidate, work: WorkEstimate) -> float:
         """Return the expected delay in seconds."""
         rates = work.rates
-        new_tokens = max(0, work.prompt_tokens - each.cached_tokens)
-        prefill = (each.backlog_tokens + new_tokens) * rates.token_seconds
-        crowding = rates.crowding_seconds * each.load
-        strain = FULL_LOAD_SLOWDOWN * rates.base_seconds * each.load / each.slots
-        network = REMOTE_ZONE_SECONDS if each.zone != work.zone else 0.0
-        return (prefill + crowding + strain) * each.slowness + network
+        new_tokens = max(0, work.prompt_tokens - candidate.cached_tokens)
+        prefill = (candidate.backlog_tokens + new_tokens) * rates.token_seconds
+        crowding = rates.crowding_seconds * candidate.load
+        strain = FULL_LOAD_SLOWDOWN * rates.base_seconds * candidate.load / candidate.slots
+        network = REMOTE_ZONE_SECONDS if candidate.zone != work.zone else 0.0
+        return (prefill + crowding + strain) * candidate.slowness + network
