--- a/flamingofront/decisions/admission.py
+++ b/flamingofront/decisions/admission.py
@@ -199,7 +199,7 @@
         wait = max(MIN_RETRY_SECONDS, self.estimate_wait(self._waiting_cost))
         return min(MAX_RETRY_SECONDS, wait * (1.0 + self._rng.random()))
 
-    def _reject(self, kind: ErrorKind, now: float, detail: str = "") -> RequestError:
+    def _build_rejection(self, kind: ErrorKind, now: float, detail: str = "") -> RequestError:
         return RequestError(kind, detail, retry_after=self.retry_after(now))
 
 
@@ -275,7 +275,7 @@
             detail = (
                 f"workspace {name} has {in_flight} requests here, its limit is {ticket.share.limit}"
             )
-            raise self._reject(ErrorKind.LIMIT_EXCEEDED, now, detail)
+            raise self._build_rejection(ErrorKind.LIMIT_EXCEEDED, now, detail)
         if not ticket.resumed:
             self._reject_if_too_late(ticket, now)
         self._enqueue(ticket)
@@ -286,9 +286,11 @@
             return
         cost_ahead = self._estimate_cost_ahead(ticket)
         if self._waiting >= self._max_waiting:
-            raise self._reject(ErrorKind.OVERLOADED, now, "the queue is full")
+            raise self._build_rejection(ErrorKind.OVERLOADED, now, "the queue is full")
         if now + self.estimate_wait(cost_ahead) > ticket.latest_start:
-            raise self._reject(ErrorKind.OVERLOADED, now, "the queue is too long for the target")
+            raise self._build_rejection(
+                ErrorKind.OVERLOADED, now, "the queue is too long for the target"
+            )
 
     def _estimate_cost_ahead(self, ticket: Ticket) -> float:
         """Estimate the cost that starts before this request under fair queueing."""
--- a/flamingofront/decisions/quarantine.py
+++ b/flamingofront/decisions/quarantine.py
@@ -197,7 +197,7 @@
     def collect_evidence(
         self, fingerprints: Iterable[str], min_crashes: int
     ) -> dict[str, tuple[EndpointCrash, ...]]:
-        """Return the crashes of those requests that have enough and are not yet quarantined.
+        """Return the crashes, by fingerprint, of unquarantined requests that have enough of them.
 
         Parameters
         ----------
--- a/flamingofront/decisions/quota.py
+++ b/flamingofront/decisions/quota.py
@@ -152,7 +152,7 @@
         self._peaks: dict[str, tuple[float, float]] = {}
         self._reject_reasons: dict[str, QuotaRejectReason] = {}
 
-    def _reject(
+    def _record_rejection(
         self, workspace: ForwardedWorkspace, reason: QuotaRejectReason, seconds: float
     ) -> float:
         """Record the reason of a rejection and return the seconds until a retry may pass."""
@@ -208,7 +208,11 @@
         share = (INITIAL_LEVEL_FRACTION * workspace.burst + workspace.rate * age) / self._members()
         since = now - self._limits.window_seconds
         is_within = self._fits_local_share(workspace.name, units, share, since, now)
-        return 0.0 if is_within else self._reject(workspace, QuotaRejectReason.SHARE, self._lag())
+        return (
+            0.0
+            if is_within
+            else self._record_rejection(workspace, QuotaRejectReason.SHARE, self._lag())
+        )
 
     def get_wait(self, workspace: ForwardedWorkspace, units: float, now: float) -> float:
         """Return 0 if the request is within the quota, else the seconds until a retry may pass.
@@ -232,7 +236,9 @@
         )
         if shortfall <= 0:
             return 0.0
-        return self._reject(workspace, QuotaRejectReason.BUCKET, shortfall / workspace.rate)
+        return self._record_rejection(
+            workspace, QuotaRejectReason.BUCKET, shortfall / workspace.rate
+        )
 
     # Decisions as arbiter
 
@@ -263,7 +269,9 @@
         startup_allowance = self._get_startup_allowance(workspace, total, now)
         if startup_allowance > 0:
             return 0.0
-        return self._reject(workspace, QuotaRejectReason.START, -startup_allowance / workspace.rate)
+        return self._record_rejection(
+            workspace, QuotaRejectReason.START, -startup_allowance / workspace.rate
+        )
 
     def get_wait_as_new_arbiter(
         self, workspace: ForwardedWorkspace, units: float, sides: int, now: float
@@ -292,7 +300,7 @@
         since = now - PARTITION_DETECTION_SECONDS
         if self._fits_local_share(workspace.name, units, remaining / sides, since, now):
             return 0.0
-        return self._reject(workspace, QuotaRejectReason.SHARE, MIN_RETRY_SECONDS)
+        return self._record_rejection(workspace, QuotaRejectReason.SHARE, MIN_RETRY_SECONDS)
 
     def _sum_window(self, name: str, now: float) -> float:
         """Return the units that live processes consumed of a workspace within the window."""
@@ -349,16 +357,16 @@
                 self._reject_reasons[workspace.name] = QuotaRejectReason.WINDOW
                 return consumed.get_wait_until_freed(unreported - remaining + units, now)
             if self._is_throttled(workspace, remaining - units, now):
-                return self._reject(workspace, QuotaRejectReason.RATIONED, self._lag())
+                return self._record_rejection(workspace, QuotaRejectReason.RATIONED, self._lag())
         startup_allowance = self._get_startup_allowance(workspace, total, now)
         if startup_allowance <= 0:
-            return self._reject(
+            return self._record_rejection(
                 workspace, QuotaRejectReason.START, -startup_allowance / workspace.rate
             )
         remaining = min(remaining, startup_allowance, self._get_surge_allowance(workspace, now))
         share, since = remaining / members, now - MAX_LAG_FACTOR * self._lag() - BIN_SECONDS
         if members > 1 and not self._fits_local_share(workspace.name, units, share, since, now):
-            return self._reject(workspace, QuotaRejectReason.SHARE, self._lag())
+            return self._record_rejection(workspace, QuotaRejectReason.SHARE, self._lag())
         return 0.0
 
     def _get_startup_allowance(
--- a/flamingofront/decisions/zone_reach.py
+++ b/flamingofront/decisions/zone_reach.py
@@ -46,7 +46,7 @@
         self._unresponsive_zones = frozenset(zones)
 
     def record_pending(self, zone: str, since: float, now: float) -> None:
-        """Record a pending response from the zone, which has sent no data since a time."""
+        """Record that responses from the zone are pending and no data came since a time."""
         if now - since >= RESPONSE_RECENT_SECONDS:
             self._pending[zone] = now
 
