--- a/flamingofront/decisions/quota.py
+++ b/flamingofront/decisions/quota.py
@@ -49,7 +49,7 @@
 INITIAL_LEVEL_FRACTION = 0.25
 # Maximum level, as a fraction of the burst, with which a process becomes the only arbiter.
 ARBITER_LEVEL_FRACTION = 0.1
-# Age of the oldest reports relative to the lag, which is a mean age.
+# Age of late reports relative to the lag, which is a mean: some reports are older by half.
 MAX_LAG_FACTOR = 1.5
 # Lower bound of the live share, used as a divisor when no peer is live.
 MIN_LIVE_SHARE = 0.001
@@ -247,7 +247,7 @@
 
         Notes
         -----
-        Grants by earlier arbiters may not have been reported yet.
+        The bucket has refilled while other arbiters may have made grants not yet reported here.
         """
         bucket = self._update_bucket(workspace, now)
         bucket.level = min(bucket.level, ARBITER_LEVEL_FRACTION * workspace.burst)
