--- a/flamingofront/decisions/admission.py
+++ b/flamingofront/decisions/admission.py
@@ -1,7 +1,7 @@
 """Admission control: concurrency limits, fair queueing and early rejection.
 
 A request is admitted immediately, queued for a bounded time, or rejected immediately with an
-accurate ``Retry-After``. No response is delayed to slow callers down.
+accurate ``Retry-After``. Responses are never delayed in order to slow callers down.
 """
 
 import heapq
@@ -41,7 +41,7 @@
     priority : int
         Priority class; 0 is the most urgent.
     limit : int
-        Requests of the workspace that this process may hold at the same time.
+        Maximum number of queued and running requests of the workspace at this process.
     """
 
     name: str
@@ -170,7 +170,7 @@
 
 
 class _BaseAdmission(AdmissionPolicy):
-    """Counts, the completion rate and the retry time, common to both policies."""
+    """Base of both policies, with the request counts, completion rate and retry time."""
 
     def __init__(self, rng: random.Random, slots: float):
         self._rng = rng
@@ -190,7 +190,7 @@
         return self._running
 
     def estimate_wait(self, cost_ahead: float) -> float:
-        """Return the seconds until queued work of cost `cost_ahead` has started."""
+        """Return the expected seconds until queued work of cost `cost_ahead` has started."""
         rate = self._rate.get() or self._slots * PRIOR_COST_PER_SLOT_SECOND
         return cost_ahead / rate if cost_ahead > 0 and rate > 0 else 0.0
 
@@ -199,7 +199,7 @@
         wait = max(MIN_RETRY_SECONDS, self.estimate_wait(self._waiting_cost))
         return min(MAX_RETRY_SECONDS, wait * (1.0 + self._rng.random()))
 
-    def _reject(self, kind: ErrorKind, now: float, detail: str = "") -> RequestError:
+    def _build_rejection(self, kind: ErrorKind, now: float, detail: str = "") -> RequestError:
         return RequestError(kind, detail, retry_after=self.retry_after(now))
 
 
@@ -275,7 +275,7 @@
             detail = (
                 f"workspace {name} has {in_flight} requests here, its limit is {ticket.share.limit}"
             )
-            raise self._reject(ErrorKind.LIMIT_EXCEEDED, now, detail)
+            raise self._build_rejection(ErrorKind.LIMIT_EXCEEDED, now, detail)
         if not ticket.resumed:
             self._reject_if_too_late(ticket, now)
         self._enqueue(ticket)
@@ -286,9 +286,11 @@
             return
         cost_ahead = self._estimate_cost_ahead(ticket)
         if self._waiting >= self._max_waiting:
-            raise self._reject(ErrorKind.OVERLOADED, now, "the queue is full")
+            raise self._build_rejection(ErrorKind.OVERLOADED, now, "the queue is full")
         if now + self.estimate_wait(cost_ahead) > ticket.latest_start:
-            raise self._reject(ErrorKind.OVERLOADED, now, "the queue is too long for the target")
+            raise self._build_rejection(
+                ErrorKind.OVERLOADED, now, "the queue is too long for the target"
+            )
 
     def _estimate_cost_ahead(self, ticket: Ticket) -> float:
         """Estimate the cost that starts before this request under fair queueing."""
@@ -314,9 +316,9 @@
         name = ticket.share.name
         self._waiting += sign
         self._waiting_cost = max(0.0, self._waiting_cost + sign * ticket.cost)
-        left = self._waiting_by_workspace.get(name, 0.0) + sign * ticket.cost
-        if left > 1e-9:
-            self._waiting_by_workspace[name] = left
+        remaining = self._waiting_by_workspace.get(name, 0.0) + sign * ticket.cost
+        if remaining > 1e-9:
+            self._waiting_by_workspace[name] = remaining
         else:
             self._waiting_by_workspace.pop(name, None)
 
@@ -353,9 +355,9 @@
             self._rate.add(ticket.cost, now)
         else:
             self._update_waiting(ticket, -1)
-        left = self._in_flight.get(ticket.share.name, 0) - 1
-        if left > 0:
-            self._in_flight[ticket.share.name] = left
+        remaining = self._in_flight.get(ticket.share.name, 0) - 1
+        if remaining > 0:
+            self._in_flight[ticket.share.name] = remaining
         else:
             self._in_flight.pop(ticket.share.name, None)
 
--- a/flamingofront/decisions/quota.py
+++ b/flamingofront/decisions/quota.py
@@ -34,9 +34,9 @@
 
 __all__ = ["QuotaPolicy", "QuotaLimits", "QuotaState", "SharedQuota", "UnlimitedQuota"]
 
-# Fraction of the allowance that is added to the burst, so that bursts within the quota are not
-# rejected. The rest covers large requests and late reports around a simultaneous restart of all
-# processes, which then do not know what was consumed.
+# Fraction of the allowance, by which a quota may be exceeded, that is added to the burst so that
+# bursts within the quota are not rejected. The rest covers large requests and late reports around
+# a simultaneous restart of all processes, which then do not know what was consumed.
 USED_ALLOWANCE_FRACTION = 0.3
 # Time over which the current rate of a workspace is measured: four report intervals.
 RATE_SECONDS = 1.0
@@ -49,7 +49,7 @@
 INITIAL_LEVEL_FRACTION = 0.25
 # Maximum level, as a fraction of the burst, with which a process becomes the only arbiter.
 ARBITER_LEVEL_FRACTION = 0.1
-# The lag is a mean; some reports are older by half.
+# Age of late reports relative to the lag, which is a mean: some reports are older by half.
 MAX_LAG_FACTOR = 1.5
 # Lower bound of the live share, used as a divisor when no peer is live.
 MIN_LIVE_SHARE = 0.001
@@ -63,8 +63,8 @@
 INITIAL_RESERVE_FACTOR = 2.0
 # Processes that may act as arbiter at the same time while the choice of the arbiter changes.
 CONCURRENT_ARBITERS = 2
-# The share of one side of a partition is not renewed within this time, by which the sides have
-# detected the partition.
+# Time within which all sides of a partition detect it. Until then the share of one side is not
+# renewed.
 PARTITION_DETECTION_SECONDS = 2.0
 # Time after which an unresponsive process is detected.
 SILENCE_DETECTION_SECONDS = 1.6
@@ -152,7 +152,7 @@
         self._peaks: dict[str, tuple[float, float]] = {}
         self._reject_reasons: dict[str, QuotaRejectReason] = {}
 
-    def _reject(
+    def _record_rejection(
         self, workspace: ForwardedWorkspace, reason: QuotaRejectReason, seconds: float
     ) -> float:
         """Record the reason of a rejection and return the seconds until a retry may pass."""
@@ -208,7 +208,11 @@
         share = (INITIAL_LEVEL_FRACTION * workspace.burst + workspace.rate * age) / self._members()
         since = now - self._limits.window_seconds
         is_within = self._fits_local_share(workspace.name, units, share, since, now)
-        return 0.0 if is_within else self._reject(workspace, QuotaRejectReason.SHARE, self._lag())
+        return (
+            0.0
+            if is_within
+            else self._record_rejection(workspace, QuotaRejectReason.SHARE, self._lag())
+        )
 
     def get_wait(self, workspace: ForwardedWorkspace, units: float, now: float) -> float:
         """Return 0 if the request is within the quota, else the seconds until a retry may pass.
@@ -232,12 +236,19 @@
         )
         if shortfall <= 0:
             return 0.0
-        return self._reject(workspace, QuotaRejectReason.BUCKET, shortfall / workspace.rate)
+        return self._record_rejection(
+            workspace, QuotaRejectReason.BUCKET, shortfall / workspace.rate
+        )
 
     # Decisions as arbiter
 
     def start_as_arbiter(self, workspace: ForwardedWorkspace, now: float) -> None:
-        """Lower the bucket level at the start as arbiter: grants of others may be unreported."""
+        """Lower the bucket level when this process becomes the only arbiter.
+
+        Notes
+        -----
+        The bucket has refilled while other arbiters may have made grants not yet reported here.
+        """
         bucket = self._update_bucket(workspace, now)
         bucket.level = min(bucket.level, ARBITER_LEVEL_FRACTION * workspace.burst)
 
@@ -258,7 +269,9 @@
         startup_allowance = self._get_startup_allowance(workspace, total, now)
         if startup_allowance > 0:
             return 0.0
-        return self._reject(workspace, QuotaRejectReason.START, -startup_allowance / workspace.rate)
+        return self._record_rejection(
+            workspace, QuotaRejectReason.START, -startup_allowance / workspace.rate
+        )
 
     def get_wait_as_new_arbiter(
         self, workspace: ForwardedWorkspace, units: float, sides: int, now: float
@@ -287,7 +300,7 @@
         since = now - PARTITION_DETECTION_SECONDS
         if self._fits_local_share(workspace.name, units, remaining / sides, since, now):
             return 0.0
-        return self._reject(workspace, QuotaRejectReason.SHARE, MIN_RETRY_SECONDS)
+        return self._record_rejection(workspace, QuotaRejectReason.SHARE, MIN_RETRY_SECONDS)
 
     def _sum_window(self, name: str, now: float) -> float:
         """Return the units that live processes consumed of a workspace within the window."""
@@ -344,16 +357,16 @@
                 self._reject_reasons[workspace.name] = QuotaRejectReason.WINDOW
                 return consumed.get_wait_until_freed(unreported - remaining + units, now)
             if self._is_throttled(workspace, remaining - units, now):
-                return self._reject(workspace, QuotaRejectReason.RATIONED, self._lag())
+                return self._record_rejection(workspace, QuotaRejectReason.RATIONED, self._lag())
         startup_allowance = self._get_startup_allowance(workspace, total, now)
         if startup_allowance <= 0:
-            return self._reject(
+            return self._record_rejection(
                 workspace, QuotaRejectReason.START, -startup_allowance / workspace.rate
             )
         remaining = min(remaining, startup_allowance, self._get_surge_allowance(workspace, now))
         share, since = remaining / members, now - MAX_LAG_FACTOR * self._lag() - BIN_SECONDS
         if members > 1 and not self._fits_local_share(workspace.name, units, share, since, now):
-            return self._reject(workspace, QuotaRejectReason.SHARE, self._lag())
+            return self._record_rejection(workspace, QuotaRejectReason.SHARE, self._lag())
         return 0.0
 
     def _get_startup_allowance(
