--- a/flamingofront/process/forwarding/control.py
+++ b/flamingofront/process/forwarding/control.py
@@ -69,10 +69,10 @@
         gauge("peers_heard", node.peers.live_count())
         lease = node.lease.valid_lease()
         gauge("duty_fencing", lease.fencing if lease is not None else 0)
-        for follower in node.store_view.watchers:
-            age = follower.age()
+        for watcher in node.store_view.watchers:
+            age = watcher.age()
             if age is not None:
-                gauge("store_age_seconds", age, table=follower.table)
+                gauge("store_age_seconds", age, table=watcher.table)
         store_view = node.store_view
         ages = {"configuration": store_view.configuration_age()}
         ages["endpoints"] = store_view.endpoints_age()
--- a/flamingofront/process/forwarding/endpoints.py
+++ b/flamingofront/process/forwarding/endpoints.py
@@ -150,7 +150,7 @@
             self._timers.once(EXPIRY_GRACE_SECONDS, self._end_grace)
 
     def _end_first_answer(self) -> None:
-        """End the first answer after an outage: its rows have been merged."""
+        """Record that all rows of the first answer after an outage have been merged."""
         self._in_first_answer = False
 
     def replace_all(self, rows: Iterable[EndpointRow], confirmed: bool = False) -> None:
@@ -204,7 +204,7 @@
         -----
         Leaving is final for one start of an endpoint, even if its row was removed since: the store
         may have been restored from a snapshot in which the endpoint was ready. A later row that
-        repeats it may add when the endpoint leaves.
+        is leaving too is not outdated, since it may add the time until the VM is reclaimed.
         """
         is_present = row.endpoint_id in self._rows
         if row.born == before.born and not before.ready and row.ready:
--- a/flamingofront/process/forwarding/follower.py
+++ b/flamingofront/process/forwarding/follower.py
@@ -91,7 +91,7 @@
         self._failures = 0
         self._version: int | None = None
         self.answered_at: float | None = None
-        # The local copy of the table was current at this time.
+        # Latest time at which the local copy of the table was certainly current.
         self.confirmed_at: float | None = None
         self.errors = 0
 
@@ -118,7 +118,7 @@
 
         Notes
         -----
-        Needed after an update from a peer, which does not tell rows in their grace period apart.
+        Needed after an update from a peer, which does not mark the rows in their grace period.
         Changes since this process's older feed position would revert the update.
         """
         self._needs_reload = True
--- a/flamingofront/process/forwarding/knowledge.py
+++ b/flamingofront/process/forwarding/knowledge.py
@@ -61,6 +61,8 @@
         Called with each configuration that becomes active.
     can_stand_by : callable
         Returns True if other processes watch the store for this one.
+    pause : callable
+        Returns the seconds to wait after an answer with endpoint changes before the next poll.
 
     Attributes
     ----------
@@ -112,7 +114,7 @@
             endpoints.mark_store_reachable,
         )
         self.watchers = (
-            # Without a pause: changes are rare, and one may take a second on a small link.
+            # No pause here: changes are rare, and one may take a second on a small link.
             TableWatcher(
                 store,
                 tables.configuration,
--- a/flamingofront/process/forwarding/peers.py
+++ b/flamingofront/process/forwarding/peers.py
@@ -57,9 +57,9 @@
 RELAYED_USAGE_DELAY_SECONDS = 3.5
 # IP addresses of peers in a report: a process that has one peer's address soon has all.
 MAX_PEERS_LISTED = 4
-# With relays, only prompts that delay others by more than a datagram's delay are sent at once. With
-# load deltas of all changes to 16 peers, 89 processes took 685 s of processor time for 48 s of
-# traffic; without any, 583 s for a whole day (one run each, on a busy machine).
+# With relays, only prompts that delay other requests by more than a datagram's delay are reported
+# at once. With load deltas of all changes to 16 peers, 89 processes took 685 s of processor time
+# for 48 s of traffic; without any, 583 s for a whole day (one run each, on a busy machine).
 LARGE_PROMPT_TOKENS = 1000
 MEMBER_TABLE = "entry-vms"
 # Assumed number of entry processes until the member table is read or a peer reports: the size of a
@@ -75,7 +75,7 @@
 # each peer gave 38,000 lines at the start of 195 VMs.
 LIVENESS_LOG_PERIOD_SECONDS = 1.0
 MAX_NAMED_PEERS = 8
-# Senders for which a rejected datagram is logged.
+# Number of senders for which a rejected datagram is logged.
 MAX_LOGGED_REJECTIONS = 64
 
 
@@ -219,9 +219,9 @@
         Notes
         -----
         A process that has just started without any peer does not assume that it is the only one.
-        After 64 processes were killed at once, each started with a whole quota, and a workspace
-        that sent four times its quota got 200 requests admitted within 0.15 s, 1 to 2 % more than
-        the limit of its window.
+        After 64 processes were killed at once, each assumed the whole quota for itself, and a
+        workspace that sent four times its quota got 200 requests admitted within 0.15 s, 1 to 2 %
+        more than the limit of its window.
         """
         if not self._is_table_read and not self.live_count():
             return ASSUMED_MEMBERS
@@ -267,7 +267,7 @@
 
         Notes
         -----
-        So a VM with a wrong clock agrees with the others, as long as most clocks are right.
+        A VM with a wrong clock thus agrees with the others, as long as most clocks are right.
         """
         now = self._timers.now()
         offsets = [*self.table.clock_offsets(now), self._timers.wall() - now]
@@ -329,6 +329,7 @@
         self._is_registered = False
 
     def _add_members(self, rows) -> None:
+        """Add the processes in the rows of the member table; malformed rows are logged."""
         self._is_table_read = True
         until = self._timers.now() + MEMBER_POLL_SECONDS
         for row in rows:
@@ -383,7 +384,7 @@
             self._send_report_to([each.ip for each in live], without_counts(self._build_report()))
 
     def broadcast_leaving(self) -> None:
-        """Send a digest to all zones at once after endpoints began to leave."""
+        """Report endpoints that began to leave to all zones at once, in large deployments."""
         if self.is_relayed:
             self.relaying.notify_all_relays()
 
@@ -391,7 +392,7 @@
         return report.zone == self._identity.zone
 
     def send_load_delta(self, sequence: int, changes: Mapping[str, tuple[int, int]]) -> None:
-        """Send the load changes since the report with this number at once.
+        """Send load changes since the report number `sequence` to peers at once.
 
         Notes
         -----
--- a/flamingofront/process/forwarding/readers.py
+++ b/flamingofront/process/forwarding/readers.py
@@ -17,7 +17,7 @@
 WATCHERS_PER_ZONE = 3
 # The other processes are in standby while at least this many watchers are live.
 MIN_LIVE_WATCHERS = 2
-_KEY = "store"
+_HASH_KEY = "store"
 
 
 class ZoneWatchers:
@@ -46,6 +46,6 @@
         if len(candidates) < WATCHERS_PER_ZONE:
             return False
         members = {self._vm_id, *(each.vm_id for each in candidates)}
-        if self._vm_id in rank(_KEY, members)[:WATCHERS_PER_ZONE]:
+        if self._vm_id in rank(_HASH_KEY, members)[:WATCHERS_PER_ZONE]:
             return False
         return sum(each.watches_store for each in candidates) >= MIN_LIVE_WATCHERS
--- a/flamingofront/process/forwarding/relay_hearing.py
+++ b/flamingofront/process/forwarding/relay_hearing.py
@@ -22,7 +22,7 @@
 # Rows of the member table count as members for this long after the last read, so that all choose
 # the same relays from the start. Later only live processes count, since nobody deletes the rows.
 REGISTRATION_EXPIRY_SECONDS = 8.0
-# Time in which a new relay receives the reports of its zone and the digests of the others twice.
+# Time in which a new relay receives the reports of its zone and the digests of other zones twice.
 RELAY_WARMUP_SECONDS = 1.5
 
 
@@ -65,7 +65,7 @@
 
     @property
     def is_relay(self) -> bool:
-        """True if this process is a relay of its zone, which sums its reports."""
+        """True if this process is a relay, which sums the reports of its zone."""
         return self._relays.is_relay
 
     def is_counting_directly(self) -> bool:
--- a/flamingofront/process/forwarding/relaying.py
+++ b/flamingofront/process/forwarding/relaying.py
@@ -42,13 +42,14 @@
 # Period of the digests of a relay to its zone. The two relays alternate, so that load data is 0.1 s
 # old in the mean when it arrives there.
 DIGEST_PERIOD_SECONDS = 0.25
-# Every second tick a report goes to the relays, and a digest to the other zones.
+# A tick is one digest period. Every second tick a report goes to the relays, and a digest to the
+# other zones.
 TICKS_PER_REPORT = 2
-# Every fourth tick usage goes to the leader: a window is reported two seconds after its end at the
-# earliest.
+# Every fourth tick the usage goes to the leader: a window is reported two seconds after its end at
+# the earliest.
 TICKS_PER_USAGE = 4
-# A lease advertisement is forwarded only up to this age, a report period and a datagram delay. An
-# older one would postpone the takeover from a holder that has ended.
+# A lease advertisement is forwarded only up to this age: a report period plus a datagram delay.
+# An older one would postpone the takeover from a holder that has ended.
 CLAIM_MAX_AGE_SECONDS = 0.6
 # Sent reports that are kept, to subtract the load of this process from a digest; about eight
 # seconds.
@@ -60,9 +61,9 @@
 RECENT_WINDOWS = 2
 # Number of times that all kept windows are sent to a new leader; one may be lost.
 FULL_USAGE_SENDS = 2
-# Zones whose first relay keeps a copy of this zone's usage, besides the leader.
+# Number of other zones whose first relay keeps a copy of this zone's usage, besides the leader.
 USAGE_BACKUP_ZONES = 2
-# Processes of a zone without known relays that get a digest; any of them forwards it to its relays.
+# Number of processes of an unreachable zone that get a digest; each forwards it to its relays.
 UNREACHABLE_ZONE_TARGETS = 4
 # Processes of the own zone, and as many of the other zones, that get a direct report while no relay
 # is live.
@@ -153,7 +154,7 @@
     # Sending
 
     def run_tick(self) -> bool:
-        """Send the reports and digests that are due; False if no relay is live."""
+        """Send the reports and digests that are due, and return True if a relay is live."""
         before = self._relays.chosen
         relays = self._choose_relays()
         self._ticks += 1
@@ -359,12 +360,13 @@
     # Receiving
 
     def receive_report(self, report: PeerReport, is_continuous: bool, is_new: bool) -> None:
-        """Count the consumption and usage in a direct report, and answer a new sender.
+        """Record the quota consumption in a direct report, and the processes whose usage it has.
 
         Parameters
         ----------
         is_continuous : bool
-            False if its sender was unreachable: its consumption meanwhile was within its own share.
+            False if its sender was unreachable before: its consumption since then is not counted,
+            because it was limited to the sender's own share of the quota.
         is_new : bool
             True for the first report of its sender, which gets a digest at once.
         """
@@ -380,8 +382,8 @@
 
         Notes
         -----
-        Valid are the address of its relay and, for digests of other zones, those of the own zone's
-        members, which forward them.
+        A digest comes from its relay, or from a member of the own zone that forwards a digest of
+        another zone.
         """
         if ip == digest.relay.ip:
             return True
@@ -425,9 +427,9 @@
         Notes
         -----
         A digest that acknowledges no sent report cannot be counted, and must not become the active
-        source in place of one that can. After a restart of all processes, some that had been taken
-        for relays went on sending digests for three seconds, and until then no process counted the
-        others' consumption.
+        source in place of one that can. After a restart of all processes, some that others had
+        mistaken for relays went on sending digests for three seconds, and until then no process
+        counted the others' consumption.
         """
         if digest.consumed is None:
             return
--- a/flamingofront/process/forwarding/reports.py
+++ b/flamingofront/process/forwarding/reports.py
@@ -34,6 +34,7 @@
     "without_counts",
 ]
 
+# Requests started, by process, window and workspace.
 ProcessCounts = Mapping[str, Mapping[str, Mapping[str, int]]]
 
 # A process counts as unreachable after this time without a report, or after four report periods if
@@ -41,11 +42,12 @@
 LIVENESS_TIMEOUT_SECONDS = 1.6
 LIVENESS_TIMEOUT_REPORTS = 4
 # A zone counts as unreachable when no member reported for three report periods, and at least two of
-# its members reported within the last seconds: a single one may have been killed.
+# its members reported within the last 8 s: a single one may have been killed.
 ZONE_TIMEOUT_REPORTS = 3
 MIN_UNREACHABLE_MEMBERS = 2
 ZONE_MEMORY_SECONDS = 8.0
-# Longer than any restart or partition after which a process would return with its old counters.
+# A process without a report for this long is no longer a member. This is longer than any restart or
+# partition after which it would return with its old counters.
 MEMBER_EXPIRY_SECONDS = 30.0
 
 
--- a/flamingofront/process/forwarding/streams.py
+++ b/flamingofront/process/forwarding/streams.py
@@ -7,7 +7,8 @@
 
 __all__ = ["ConsumptionLedger", "SumAction", "SourceSelector"]
 
-# In digest periods of a source: when its next digest is late, and when another source replaces it.
+# Age of the active source's last digest, in its digest periods: above the first the next digest is
+# late, above the second another source replaces it.
 LATE_PERIODS = 1.3
 SWITCH_PERIODS = 2.4
 # No increase is counted from totals received longer ago than this.
--- a/flamingofront/process/forwarding/tests/test_document_copies.py
+++ b/flamingofront/process/forwarding/tests/test_document_copies.py
@@ -70,7 +70,7 @@
 
 
 class TestDeltaPacer:
-    """Deltas for a whole zone sent at once over one small link all arrived late."""
+    """Guards against deltas for a whole zone that share one small link and all arrive late."""
 
     def test_large_deltas_are_rate_limited(self):
         clock = ManualClock()
--- a/flamingofront/process/forwarding/tests/test_endpoints.py
+++ b/flamingofront/process/forwarding/tests/test_endpoints.py
@@ -81,7 +81,7 @@
     LEAVING = replace(ROW, ready=False, sequence=6)
 
     def test_leaving_row_from_store_is_reported_to_peers(self, harness):
-        """When peers had to fetch each change, one lost message delayed it by up to 3.4 s."""
+        """Guards against peers that have to fetch a change: a lost message cost up to 3.4 s."""
         harness.view.merge_row(self.LEAVING)
         assert harness.view.recently_leaving() == (("i-1", 0),)
 
@@ -196,7 +196,7 @@
         assert harness.state() is VmState.GONE
 
 
-def _rows():
+def make_rows():
     """Return rows of three starts of one endpoint; the first and last starts end as leaving."""
     return [
         replace(
@@ -231,7 +231,7 @@
         )
     )
     def test_state_follows_newest_row(self, steps):
-        rows, harness = _rows(), ViewHarness()
+        rows, harness = make_rows(), ViewHarness()
         newest, current, unreadable, left = None, None, False, False
         for step, index in steps:
             if step in ("put", "peer"):
@@ -266,7 +266,7 @@
 class TestRestartsOfAnEndpoint:
     """An endpoint crashes during a partition and restarts with the same id at another address."""
 
-    def world(self):
+    def make_world(self):
         world = ready_world(engines=0, plains=1)
         world.endpoint("engine-1", "engines", events=200)
         self.born = int(world.clock.now() * 1000) - 60_000
@@ -274,7 +274,7 @@
         world.run(1.0)
         return world
 
-    def restart(self, world, sequence=1):
+    def restart_endpoint(self, world, sequence=1):
         world.host("engine-1").dead = True
         world.endpoint("engine-1", "engines")
         born = int(world.clock.now() * 1000)
@@ -282,11 +282,11 @@
 
     @pytest.mark.parametrize("is_row_deleted", [False, True])
     def test_restarted_endpoint_is_used_within_a_second_of_its_row(self, is_row_deleted):
-        world = self.world()
+        world = self.make_world()
         if is_row_deleted:
             world.store.drop("servers", "engine-1")
             world.run(0.5)
-        self.restart(world)
+        self.restart_endpoint(world)
         world.run(1.0)
         caller = world.ask("front-1", "/stream/once/x")
         world.finish(caller)
@@ -295,11 +295,11 @@
 
     def request_before_restart(self, path):
         """Return a world, and a caller whose endpoint restarted before it responded."""
-        world = self.world()
+        world = self.make_world()
         world.endpoints["engine-1"].fail(ForwardFault.HANG)
         caller = world.ask("front-1", path)
         world.run(0.6)
-        self.restart(world)
+        self.restart_endpoint(world)
         world.run(0.6)
         return world, caller
 
--- a/flamingofront/process/forwarding/tests/test_freshness.py
+++ b/flamingofront/process/forwarding/tests/test_freshness.py
@@ -14,17 +14,17 @@
 from flamingofront.tests.forwarding_world import ForwardingWorld, configuration, ready_world
 from flamingofront.tests.network import Caller
 
-FEW = configuration()["routes"][:1]
-PROCESSES = 24
+ONE_ROUTE = configuration()["routes"][:1]
+PROCESS_COUNT = 24
 
 
 def large_world():
     """Return a world of many processes, most of them in standby."""
     world = ForwardingWorld()
-    world.configure_routes(routes=FEW)
+    world.configure_routes(routes=ONE_ROUTE)
     world.endpoint("plain-1", "records")
     world.endpoint("engine-1", "engines")
-    for number in range(PROCESSES):
+    for number in range(PROCESS_COUNT):
         world.front(f"front-{number}", ("zone-a", "zone-b")[number % 2])
     world.run_until(lambda: all(each.ready for each in world.fronts.values()))
     world.run(6.0)
@@ -45,7 +45,7 @@
 
 class TestUnknownRoutes:
     def test_new_route_is_served_by_partitioned_process(self):
-        """A process with an outdated configuration rejected a committed route with 404."""
+        """Guards against a 404 for a committed route from an outdated configuration."""
         world = large_world()
         for name in list(world.fronts)[1:]:
             world.cut(name, "front-0")
@@ -78,7 +78,7 @@
         assert count_polls(world, name) - before <= 3.0 / MAX_CURRENT_AGE_SECONDS + 1
 
     def test_polls_are_limited_while_store_rejects_them(self):
-        """Without a pause, each rejected poll would be followed by the next one."""
+        """Guards against polls in a tight loop: a pause follows each rejected poll."""
         world = large_world()
         name = next(name for name, each in world.fronts.items() if each.store_view.is_standby)
         world.store.fault = StoreFault.BUSY
@@ -93,7 +93,7 @@
         assert count_polls(world, name) - before <= 3.0 / FAILED_POLL_PAUSE_SECONDS + 3.0 + 2
 
     def test_polls_start_after_feed_position_from_peer(self):
-        """Otherwise each standby process would read the whole configuration on each poll."""
+        """Guards against standby processes that read the whole configuration on each poll."""
         world = large_world()
         written_at = world.store.put(CONFIG_TABLE, CONFIG_KEY, configuration(version=2))
         world.run(2.0)
@@ -130,7 +130,7 @@
             assert len(ages) > 1 and max(ages) < 5.0
 
     def test_zone_with_frozen_relays_receives_change(self):
-        """Standby processes must not wait for frozen relays to recover."""
+        """Guards against standby processes that wait for frozen relays to recover."""
         world = large_world()
         for name, front in list(world.fronts.items()):
             if front.settings.zone == "zone-a" and front.peers.relaying.is_relay:
--- a/flamingofront/process/forwarding/tests/test_readers.py
+++ b/flamingofront/process/forwarding/tests/test_readers.py
@@ -25,7 +25,7 @@
 from flamingofront.tests.forwarding_world import ForwardingWorld
 
 ZONES = ("zone-a", "zone-b")
-IN_ZONE = 6
+PROCESSES_PER_ZONE = 6
 
 
 def two_zone_world():
@@ -34,7 +34,7 @@
     world.configure_routes()
     world.endpoint("plain-1", "records")
     world.endpoint("plain-2", "records")
-    for number in range(IN_ZONE * len(ZONES)):
+    for number in range(PROCESSES_PER_ZONE * len(ZONES)):
         world.front(f"front-{number}", ZONES[number % len(ZONES)])
     world.run_until(lambda: all(each.ready for each in world.fronts.values()))
     # Processes go to standby when their first long poll ends.
@@ -69,8 +69,8 @@
         before = world.store.calls
         world.run(20.0)
         # Two long polls of at most 3.5 s per watcher, plus the calls of one lease holder.
-        feeds = 2 * WATCHERS_PER_ZONE * len(ZONES) * 20.0 / 3.5
-        assert world.store.calls - before <= 1.2 * feeds + 3 * 20.0
+        polls = 2 * WATCHERS_PER_ZONE * len(ZONES) * 20.0 / 3.5
+        assert world.store.calls - before <= 1.2 * polls + 3 * 20.0
 
     def test_all_processes_of_small_zone_watch(self):
         world = ForwardingWorld()
@@ -126,7 +126,7 @@
         assert any(can_any_stand_by([*watching, *peers[MIN_LIVE_WATCHERS:]]))
 
     def test_new_watchers_keep_endpoint_that_was_removed_and_returned(self):
-        """A peer had sent both changes, and the feed of the store would replay the removal."""
+        """Guards against replaying a removal from the feed after a peer has sent both changes."""
         world = two_zone_world()
         world.store.drop("servers", "plain-1")
         world.run(0.3)
@@ -152,7 +152,7 @@
 
 class TestOutage:
     def test_row_deleted_during_outage_is_removed_by_standby_processes(self):
-        """The grace period after the outage ends without a change in the store."""
+        """Guards against relying on a change in the store: the grace period ends without one."""
         world = two_zone_world()
         world.store.fault = StoreFault.SILENT
         world.store.drop("servers", "plain-1")
@@ -164,7 +164,7 @@
 
 
 class TestLocalPartition:
-    """A VM that alone was partitioned took a row deleted after its return for an expired one."""
+    """Guards against taking a row deleted after a local partition for an expired one."""
 
     # From the deletion of the row until no more requests may be sent.
     DRAIN_SECONDS = 2.0
@@ -214,27 +214,27 @@
         self.version = 1
         self.sequence = 1
 
-    @rule(number=st.integers(0, IN_ZONE * len(ZONES) - 1))
+    @rule(number=st.integers(0, PROCESSES_PER_ZONE * len(ZONES) - 1))
     def process_is_replaced(self, number):
         name = f"front-{number}"
         self.world.kill(name)
         self.world.run(0.5)
         self.world.front(name, ZONES[number % len(ZONES)])
 
-    @rule(number=st.integers(0, IN_ZONE * len(ZONES) - 1))
+    @rule(number=st.integers(0, PROCESSES_PER_ZONE * len(ZONES) - 1))
     def process_is_partitioned_from_store(self, number):
         self.world.cut(f"front-{number}", "store")
 
-    @rule(number=st.integers(0, IN_ZONE * len(ZONES) - 1))
+    @rule(number=st.integers(0, PROCESSES_PER_ZONE * len(ZONES) - 1))
     def process_freezes(self, number):
         self.world.pause(f"front-{number}")
 
-    @rule(number=st.integers(0, IN_ZONE * len(ZONES) - 1))
+    @rule(number=st.integers(0, PROCESSES_PER_ZONE * len(ZONES) - 1))
     def process_resumes(self, number):
         self.world.resume(f"front-{number}")
 
     @rule(fault=st.sampled_from(list(StoreFault)))
-    def store_changes(self, fault):
+    def store_fault_changes(self, fault):
         self.world.store.fault = fault
 
     @rule()
--- a/flamingofront/process/forwarding/tests/test_reports.py
+++ b/flamingofront/process/forwarding/tests/test_reports.py
@@ -278,7 +278,7 @@
 
 
 class TestLoadDeltas:
-    """Several prompts can arrive between two reports; deltas keep placements apart meanwhile."""
+    """Guards against prompts that arrive between two reports and all go to one endpoint."""
 
     report = PeerReport(
         "vm", 7, 3, "z", "1.2.3.4", "1.2.3.4:5", in_flight={"e": 1}, backlog={"e": 5}
@@ -311,9 +311,9 @@
             world.run(1.1)
 
     def test_encoding_round_trip(self):
-        note = LoadDelta("vm", 7, 3, {"e": (1, 900)})
-        data = encode_load_delta(note)
-        assert decode_load_delta(data) == note
+        delta = LoadDelta("vm", 7, 3, {"e": (1, 900)})
+        data = encode_load_delta(delta)
+        assert decode_load_delta(data) == delta
         assert is_load_delta(data) and not is_load_delta(encode_report(self.report))
 
     @pytest.mark.parametrize(
@@ -329,9 +329,9 @@
         assert results == [True, True]
         assert (kept.in_flight, kept.backlog) == ({"e": 2, "f": 2}, {"e": 12, "f": 9})
 
-    @pytest.mark.parametrize("note", [("vm", 7, 2), ("vm", 6, 3), ("unknown", 7, 3)])
-    def test_delta_that_a_report_includes_is_ignored(self, note):
-        results, kept = self.apply_deltas(LoadDelta(*note, {"e": (1, 7)}))
+    @pytest.mark.parametrize("delta", [("vm", 7, 2), ("vm", 6, 3), ("unknown", 7, 3)])
+    def test_delta_that_a_report_includes_is_ignored(self, delta):
+        results, kept = self.apply_deltas(LoadDelta(*delta, {"e": (1, 7)}))
         assert results == [False] and kept == self.report
 
     def test_lost_datagrams_leave_no_phantom_load(self):
--- a/flamingofront/process/forwarding/tests/test_restored_store.py
+++ b/flamingofront/process/forwarding/tests/test_restored_store.py
@@ -118,7 +118,7 @@
         assert len(world.ends_under(POISON)) == ends
 
     def test_conditional_write_from_earlier_era_is_rejected(self):
-        """After the restore, the same version belongs to other content."""
+        """Guards against overwriting other content that has the same version after the restore."""
         world = ready_world(fronts=2)
         store = world.fronts["front-1"].store
         outcomes = []
@@ -198,7 +198,10 @@
     @pytest.mark.parametrize("is_spec_lost", [False, True])
     @pytest.mark.parametrize("is_holder_killed", [False, True])
     def test_rolled_back_rollout_is_not_restarted(self, is_spec_lost, is_holder_killed):
-        """The verdict is lost, or also the rollout spec; the owner writes the spec again."""
+        """Guards against starting a rollout again whose verdict is lost in the restore.
+
+        The rollout spec may be lost too; its owner writes it again.
+        """
         rollout = Rollout(ForwardFault.ERROR)
         world = rollout.world
         age = rollout.serve_until("rolled_back", 40.0)
