--- a/flamingofront/process/forwarding/observations.py
+++ b/flamingofront/process/forwarding/observations.py
@@ -113,10 +113,10 @@
         if not self._peers.is_relayed:
             return ()
         return select_preferred_endpoints(
-            self._zone_placements()[self._local_id], self._peers.relaying.known_zones(), endpoints
+            self._ring_positions()[self._local_id], self._peers.relaying.known_zones(), endpoints
         )
 
-    def _zone_placements(self) -> dict[str, RingPosition]:
+    def _ring_positions(self) -> dict[str, RingPosition]:
         """Return the position of each process of the zone among the processes, by VM."""
         names = sorted(self._peers.relaying.zone_members())
         return {
@@ -129,9 +129,9 @@
         found: dict[str, list[str]] = {}
         for service in {fact.service for fact in map(self._facts.get, endpoints) if fact}:
             endpoint_zones = self._hub.directory.zones_of(service)
-            for name, placement in self._zone_placements().items():
+            for name, ring_position in self._ring_positions().items():
                 shared = set(
-                    select_preferred_endpoints(placement, zones, endpoint_zones)
+                    select_preferred_endpoints(ring_position, zones, endpoint_zones)
                 ).intersection(endpoints)
                 if shared and name != self._local_id:
                     found.setdefault(zone_ips[name], []).extend(sorted(shared))
--- a/flamingofront/process/forwarding/peers.py
+++ b/flamingofront/process/forwarding/peers.py
@@ -226,12 +226,12 @@
         if not self._is_table_read and not self.live_count():
             return ASSUMED_MEMBERS
         if self.is_relayed:
-            return max(self.relaying.count_members()[0], len(self._recently_registered()) + 1)
+            return max(self.relaying.count_members()[0], len(self._list_recently_registered()) + 1)
         now = self._timers.now()
-        vm_ids = {each.vm_id for each in self.table.members(now)} | self._recently_registered()
+        vm_ids = {each.vm_id for each in self.table.members(now)} | self._list_recently_registered()
         return len(vm_ids - {self._identity.vm_id}) + 1
 
-    def _recently_registered(self) -> set[str]:
+    def _list_recently_registered(self) -> set[str]:
         """Return the other VMs that were in the member table at a recent read."""
         now = self._timers.now()
         return {vm_id for vm_id, until in self._registered.items() if until > now}
@@ -283,7 +283,7 @@
         expected = self.table.members(now)
         if self.is_relayed:  # only relays receive direct reports, of their own zone
             expected = [
-                each for each in expected if self._is_same_zone(each) and self.relaying.is_relay
+                each for each in expected if self._is_in_own_zone(each) and self.relaying.is_relay
             ]
         missing = sorted(each.vm_id for each in expected if each.vm_id not in live_ids)
         status = (self.member_count(), self.live_count(), zones, missing)
@@ -378,7 +378,9 @@
             self.relaying.send_zone_digest_now()
             return
         live = [
-            each for each in self.table.live_reports(self._timers.now()) if self._is_same_zone(each)
+            each
+            for each in self.table.live_reports(self._timers.now())
+            if self._is_in_own_zone(each)
         ]
         if any(not each.watches_store for each in live):
             self._send_report_to([each.ip for each in live], without_counts(self._build_report()))
@@ -388,7 +390,7 @@
         if self.is_relayed:
             self.relaying.notify_all_relays()
 
-    def _is_same_zone(self, report: PeerReport) -> bool:
+    def _is_in_own_zone(self, report: PeerReport) -> bool:
         return report.zone == self._identity.zone
 
     def send_load_delta(self, sequence: int, changes: Mapping[str, tuple[int, int]]) -> None:
--- a/flamingofront/process/forwarding/relay_hearing.py
+++ b/flamingofront/process/forwarding/relay_hearing.py
@@ -138,7 +138,7 @@
         live = self._table.live_reports(self._timers.now())
         return [each for each in live if each.zone == self._identity.zone]
 
-    def _other_zone_members(self) -> dict[str, str]:
+    def _other_members_in_zone(self) -> dict[str, str]:
         """Return the IP address by VM of the zone's other members that are not leaving."""
         found = {each.vm_id: each.ip for each in self._zone_reports() if not each.leaving}
         for each in self._live_zone_digests():
@@ -223,7 +223,7 @@
 
     def zone_members(self) -> dict[str, str]:
         """Return the IP address by VM of the zone's members, including this process."""
-        return {**self._other_zone_members(), self._identity.vm_id: self._identity.ip}
+        return {**self._other_members_in_zone(), self._identity.vm_id: self._identity.ip}
 
     def _count_zone_members(self) -> tuple[int, int]:
         """Return the members and live members of the own zone, including this process."""
--- a/flamingofront/process/forwarding/relaying.py
+++ b/flamingofront/process/forwarding/relaying.py
@@ -144,7 +144,7 @@
 
     def _choose_relays(self) -> dict[str, str]:
         """Choose the zone's relays and return their IP addresses by VM, without this process."""
-        members = self._other_zone_members()
+        members = self._other_members_in_zone()
         digest_times = {name: each.received_at for name, each in self._zone_digests.items()}
         now = self._timers.now()
         chosen = self._relays.choose(members, digest_times, now)
@@ -257,7 +257,7 @@
             members=members,
             live=live,
             loads=sum_loads(loads),
-            claim=self._newest_claim(local, has_remote=scope == ALL_ZONES),
+            claim=self._find_newest_claim(local, include_remote=scope == ALL_ZONES),
             unreachable=tuple(sorted(self.unreachable_zones())) if self.is_relay else (),
             demand=sum_demand(loads),
             work=sum_work(loads),
@@ -274,7 +274,7 @@
         """
         found = {each.vm_id: each.ip for each in reports if not each.leaving}
         if not self.is_relay:
-            found.update(self._other_zone_members())
+            found.update(self._other_members_in_zone())
         return {**found, self._identity.vm_id: self._identity.ip}
 
     def _relays_by_zone(self) -> dict[str, tuple[str, ...]]:
@@ -292,12 +292,12 @@
                 )
         return found
 
-    def _newest_claim(self, local: PeerReport, has_remote: bool) -> LeaseClaim:
+    def _find_newest_claim(self, local: PeerReport, include_remote: bool) -> LeaseClaim:
         """Return the newest lease advertisement that this process has received or sends itself.
 
         Parameters
         ----------
-        has_remote : bool
+        include_remote : bool
             True to include advertisements from other zones.
         """
         now = self._timers.now()
@@ -305,7 +305,7 @@
         for each in self._zone_reports():
             if (self._table.seconds_since_report(each.vm_id, now) or 0.0) <= CLAIM_MAX_AGE_SECONDS:
                 claims.append(LeaseClaim(each.fencing, each.lease_version, each.released, each.ip))
-        if has_remote:
+        if include_remote:
             digests = self._live_remote_digests().values()
             claims += [
                 each.digest.claim
@@ -324,7 +324,7 @@
             local, self._identity.zone, [load_from_report(local, 0.0), *self._local_zone_loads()]
         )
         consumed = _sum_units(local.consumed, self._zone_consumed.total)
-        members = {**self._other_zone_members(), self._identity.vm_id: self._identity.ip}
+        members = {**self._other_members_in_zone(), self._identity.vm_id: self._identity.ip}
         ips = tuple(members[each] for each in self._relays.chosen if each in members)
         digest = replace(digest, consumed=consumed, relays={self._identity.zone: ips})
         data = DigestWriter(digest).datagram()
@@ -333,7 +333,7 @@
 
     def _send_usage(self, local: PeerReport) -> None:
         """Send the usage of this zone to the leader and to the relays that keep a copy."""
-        claim = self._newest_claim(local, has_remote=True)
+        claim = self._find_newest_claim(local, include_remote=True)
         if claim.fencing != self._usage_sent_to:
             self._usage_sent_to, self._full_usage_left = claim.fencing, FULL_USAGE_SENDS
         windows = KEPT_WINDOWS if self._full_usage_left > 0 else RECENT_WINDOWS
@@ -388,7 +388,7 @@
         if ip == digest.relay.ip:
             return True
         is_forwarded = digest.scope not in (ALL_ZONES, self._identity.zone)
-        return is_forwarded and ip in {*self._other_zone_members().values()}
+        return is_forwarded and ip in {*self._other_members_in_zone().values()}
 
     def receive_digest(self, digest: Digest, data: bytes) -> None:
         """Process a digest from a relay of the own zone or of another zone."""
