--- a/flamingofront/process/forwarding/relay_hearing.py
+++ b/flamingofront/process/forwarding/relay_hearing.py
@@ -22,7 +22,7 @@
 # Rows of the member table count as members for this long after the last read, so that all choose
 # the same relays from the start. Later only live processes count, since nobody deletes the rows.
 REGISTRATION_EXPIRY_SECONDS = 8.0
-# Time in which a new relay receives the reports of its zone and the digests of the others twice.
+# Time in which a new relay receives the reports of its zone and the digests of other zones twice.
 RELAY_WARMUP_SECONDS = 1.5
 
 
@@ -65,7 +65,7 @@
 
     @property
     def is_relay(self) -> bool:
-        """True if this process is a relay of its zone, which sums its reports."""
+        """True if this process is a relay, which sums the reports of its zone."""
         return self._relays.is_relay
 
     def is_counting_directly(self) -> bool:
@@ -138,7 +138,7 @@
         live = self._table.live_reports(self._timers.now())
         return [each for each in live if each.zone == self._identity.zone]
 
-    def _other_zone_members(self) -> dict[str, str]:
+    def _other_members_in_zone(self) -> dict[str, str]:
         """Return the IP address by VM of the zone's other members that are not leaving."""
         found = {each.vm_id: each.ip for each in self._zone_reports() if not each.leaving}
         for each in self._live_zone_digests():
@@ -223,7 +223,7 @@
 
     def zone_members(self) -> dict[str, str]:
         """Return the IP address by VM of the zone's members, including this process."""
-        return {**self._other_zone_members(), self._identity.vm_id: self._identity.ip}
+        return {**self._other_members_in_zone(), self._identity.vm_id: self._identity.ip}
 
     def _count_zone_members(self) -> tuple[int, int]:
         """Return the members and live members of the own zone, including this process."""
--- a/flamingofront/process/forwarding/relaying.py
+++ b/flamingofront/process/forwarding/relaying.py
@@ -42,13 +42,14 @@
 # Period of the digests of a relay to its zone. The two relays alternate, so that load data is 0.1 s
 # old in the mean when it arrives there.
 DIGEST_PERIOD_SECONDS = 0.25
-# Every second tick a report goes to the relays, and a digest to the other zones.
+# A tick is one digest period. Every second tick a report goes to the relays, and a digest to the
+# other zones.
 TICKS_PER_REPORT = 2
-# Every fourth tick usage goes to the leader: a window is reported two seconds after its end at the
-# earliest.
+# Every fourth tick the usage goes to the leader: a window is reported two seconds after its end at
+# the earliest.
 TICKS_PER_USAGE = 4
-# A lease advertisement is forwarded only up to this age, a report period and a datagram delay. An
-# older one would postpone the takeover from a holder that has ended.
+# A lease advertisement is forwarded only up to this age: a report period plus a datagram delay.
+# An older one would postpone the takeover from a holder that has ended.
 CLAIM_MAX_AGE_SECONDS = 0.6
 # Sent reports that are kept, to subtract the load of this process from a digest; about eight
 # seconds.
@@ -60,9 +61,9 @@
 RECENT_WINDOWS = 2
 # Number of times that all kept windows are sent to a new leader; one may be lost.
 FULL_USAGE_SENDS = 2
-# Zones whose first relay keeps a copy of this zone's usage, besides the leader.
+# Number of other zones whose first relay keeps a copy of this zone's usage, besides the leader.
 USAGE_BACKUP_ZONES = 2
-# Processes of a zone without known relays that get a digest; any of them forwards it to its relays.
+# Number of processes of an unreachable zone that get a digest; each forwards it to its relays.
 UNREACHABLE_ZONE_TARGETS = 4
 # Processes of the own zone, and as many of the other zones, that get a direct report while no relay
 # is live.
@@ -143,7 +144,7 @@
 
     def _choose_relays(self) -> dict[str, str]:
         """Choose the zone's relays and return their IP addresses by VM, without this process."""
-        members = self._other_zone_members()
+        members = self._other_members_in_zone()
         digest_times = {name: each.received_at for name, each in self._zone_digests.items()}
         now = self._timers.now()
         chosen = self._relays.choose(members, digest_times, now)
@@ -153,7 +154,7 @@
     # Sending
 
     def run_tick(self) -> bool:
-        """Send the reports and digests that are due; False if no relay is live."""
+        """Send the reports and digests that are due, and return True if a relay is live."""
         before = self._relays.chosen
         relays = self._choose_relays()
         self._ticks += 1
@@ -256,7 +257,7 @@
             members=members,
             live=live,
             loads=sum_loads(loads),
-            claim=self._newest_claim(local, has_remote=scope == ALL_ZONES),
+            claim=self._find_newest_claim(local, include_remote=scope == ALL_ZONES),
             unreachable=tuple(sorted(self.unreachable_zones())) if self.is_relay else (),
             demand=sum_demand(loads),
             work=sum_work(loads),
@@ -273,7 +274,7 @@
         """
         found = {each.vm_id: each.ip for each in reports if not each.leaving}
         if not self.is_relay:
-            found.update(self._other_zone_members())
+            found.update(self._other_members_in_zone())
         return {**found, self._identity.vm_id: self._identity.ip}
 
     def _relays_by_zone(self) -> dict[str, tuple[str, ...]]:
@@ -291,12 +292,12 @@
                 )
         return found
 
-    def _newest_claim(self, local: PeerReport, has_remote: bool) -> LeaseClaim:
+    def _find_newest_claim(self, local: PeerReport, include_remote: bool) -> LeaseClaim:
         """Return the newest lease advertisement that this process has received or sends itself.
 
         Parameters
         ----------
-        has_remote : bool
+        include_remote : bool
             True to include advertisements from other zones.
         """
         now = self._timers.now()
@@ -304,7 +305,7 @@
         for each in self._zone_reports():
             if (self._table.seconds_since_report(each.vm_id, now) or 0.0) <= CLAIM_MAX_AGE_SECONDS:
                 claims.append(LeaseClaim(each.fencing, each.lease_version, each.released, each.ip))
-        if has_remote:
+        if include_remote:
             digests = self._live_remote_digests().values()
             claims += [
                 each.digest.claim
@@ -323,7 +324,7 @@
             local, self._identity.zone, [load_from_report(local, 0.0), *self._local_zone_loads()]
         )
         consumed = _sum_units(local.consumed, self._zone_consumed.total)
-        members = {**self._other_zone_members(), self._identity.vm_id: self._identity.ip}
+        members = {**self._other_members_in_zone(), self._identity.vm_id: self._identity.ip}
         ips = tuple(members[each] for each in self._relays.chosen if each in members)
         digest = replace(digest, consumed=consumed, relays={self._identity.zone: ips})
         data = DigestWriter(digest).datagram()
@@ -332,7 +333,7 @@
 
     def _send_usage(self, local: PeerReport) -> None:
         """Send the usage of this zone to the leader and to the relays that keep a copy."""
-        claim = self._newest_claim(local, has_remote=True)
+        claim = self._find_newest_claim(local, include_remote=True)
         if claim.fencing != self._usage_sent_to:
             self._usage_sent_to, self._full_usage_left = claim.fencing, FULL_USAGE_SENDS
         windows = KEPT_WINDOWS if self._full_usage_left > 0 else RECENT_WINDOWS
@@ -359,12 +360,13 @@
     # Receiving
 
     def receive_report(self, report: PeerReport, is_continuous: bool, is_new: bool) -> None:
-        """Count the consumption and usage in a direct report, and answer a new sender.
+        """Record the quota consumption in a direct report, and the processes whose usage it has.
 
         Parameters
         ----------
         is_continuous : bool
-            False if its sender was unreachable: its consumption meanwhile was within its own share.
+            False if its sender was unreachable before: its consumption since then is not counted,
+            because it was limited to the sender's own share of the quota.
         is_new : bool
             True for the first report of its sender, which gets a digest at once.
         """
@@ -380,13 +382,13 @@
 
         Notes
         -----
-        Valid are the address of its relay and, for digests of other zones, those of the own zone's
-        members, which forward them.
+        A digest comes from its relay, or from a member of the own zone that forwards a digest of
+        another zone.
         """
         if ip == digest.relay.ip:
             return True
         is_forwarded = digest.scope not in (ALL_ZONES, self._identity.zone)
-        return is_forwarded and ip in {*self._other_zone_members().values()}
+        return is_forwarded and ip in {*self._other_members_in_zone().values()}
 
     def receive_digest(self, digest: Digest, data: bytes) -> None:
         """Process a digest from a relay of the own zone or of another zone."""
@@ -425,9 +427,9 @@
         Notes
         -----
         A digest that acknowledges no sent report cannot be counted, and must not become the active
-        source in place of one that can. After a restart of all processes, some that had been taken
-        for relays went on sending digests for three seconds, and until then no process counted the
-        others' consumption.
+        source in place of one that can. After a restart of all processes, some that others had
+        mistaken for relays went on sending digests for three seconds, and until then no process
+        counted the others' consumption.
         """
         if digest.consumed is None:
             return
