--- a/flamingofront/process/forwarding/duty.py
+++ b/flamingofront/process/forwarding/duty.py
@@ -1,9 +1,10 @@
 """Lease of the process that runs the leader tasks, and the state kept with it.
 
-One row of the store holds the lease holder, its fencing token and what a successor must repeat. The
-holder renews the lease with a conditional write, so a process that lost the lease finds out. Other
-processes do not read the row while they receive reports from the holder: they try to acquire the
-lease once neither a report nor a change of the row has been seen for longer than the lease.
+One row of the store holds the lease holder, its fencing token and the usage reports that a
+successor may have to send again. The holder renews the lease with a conditional write, so a process
+that lost the lease finds out. Other processes do not read the row while they receive reports from
+the holder: they try to acquire the lease once neither a report nor a change of the row has been
+seen for longer than the lease.
 
 A VM that held the lease, lost it to another and acquires it again waits for a whole lease before it
 acts: its calls before and after those of the other holder are never closer than that.
@@ -190,13 +191,13 @@
             yield from self._poll_row()
 
     def _lost_in_restore(self) -> Task:
-        """Return True if an expired lease must be acquired again instead of renewed.
+        """Return True, dropping the lease, if it must be acquired again instead of renewed.
 
         Notes
         -----
-        Normally the row shows that nobody else acquired the lease meanwhile. It does not if the
-        store was restored from an older snapshot: a holder that had been suspended would continue
-        with a lower fencing token than its successor's.
+        The lease has expired here. Normally the row shows that nobody else acquired it meanwhile.
+        It does not if the store was restored from an older snapshot: a holder that had been
+        suspended would continue with a lower fencing token than its successor's.
         """
         era = self._era
         found = yield from self._store.read(LEADER_TABLE, LEADER_PARTITION)
@@ -263,7 +264,7 @@
         )
         sent_at = self._now()
         if not (yield from self._write(state)):
-            # Another process has just acquired the lease.
+            # Another process has just acquired the lease, which starts now.
             self._last_seen_at = self._now()
             self._log.info("leader lease not acquired", fencing=state.fencing)
             return
--- a/flamingofront/process/forwarding/inquiries.py
+++ b/flamingofront/process/forwarding/inquiries.py
@@ -1,7 +1,8 @@
 """Requests to the arbiter of a key, with fallback to the next one if it is unresponsive.
 
 Each process ranks the processes that it can reach by rendezvous hashing and asks the first one;
-there is no agreement protocol. Code that decides must tolerate views that differ for a moment.
+there is no agreement protocol. Implementations of `ArbiterProtocol` must tolerate rankings that
+differ between processes for a moment.
 """
 
 import itertools
@@ -19,10 +20,11 @@
 
 # Many times the round trip between two zones, and a small part of the tightest latency objective.
 REPLY_TIMEOUT_SECONDS = 0.03
-# How long a process is excluded that missed two replies or does not decide.
+# Time for which a process that missed two replies, or does not decide, is excluded.
 EXCLUSION_SECONDS = 1.0
-# Processes that may leave a request unanswered before the fallback; the first one is asked twice,
-# since a datagram may be lost. One that does not decide replies so at once, and does not count.
+# Processes that may leave a request unanswered before this process decides locally; the first
+# one is asked twice, since a datagram may be lost. One that does not decide replies so at once, and
+# does not count.
 MAX_UNRESPONSIVE = 3
 # Requests and replies that are kept for duplicate or late datagrams: some seconds of the busiest
 # process.
@@ -33,7 +35,7 @@
 
 
 class DecisionRequest(ABC):
-    """A request that one process decides on for all."""
+    """A request on which one process, the arbiter, decides for all processes."""
 
     @property
     @abstractmethod
@@ -179,7 +181,7 @@
         self._log.info(f"{self._name} arbiter excluded", arbiter=ip, reason=reason)
 
     def _finish(self, pending: _PendingRequest[RequestT], arbiter: str) -> None:
-        """Remember who decided on a request, for late replies."""
+        """End a pending request, remembering its arbiter for late replies."""
         self._pending.pop(pending.number, None)
         self._decided[pending.number] = (pending.request, arbiter)
         while len(self._decided) > MAX_REMEMBERED:
@@ -211,7 +213,7 @@
         return pending
 
     def late_request(self, number: int, ip: str) -> RequestT | None:
-        """Return the request of a grant to be returned, as another process was asked; else None."""
+        """Return the request of a late reply from `ip`, whose grant must be returned; else None."""
         pending = self._pending.get(number)
         if pending is not None:
             return pending.request
--- a/flamingofront/process/forwarding/limit_arbiter.py
+++ b/flamingofront/process/forwarding/limit_arbiter.py
@@ -32,8 +32,8 @@
 # Share of a limit granted by the second-ranked arbiter, for processes that cannot reach the first.
 # Both together stay well within the 1.5 times of its limit that an endpoint tolerates.
 SECOND_RANK_SHARE = 0.25
-# An arbiter that has replied this recently may have granted the whole limit: datagrams were lost,
-# and a local share would exceed the limit.
+# If an arbiter has replied this recently, only datagrams were lost: it may have granted the whole
+# limit, and a local share in addition would exceed it.
 RECENT_REPLY_SECONDS = 0.5
 # Longest wait after a local rejection: an arbiter may be reachable again by then.
 MAX_LOCAL_WAIT_SECONDS = 1.0
@@ -43,14 +43,14 @@
 
 @dataclass(frozen=True)
 class LimitContext:
-    """What the arbitration of limits needs to know of its process.
+    """Identity of this process and callbacks for the arbitration of limits.
 
     Parameters
     ----------
     arbiters : ArbiterContext
         This process, and the ranking of arbiters by endpoint.
     live_share : callable
-        Returns the fraction of all processes that can ask here; below 1 while a zone is
+        Returns the fraction of all processes that can reach this one; below 1 while a zone is
         unreachable.
     member_share : callable
         Returns one process's share: 1 divided by the number of processes.
@@ -171,7 +171,7 @@
         Raises
         ------
         ValueError
-            If it is malformed.
+            If the reply is malformed.
         """
         reply = decode_permit_reply(data)
         if reply.verdict is Verdict.NOT_HERE:
@@ -195,7 +195,7 @@
         Raises
         ------
         ValueError
-            If it is malformed.
+            If the request is malformed.
         """
         request = decode_permit_request(data)
         if request.priority == PERMIT_RETURNED:
--- a/flamingofront/process/forwarding/limit_messages.py
+++ b/flamingofront/process/forwarding/limit_messages.py
@@ -35,7 +35,7 @@
     number : int
         Number of the request at its sender; a duplicate has the same.
     limit : EndpointLimit
-        The endpoint's limit as the sender knows it.
+        The endpoint's limit as cached by the sender.
     priority : int
         Priority of the request, 0 is the most urgent; negative to return a permit.
     patience : float
@@ -90,7 +90,7 @@
     Raises
     ------
     ValueError
-        If they are malformed.
+        If the values are malformed.
     """
     try:
         return tuple(_parse_limit(*each) for each in values)
@@ -98,12 +98,14 @@
         raise ValueError(f"malformed limits: {exc!r:.100}") from exc
 
 
-def _parse_limit(endpoint_id: str, born: int, rate: float | None, named_at: float) -> EndpointLimit:
-    """Return the limit in its JSON values; raises ValueError if the rate is negative."""
+def _parse_limit(
+    endpoint_id: str, started_ms: int, rate: float | None, advertised_at: float
+) -> EndpointLimit:
+    """Return the limit with the given JSON values; raises ValueError if the rate is negative."""
     checked_rate = None if rate is None else float(rate)
     if checked_rate is not None and checked_rate < 0:
         raise ValueError(f"rate is {checked_rate}, expected at least 0")
-    return EndpointLimit(str(endpoint_id), int(born), checked_rate, float(named_at))
+    return EndpointLimit(str(endpoint_id), int(started_ms), checked_rate, float(advertised_at))
 
 
 def encode_permit_request(request: PermitRequest) -> bytes:
@@ -125,7 +127,7 @@
     Raises
     ------
     ValueError
-        If it is malformed.
+        If the datagram is malformed.
     """
     try:
         number, priority, patience, limit = orjson.loads(data[len(_REQUEST) :])[:4]
@@ -140,7 +142,7 @@
     Raises
     ------
     ValueError
-        If it is malformed.
+        If the datagram is malformed.
     """
     try:
         number, verdict, delay, wait = orjson.loads(data[len(_REPLY) :])[:4]
--- a/flamingofront/process/forwarding/node.py
+++ b/flamingofront/process/forwarding/node.py
@@ -62,12 +62,11 @@
 
 __all__ = ["Dependencies", "ForwardingNode"]
 
-# A request is rejected early within its latency objective, while another entry VM can still serve
-# it in time.
+# Fraction of its latency objective for which a request may wait here: it is rejected while another
+# entry VM can still serve it in time.
 QUEUE_PATIENCE_SHARE = 0.2
-# Endpoints compared for one choice when load reports are late: many processes would all pick the
-# same few endpoints that seem idle. The two candidates used otherwise are the ones that a process
-# prefers.
+# Endpoints compared for one choice when load reports are late: with more, many processes would all
+# pick the same few endpoints that seem idle. Two of the three are those that a process prefers.
 LATE_LOAD_CANDIDATES = 3
 # Mean age from which load reports count as late, in seconds: reached with more than sixteen peers.
 LATE_LOAD_SECONDS = 0.2
@@ -109,7 +108,7 @@
         self.metrics = Metrics({"vm": settings.vm_id, "zone": settings.zone})
         self.on_configuration: Callable[[ForwardingConfiguration], None] = lambda cfg: None
         self.stopping = False
-        self._has_unsent_leaving = False
+        self._has_unsent_leaving_report = False
         self._started_at = dependencies.timers.now()
         self.store = EraStore(CountedTableStore(dependencies.store, self.metrics), log)
         self._dependencies = replace(dependencies, store=self.store)
@@ -155,7 +154,7 @@
         return IntentRecorder(self.hub, rows, services, sender, self.member_share, vanished.read)
 
     def _build_requests(self) -> None:
-        """Build what handles requests: endpoints, routing, quotas and the gateway."""
+        """Build the request handling: endpoints, routing, quotas and the gateway."""
         settings, dependencies = self.settings, self._dependencies
         self.facts = FactTable()
         self.directory = EndpointDirectory(self.facts, self._rng, settings.zone)
@@ -266,7 +265,7 @@
         )
 
     def _build_peers(self) -> None:
-        """Build what exchanges data with peers: reports, arbitration and anti-entropy."""
+        """Build the communication with peers: reports, arbitration and anti-entropy."""
         self.peers = Peers(
             self._report_builder.identity,
             self.settings.peer_port,
@@ -280,7 +279,7 @@
                 lambda relay, claim: self._gossip.apply_relay_state(relay, claim),
                 lambda process, sums, counts: self._gossip.apply_sums(process, sums, counts),
                 lambda: self.observations.mark_loads_stale(),
-                lambda counts, told_until: self.usage.merge_counts(counts, told_until),
+                lambda counts, received_until: self.usage.merge_counts(counts, received_until),
                 lambda processes, windows: self.usage.collect_recent_counts(
                     processes, self.peers.cluster_time(), windows
                 ),
@@ -379,7 +378,7 @@
         self.peers.on_permit_reply = self.limit_arbiters.handle_reply
 
     def _defers_quota_decisions(self) -> bool:
-        """Return True if this process is stopping or new, so others decide on quotas."""
+        """Return True if this process is stopping or new, so that others decide on quotas."""
         return self.stopping or self.quota_members.is_newcomer()
 
     def _is_standby(self) -> bool:
@@ -389,15 +388,15 @@
         return self.readers.can_stand_by()
 
     def _on_store_change(self) -> None:
-        """Report a store change to the zone, which may rely on this process as watcher."""
+        """Report a store change to the zone, whose processes may rely on this watcher."""
         self.peers.notify_zone()
-        if self._has_unsent_leaving:
-            self._has_unsent_leaving = False
+        if self._has_unsent_leaving_report:
+            self._has_unsent_leaving_report = False
             self.peers.broadcast_leaving()
 
     def _on_row_leaving(self, row: EndpointRow) -> None:
         """Defer the report of a leaving endpoint until all changes of its poll are applied."""
-        self._has_unsent_leaving = True
+        self._has_unsent_leaving_report = True
 
     def _build_leader_tasks(self) -> None:
         """Build the leader lease and the leader tasks that this deployment needs."""
@@ -513,8 +512,8 @@
             self.tasks.start(self.lease.run())
         for task in self.leader_tasks:
             self.tasks.start(task.run())
-        for follower in self.store_view.watchers:
-            self.tasks.start(follower.run())
+        for watcher in self.store_view.watchers:
+            self.tasks.start(watcher.run())
         self.tasks.start(self.held.run())
         self.timers.every(
             STALENESS_CHECK_SECONDS,
--- a/flamingofront/process/forwarding/quota_arbiter.py
+++ b/flamingofront/process/forwarding/quota_arbiter.py
@@ -34,14 +34,14 @@
 
 __all__ = ["QuotaArbiters", "QuotaContext"]
 
-# Time as first in rank after which a process has received all that others have consumed.
+# A process that has ranked first for this long has received the usage counts of all others.
 SETTLED_SECONDS = 2.0
 ROLE_CHECK_SECONDS = 0.5
 
 
 @dataclass(frozen=True)
 class QuotaContext:
-    """What the arbitration of quotas needs to know of its process.
+    """Identity of this process and callbacks for the arbitration of quotas.
 
     Parameters
     ----------
@@ -195,7 +195,7 @@
         Raises
         ------
         ValueError
-            If it is malformed.
+            If the reply is malformed.
         """
         reply = decode_quota_reply(data)
         if reply.verdict is Verdict.NOT_HERE:
@@ -221,7 +221,7 @@
         Raises
         ------
         ValueError
-            If it is malformed.
+            If the request is malformed.
         """
         request = decode_quota_request(data)
         workspace = self._context.workspaces().get(request.workspace)
--- a/flamingofront/process/forwarding/quota_messages.py
+++ b/flamingofront/process/forwarding/quota_messages.py
@@ -28,9 +28,9 @@
 
     ALLOWED = 0
     REFUSED = 1
-    """It is over the quota."""
+    """The request is over the quota."""
     NOT_HERE = 2
-    """The process does not decide on this workspace: another one is to be asked."""
+    """The process is not an arbiter for the request; the sender asks another one."""
 
 
 @dataclass(frozen=True)
@@ -107,7 +107,7 @@
     Raises
     ------
     ValueError
-        If it is malformed.
+        If the datagram is malformed.
     """
     try:
         number, workspace, units = orjson.loads(data[1:])[:3]
@@ -122,7 +122,7 @@
     Raises
     ------
     ValueError
-        If it is malformed.
+        If the datagram is malformed.
     """
     try:
         values = orjson.loads(data[1:])
--- a/flamingofront/process/forwarding/rollouts.py
+++ b/flamingofront/process/forwarding/rollouts.py
@@ -78,11 +78,11 @@
     share : float
         Largest fraction of a service's requests that a bad version may get.
     now : callable
-        Time of the timer service.
+        Monotonic clock of the timer service, in seconds.
     """
 
     def __init__(self, share: float, now: Callable[[], float], rng: random.Random, log: Log):
-        self._part = share * EXPOSED_FRACTION
+        self._exposed_fraction = share * EXPOSED_FRACTION
         self._now = now
         self._rng = rng
         self._log = log
@@ -90,7 +90,7 @@
         self._local_counts: Counter[str] = Counter()
         # Called after a phase decided by this process, to send it to the peers at once.
         self.on_verdict: Callable[[], None] = lambda: None
-        # Called for each new order, to load the status that its rollout has already reached.
+        # Called for each new order, to load the stored status of its rollout.
         self.on_order: Callable[[], None] = lambda: None
         self._peer_counts: dict[tuple[str, str], float] = {}
 
@@ -230,7 +230,7 @@
     # Requests
 
     def version_rule(self, service: str, is_first: bool) -> VersionRule | None:
-        """Return which endpoints an attempt may go to; None without a rollout.
+        """Return the rule for the endpoints that an attempt may use; None without a rollout.
 
         Parameters
         ----------
@@ -243,7 +243,7 @@
             return None
         exposed = rollout.phase in (Phase.MOVING, Phase.COMPLETED)
         if rollout.phase is Phase.RUNNING and is_first and not rollout.stopped:
-            exposed = self._rng.random() < self._part
+            exposed = self._rng.random() < self._exposed_fraction
         return VersionRule(rollout.order.version, exposed, rollout.blocked)
 
     def record_response(self, service: str, version: str, is_bad: bool) -> None:
@@ -258,7 +258,7 @@
         self._add_count(name, 1)
 
     def collect_evidence(self, service: str, old_idle_seconds: float) -> RolloutEvidence:
-        """Return the evidence on a service's rollout.
+        """Return the evidence for deciding the next phase of a service's rollout.
 
         Parameters
         ----------
@@ -279,7 +279,7 @@
     service_of : callable
         Returns the service of a key in the table of orders, empty for other keys.
     decode_order : callable
-        Returns the `RolloutSpec` in a row's service, value and version.
+        Decodes a `RolloutSpec` from the service, value and version of a row.
     status_table : str
         Table in which this system stores the phases of rollouts.
     """
@@ -360,7 +360,7 @@
                 return
 
     def invalidate_rows(self) -> None:
-        """Reload the rows before the next step, after a restore of the store."""
+        """Force a reload of the rows before the next step, after a restore of the store."""
         self._versions.clear()
 
     def step(self) -> Task:
--- a/flamingofront/process/forwarding/scaling.py
+++ b/flamingofront/process/forwarding/scaling.py
@@ -23,21 +23,22 @@
 __all__ = ["ScalingController"]
 
 STEP_SECONDS = 0.5
-# Requests for a service wait this long after its first endpoint was seen, so that existing
-# endpoints are known: they write their rows about once a second and start one after the other. The
-# wait is extended until no new endpoint was seen for half of this time. Of 45 endpoints that
-# registered within 3.6 s only 35 were counted after three, and half of the requests of seconds two
-# to eight were late.
+# The first scaling request for a service waits this long after its first endpoint was seen, so that
+# existing endpoints are counted: they write their rows about once a second and start one after the
+# other. The wait is extended until no new endpoint was seen for half of this time. Of 45 endpoints
+# that registered within 3.6 s only 35 were counted after three, and half of the requests of seconds
+# two to eight were late.
 REGISTER_SECONDS = 3.0
 # The same wait where only this process restarted: all rows exist and are read in one call. With
-# three seconds no scaling request was sent for that long after the lease holder was killed and came
-# back.
+# three seconds no scaling request was sent for that long after the lease holder was killed and
+# restarted.
 RESTART_SECONDS = 0.3
 # A request that the cloud could not grant is sent again after this time, and until then its zone
 # counts as exhausted of reclaimable capacity; the platform rejects for ten seconds and more at a
 # time.
 RETRY_SECONDS = 2.0
-# Requests are repeated periodically: the cloud's state cannot be read back, and one may be lost.
+# Scaling requests are repeated periodically: the cloud's state cannot be read back, and a request
+# may be lost.
 REPEAT_SECONDS = 20.0
 # Scaling in waits until the lower number has sufficed for this long: longer than a burst (3 to 5 s)
 # and several times the start time of an endpoint.
@@ -72,7 +73,7 @@
     sent_at : float
         Time of the last call.
     refused : int or None
-        Number of endpoints that was rejected since.
+        Requested number that was rejected since; None if none was.
     wanted_at : float
         Last time at which the plan wanted all granted endpoints.
     """
@@ -201,12 +202,12 @@
 
     def _exhausted_zones(self, service: str, now: float) -> frozenset[str]:
         """Return the zones whose reclaimable endpoints are being reclaimed or were not granted."""
-        refused = {
+        rejected = {
             zone
             for (name, zone), until in self._exhausted_until.items()
             if name == service and until > now
         }
-        return frozenset(refused | self._reclaimed_zones(service))
+        return frozenset(rejected | self._reclaimed_zones(service))
 
     def _reclaimed_zones(self, service: str) -> set[str]:
         """Return the zones whose reclaimable endpoints are all leaving.
@@ -214,7 +215,7 @@
         Notes
         -----
         The notice comes two to three seconds before the reclaim, and a replacement takes four to
-        start: waiting for a rejected request would lose one second of them.
+        start: waiting until a request is rejected would waste one second of this time.
         """
         states: dict[str, set[bool]] = {}
         for each in self._endpoints():
@@ -231,7 +232,7 @@
         )
 
     def _send_priority(self, request: EndpointOrder) -> int:
-        """Return the sort key: removals first at a start, to free the limits, otherwise last."""
+        """Return the sort key: initial removals first, to free the limits, later ones last."""
         last = self._last_requests.get(_request_key(request))
         if last is None:
             return 0 if request.count == 0 else 1
--- a/flamingofront/process/forwarding/settings.py
+++ b/flamingofront/process/forwarding/settings.py
@@ -9,12 +9,12 @@
 
 @dataclass(frozen=True)
 class SharedRules:
-    """Limits that all entry processes keep together; times in seconds.
+    """Limits that apply to all entry processes together; times in seconds.
 
     Parameters
     ----------
     retry_ratio, retry_window, retry_allowance : float
-        In each window a service gets at most ratio times its requests, plus the allowance, in
+        In each window a service gets at most ratio times its requests, plus the allowance, as
         retries and hedges.
     lease_seconds : float
         Shortest time between two holders of the leader lease.
--- a/flamingofront/process/forwarding/shutdown.py
+++ b/flamingofront/process/forwarding/shutdown.py
@@ -9,7 +9,7 @@
 __all__ = ["GracefulShutdown"]
 
 # The balancer checks once a second and removes the process after two failures. Until then new
-# connections arrive here, and kept ones carry new requests.
+# connections arrive here, and persistent ones carry new requests.
 BALANCER_REACTION_SECONDS = 2.5
 CHECK_SECONDS = 0.05
 # Requests in flight must complete this long before the process would be killed.
@@ -89,7 +89,12 @@
         self._on_exit()
 
     def _answer_remaining(self) -> None:
-        """Answer all requests whose response has not started; only started streams are left."""
+        """Answer all requests whose response has not started; only started streams are left.
+
+        Notes
+        -----
+        Without an answer, the callers would only see that their connection is lost.
+        """
         unanswered = len(self._node.hub.active)
         for request in list(self._node.hub.active.values()):
             request.process_ends()
--- a/flamingofront/process/forwarding/tests/test_duties.py
+++ b/flamingofront/process/forwarding/tests/test_duties.py
@@ -18,7 +18,7 @@
     return [each for each in world.store.duty_calls if each.path == path]
 
 
-def usage(world):
+def reported_usage(world):
     """Return the reported counts by window; repeated reports must agree."""
     found = {}
     for each in cloud_calls(world, "/usage"):
@@ -27,7 +27,7 @@
     return found
 
 
-def holder(world):
+def find_holder(world):
     """Return the VM that holds a valid leader lease."""
     return next(name for name, each in world.fronts.items() if each.lease.valid_lease() is not None)
 
@@ -35,16 +35,16 @@
 def assert_one_holder_at_a_time(world):
     """Check that fencing tokens never fall and no VM acts around another within one lease."""
     last = None
-    last_of = {}
+    last_acts = {}
     for each in world.store.duty_calls:
         if last is not None:
             assert each.fencing >= last.fencing
             if each.holder != last.holder:
                 assert each.fencing > last.fencing
-                before = last_of.get(each.holder)
+                before = last_acts.get(each.holder)
                 assert before is None or each.at - before >= LEASE_SECONDS
         last = each
-        last_of[each.holder] = each.at
+        last_acts[each.holder] = each.at
 
 
 class TestUsage:
@@ -54,8 +54,8 @@
             world.finish(world.ask(f"front-{1 + number % 3}", "/read/x"))
             world.run(0.3)
         world.run(12.0)
-        assert sum(each.get("desk", 0) for each in usage(world).values()) == 30
-        windows = sorted(usage(world))
+        assert sum(each.get("desk", 0) for each in reported_usage(world).values()) == 30
+        windows = sorted(reported_usage(world))
         assert windows == list(range(windows[0], windows[-1] + 1))
         assert_one_holder_at_a_time(world)
 
@@ -63,7 +63,7 @@
     def test_successor_reports_without_a_gap(self, failure):
         world = ready_world(fronts=3)
         world.run(6.0)
-        first = holder(world)
+        first = find_holder(world)
         others = [name for name in world.fronts if name != first]
         if failure == "kill":
             world.kill(first)
@@ -78,9 +78,9 @@
             world.resume(first)
         world.heal()
         world.run(15.0)
-        windows = sorted(usage(world))
+        windows = sorted(reported_usage(world))
         assert windows == list(range(windows[0], windows[-1] + 1))
-        assert sum(each.get("desk", 0) for each in usage(world).values()) == 40
+        assert sum(each.get("desk", 0) for each in reported_usage(world).values()) == 40
         assert len({each.holder for each in world.store.duty_calls}) >= 2
         assert_one_holder_at_a_time(world)
 
@@ -88,9 +88,9 @@
     def test_only_one_of_many_acquires_an_expired_lease(self, seed):
         world = ready_world(fronts=6, seed=seed)
         world.run(4.0)
-        world.kill(holder(world))
+        world.kill(find_holder(world))
         world.run(20.0)
-        usage(world)
+        reported_usage(world)
         assert_one_holder_at_a_time(world)
         assert len({each.fencing for each in world.store.duty_calls}) == 2
 
@@ -111,8 +111,8 @@
             world.run_until(lambda name=name: world.fronts[name].ready)
             world.run(0.5)
         world.run(15.0)
-        assert sum(each.get("desk", 0) for each in usage(world).values()) == sent
-        windows = sorted(usage(world))
+        assert sum(each.get("desk", 0) for each in reported_usage(world).values()) == sent
+        windows = sorted(reported_usage(world))
         assert windows == list(range(windows[0], windows[-1] + 1))
         assert_one_holder_at_a_time(world)
 
@@ -126,14 +126,14 @@
         world.store.fault = StoreFault.NONE
         world.store.cloud_fault = StoreFault.NONE
         world.run(15.0)
-        usage(world)
+        reported_usage(world)
         assert_one_holder_at_a_time(world)
 
     def test_wrong_clock_is_outvoted(self):
         world = ready_world(fronts=3)
         front = world.fronts["front-2"]
-        own = front.timers.wall
-        front.timers.wall = lambda: own() + 40.0
+        true_wall = front.timers.wall
+        front.timers.wall = lambda: true_wall() + 40.0
         world.run(1.0)
         assert abs(front.peers.cluster_time() - world.clock.now()) < 0.1
 
@@ -150,14 +150,14 @@
     def test_released_lease_is_acquired_soon(self):
         world = ready_world(fronts=3)
         world.run(5.0)
-        first = holder(world)
+        first = find_holder(world)
         node = world.fronts[first]
         node.stopping = True
         node.tasks.start(node.lease.release())
         world.run(0.1)
         node.peers.broadcast_report()
         world.run(LEASE_SECONDS + 1.5)
-        second = holder(world)
+        second = find_holder(world)
         assert second != first
         world.run(20.0)
         assert_one_holder_at_a_time(world)
@@ -179,7 +179,7 @@
     def count_endpoints(self, plan):
         return sum(plan.reclaimable.values()) + sum(plan.on_demand.values())
 
-    def test_slots_bound_endpoint_load_only_when_few(self):
+    def test_few_slots_per_endpoint_need_more_endpoints(self):
         limits = ScalingLimits(1, 50, 4.0, 0.2, {"zone-a": 1.0})
         counts = [
             self.count_endpoints(self.make_plan(1.0, limits, in_flight=60.0, slots=slots))
@@ -304,7 +304,7 @@
     def test_restarted_holder_sends_requests_within_a_second(self):
         world = ready_world(fronts=2)
         world.run(4.0)
-        first = holder(world)
+        first = find_holder(world)
         world.kill(first)
         world.front(first, first_start=False)
         began = world.clock.now()
@@ -313,7 +313,7 @@
         assert orders and {each.holder for each in orders} == {first}
 
     def test_process_without_endpoint_rows_sends_no_requests(self):
-        """Its requests would remove endpoints that serve."""
+        """A process that lacks the endpoint rows would request the removal of serving endpoints."""
         world = ready_world(fronts=1)
         world.run(4.0)
         world.kill("front-1")
--- a/flamingofront/process/forwarding/tests/test_lease_fuzz.py
+++ b/flamingofront/process/forwarding/tests/test_lease_fuzz.py
@@ -1,4 +1,4 @@
-"""The leader lease under any interleaving of calls, lost responses and suspended processes.
+"""The leader lease under any interleaving of calls, lost responses, late reports and suspensions.
 
 Several processes run the real `LeaderLease` over a naive store. The fuzzer decides when a call is
 carried out, whether its response arrives, which peer reports are received and which processes are
@@ -274,14 +274,14 @@
 
     @invariant()
     def fencing_is_monotonic_and_acts_are_a_lease_apart(self):
-        last, last_of = None, {}
+        last, last_acts = None, {}
         for at, vm, fencing in self.acts:
             if last is not None:
                 assert fencing >= last[2], (last, (at, vm, fencing))
                 if vm != last[1]:
                     assert fencing > last[2], (last, (at, vm, fencing))
-                    assert vm not in last_of or at - last_of[vm] >= DURATION
-            last, last_of[vm] = (at, vm, fencing), at
+                    assert vm not in last_acts or at - last_acts[vm] >= DURATION
+            last, last_acts[vm] = (at, vm, fencing), at
         del self.acts[:-400]
 
 
--- a/flamingofront/process/forwarding/tests/test_quota_arbiter.py
+++ b/flamingofront/process/forwarding/tests/test_quota_arbiter.py
@@ -133,7 +133,7 @@
         assert world.max_in_window() <= LIMIT
 
     def test_limit_holds_when_half_of_many_are_killed(self):
-        """Restarted processes asked different arbiters, or decided locally.
+        """Restarted processes asked different arbiters, whose grants added up, or decided locally.
 
         With 32 of 64 processes killed in a surge, 283 requests were admitted where 230 are allowed.
         """
@@ -143,10 +143,10 @@
         world.send_requests(12, 6.0)
         assert world.max_in_window() <= LIMIT
 
-    @pytest.mark.parametrize("moment", [0.0, 1.0])
-    def test_limit_holds_between_partitioned_zones(self, moment):
+    @pytest.mark.parametrize("surge_seconds", [0.0, 1.0])
+    def test_limit_holds_between_partitioned_zones(self, surge_seconds):
         world = QuotaWorld()
-        world.send_requests(12, moment)
+        world.send_requests(12, surge_seconds)
         for number, zone in enumerate(ZONES):
             for other in ZONES[number + 1 :]:
                 world.cut(zone, other)
@@ -270,7 +270,7 @@
 
     def _make_process(self, ip):
         self.quotas[ip].start_buckets((self.WORKSPACE,), 0.0)
-        view = QuotaContext(
+        context = QuotaContext(
             ip,
             int(self.clock.time * 1000),
             lambda name: list(self.ranked),
@@ -281,7 +281,7 @@
         )
         arbiters = QuotaArbiters(
             self.quotas[ip],
-            view,
+            context,
             lambda data, target: self.sent.append((ip, target, data)),
             self.timers,
             Metrics(),
@@ -313,7 +313,7 @@
 
 
 class TestArbitration:
-    def test_request_is_replied_to_and_charged_once(self):
+    def test_request_is_decided_and_charged_once(self):
         pair = ArbiterPair()
         pair.request_units(5.0)
         pair.deliver_messages()
--- a/flamingofront/process/forwarding/tests/test_stopping.py
+++ b/flamingofront/process/forwarding/tests/test_stopping.py
@@ -23,7 +23,7 @@
     return bound
 
 
-class TestEndsInTime:
+class TestCanComplete:
     @pytest.mark.parametrize(
         ("deadline_left", "bound", "left", "ends"),
         [
@@ -43,7 +43,7 @@
     short = (0.1, 0.1, 24)
 
     def test_stream_without_a_token_count_is_unbounded(self):
-        """Short streams observed before must not bound it."""
+        """Short streams observed before must not bound a stream of unknown size."""
         assert bound_after(*[self.short] * 100).estimate_max_seconds(0) == math.inf
 
     def test_few_responses_give_no_bound(self):
@@ -54,7 +54,7 @@
         assert bound_after(*[(0.1, 5.0, 0)] * 100).estimate_max_seconds(24) == math.inf
 
     def test_bound_grows_with_the_token_count(self):
-        """At the same token rate it takes a hundred times as long."""
+        """At the same token rate, a hundred times the tokens take a hundred times as long."""
         assert bound_after(*[self.short] * 100).estimate_max_seconds(2400) > 10.0
 
     @given(st.lists(st.tuples(st.floats(0, 2), st.floats(0, 9), st.integers(1, 900)), min_size=20))
@@ -65,7 +65,7 @@
         ]
         assert len(longer) <= len(lately) // 100
 
-    def test_slower_rate_shows_after_two_of_a_hundred(self):
+    def test_two_slow_streams_after_a_hundred_raise_the_bound(self):
         assert (
             bound_after(*[self.short] * 100, *[(0.1, 4.0, 100)] * 2).estimate_max_seconds(200) > 7.0
         )
@@ -202,7 +202,7 @@
 
 
 class TestRequestsDuringShutdown:
-    """Estimating a request by the mean of its service let the exit cut off responses."""
+    """Estimating request durations by the mean of the service let the exit cut off responses."""
 
     @pytest.mark.parametrize("warmup_requests", [0, 30])
     @pytest.mark.parametrize("seed", range(6))
@@ -240,7 +240,7 @@
             assert (short.status, plain.status) == (200, 200)
 
     def test_request_waiting_for_an_endpoint_is_rejected(self):
-        """It was admitted in time, but found no endpoint until too late to complete."""
+        """A request admitted in time may find an endpoint only when it is too late to complete."""
         stopping = StoppingProcess(1, 30)
         stopping.stop.begin()
         stopping.world.run(5.0)
@@ -258,7 +258,7 @@
         [("/read/x", "endpoint_failed"), ("/write/x", "outcome_unknown")],
     )
     def test_request_that_outlasts_the_process_gets_an_error(self, path, kind):
-        """Its caller would see a connection that closes without a response."""
+        """Without it, the caller would see a connection that closes without a response."""
         world = ready_world()
         for each in world.endpoints.values():
             each.fail(ForwardFault.HANG)
@@ -273,8 +273,8 @@
 
 
 class TestUnreadRequest:
-    def test_it_is_rejected_before_the_exit(self):
-        """Its caller would see a reset, which leaves open whether the request ran."""
+    def test_unread_request_is_rejected_before_the_exit(self):
+        """The caller would otherwise see a reset, which leaves open whether the request ran."""
         world = ready_world()
         front = world.fronts["front-1"]
         callers = SimpleNamespace(closing=False, connections=1, close_idle=lambda: 0)
--- a/flamingofront/process/forwarding/usage.py
+++ b/flamingofront/process/forwarding/usage.py
@@ -117,7 +117,7 @@
         self.merge_counts(update, {process: wall - REPORT_DELAY_SECONDS})
 
     def is_complete_until(self, until: float, process_count: int, wall: float) -> bool:
-        """Return True if the counts of `process_count` processes are complete to a time.
+        """Return True if the counts of `process_count` processes are complete up to `until`.
 
         Parameters
         ----------
@@ -157,7 +157,7 @@
 
 @dataclass(frozen=True)
 class UsageCoverage:
-    """How far the counts of the other processes were received.
+    """Callbacks that show whether the counts of all processes have arrived.
 
     Parameters
     ----------
@@ -183,9 +183,9 @@
     Parameters
     ----------
     coverage : UsageCoverage
-        How far the counts of the other processes were received.
+        Shows whether the counts of all processes have arrived.
     now : callable
-        Time of the timer service.
+        Monotonic clock of the timer service, in seconds.
     """
 
     def __init__(
@@ -210,8 +210,8 @@
         self._now = now
         self._log = log
         self._confirmed: set[str] = set()
-        self._first = book.window_at(coverage.true_time())
-        # Earlier windows may have been reported by holders whose record the store has lost.
+        self._first_window = book.window_at(coverage.true_time())
+        # Windows before this one may have been reported by holders whose record the store has lost.
         self._first_known_window = 0
         lease.on_restore = self._skip_unknown_windows
 
@@ -264,7 +264,9 @@
             end, live, wall
         ):
             last -= 1
-        newest = max((int(each) for each in self._lease.state.reports), default=self._first - 1)
+        newest = max(
+            (int(each) for each in self._lease.state.reports), default=self._first_window - 1
+        )
         due = max(newest + 1, last - KEPT_WINDOWS + 2, self._first_known_window)
         return due if due <= last else None
 
