--- a/flamingofront/process/forwarding/quota_members.py
+++ b/flamingofront/process/forwarding/quota_members.py
@@ -95,8 +95,9 @@
 
         Notes
         -----
-        If this process is asked in place of one from which it received a recent report, the callers
-        cannot reach that one: it has just ended, or any zone may be partitioned from the others.
+        If this process is asked in place of one from which it received a recent report, the asking
+        processes cannot reach that one: it has just ended, or any zone may be partitioned from the
+        others.
         """
         now = self._timers.now()
         zones = self._last_received_by_zone(now)
--- a/flamingofront/process/forwarding/rollouts.py
+++ b/flamingofront/process/forwarding/rollouts.py
@@ -88,7 +88,7 @@
         self._log = log
         self._tracked: dict[str, _Rollout] = {}
         self._local_counts: Counter[str] = Counter()
-        # Called after a phase decided by this process, to send it to the peers at once.
+        # Called after this process has decided a phase, to send the phase to the peers at once.
         self.on_verdict: Callable[[], None] = lambda: None
         # Called for each new order, to load the stored status of its rollout.
         self.on_order: Callable[[], None] = lambda: None
@@ -141,8 +141,8 @@
     def apply_status(self, service: str, status: RolloutStatus, wall: float) -> None:
         """Apply the status of a service's rollout as an earlier lease holder stored it."""
         rollout = self._tracked[service]
-        rewritten = replace(rollout.order, number=status.number, version=status.version)
-        if status.number == rollout.order.number or _is_renumbered(rewritten, rollout.order):
+        stored_order = replace(rollout.order, number=status.number, version=status.version)
+        if status.number == rollout.order.number or _is_renumbered(stored_order, rollout.order):
             ago = max(0.0, wall - status.since)
             rollout.seen_at = min(rollout.seen_at, self._now() - ago)
             rollout.blocked |= status.blocked
--- a/flamingofront/process/forwarding/scaling.py
+++ b/flamingofront/process/forwarding/scaling.py
@@ -252,7 +252,9 @@
         last = self._last_requests.get(_request_key(request))
         if last is None:
             removes_live = live > request.count
-            if not removes_live or (request.count == 0 and not self._has_demand(request.service)):
+            if not removes_live or (
+                request.count == 0 and not self._has_seen_demand(request.service)
+            ):
                 return True
             # A previous lease holder may have requested these endpoints for a reason that still
             # holds.
@@ -270,7 +272,7 @@
             return True
         return now - last.sent_at >= _repeat_delay(live, request.count, start_seconds)
 
-    def _has_demand(self, service: str) -> bool:
+    def _has_seen_demand(self, service: str) -> bool:
         return service in self._first_seen
 
     def _send_request(self, request: EndpointOrder) -> Task:
--- a/flamingofront/process/forwarding/usage.py
+++ b/flamingofront/process/forwarding/usage.py
@@ -16,8 +16,8 @@
 
 __all__ = ["KEPT_WINDOWS", "UsageCoverage", "UsageBook", "UsageReporter"]
 
-# Windows that are reported to peers and kept for a successor. A report is due ten seconds after the
-# end of a window of five seconds, so four windows cover all that may still be reported.
+# Number of windows that are reported to peers and kept for a successor. A report is due ten seconds
+# after the end of a window of five seconds, so four windows cover all that may still be reported.
 KEPT_WINDOWS = 4
 # Time after the end of a window by which the last reports of all processes usually arrive: one
 # report period, a relay's period of one second, and network delays.
@@ -28,8 +28,8 @@
 # Largest age of a report on receipt, including its wait in the rate-limited sender.
 REPORT_DELAY_SECONDS = 0.15
 STEP_SECONDS = 0.25
-# Processes without a live report whose counts are forwarded at a time, so that a report fits in a
-# datagram even when all of a large deployment restart.
+# Largest number of processes without a live report whose counts one report forwards, so that it
+# fits in a datagram even when all processes of a large deployment restart.
 MAX_DEPARTED = 16
 
 
