--- a/flamingofront/process/forwarding/shutdown.py
+++ b/flamingofront/process/forwarding/shutdown.py
@@ -97,7 +97,7 @@
         """
         unanswered = len(self._node.hub.active)
         for request in list(self._node.hub.active.values()):
-            request.process_ends()
+            request.fail_for_shutdown()
         unread = self._reject_unread(RequestError(ErrorKind.DRAINING))
         self._node.log.info(
             "remaining requests answered",
