--- a/flamingofront/request/attempt_pace.py
+++ b/flamingofront/request/attempt_pace.py
@@ -50,5 +50,5 @@
 
 
 def _slow_threshold(expected_seconds: float) -> float:
-    """Return the seconds above which something with this expected duration is slow."""
+    """Return the duration, in seconds, above which a phase of an attempt is slow."""
     return SLOW_FACTOR * expected_seconds + SLOW_MARGIN_SECONDS
--- a/flamingofront/request/directory.py
+++ b/flamingofront/request/directory.py
@@ -90,6 +90,10 @@
         Endpoint that all processes expect to cache the shared prefix of the prompt.
     prefix_owner_tokens : int
         Number of tokens in the shared prefix.
+    closed : frozenset of str
+        Endpoints that accept no requests now.
+    local_share : float
+        Share of the load that comes from this process, from 0 to 1.
     """
 
     now: float
@@ -121,14 +125,14 @@
         Gets the zones of usable endpoints by id and returns the ids to sample first; empty if there
         is no preference.
     on_load_change : callable
-        Called with each change of the load from this process: endpoint id, change of attempts and
-        change of unread prompt tokens.
+        Called with each change of the load from this process: endpoint id, change of the number of
+        attempts and change of the prompt tokens that wait for prefill.
     refresh_loads : callable
         Called before each choice, to update the loads from other processes.
     local_share : callable
         Returns the share of the load that comes from this process, from 0 to 1.
     noted_prompts : RemotePrompts
-        Prompts that other processes have reported recently, which load reports may not include.
+        Prompts that other processes have reported recently; load reports may not include them yet.
     """
 
     def __init__(self, facts: FactTable, rng: random.Random, zone: str = ""):
@@ -259,8 +263,8 @@
     def _find_prefix_owner(endpoints: "_ServiceEndpoints", shared: "SharedPrefix | None") -> str:
         if shared is None:
             return ""
-        staying = [each for each in endpoints.ids if each not in endpoints.drained]
-        return rank(shared.key, staying)[0] if staying else ""
+        undrained = [each for each in endpoints.ids if each not in endpoints.drained]
+        return rank(shared.key, undrained)[0] if undrained else ""
 
     def _find_prefix_holders(self, hashes: tuple[str, ...]) -> list[str]:
         return sorted(self.prefixes.longest_prefix_holders(hashes))[:MAX_PREFIX_HOLDERS]
--- a/flamingofront/request/endpoint_ends.py
+++ b/flamingofront/request/endpoint_ends.py
@@ -1,8 +1,9 @@
 """Detection of endpoints that crash while they run requests.
 
-A lost connection alone does not show a crash: the endpoint may have reset one of many connections.
-It has crashed if it sends no more data and no process listens at its address, or if its row is
-deleted without notice. An endpoint that announced its shutdown does not count as crashed.
+A lost connection alone does not show a crash: the endpoint may have failed to send one response or
+reset one of many connections. It has crashed if it sends no more data and no process listens at its
+address, or if its row is deleted without notice. An endpoint that announced its shutdown does not
+count as crashed.
 """
 
 from collections.abc import Callable
@@ -17,7 +18,7 @@
 
 __all__ = ["CrashDetector"]
 
-# The same as for any attempt; a reachable endpoint accepts within a few milliseconds.
+# The connect timeout of attempts; a reachable endpoint accepts within a few milliseconds.
 PROBE_TIMEOUT_SECONDS = 0.25
 # Data sent before a crash may still be read this long after the first connection is lost. In a
 # crash, all connections were lost within 4 ms (241 connections of seven processes).
@@ -81,7 +82,7 @@
         self._metrics = metrics
         self._log = log
         self._checks: dict[str, _CrashCheck] = {}
-        self.on_crash: Callable[[EndpointCrash], None] = lambda end: None
+        self.on_crash: Callable[[EndpointCrash], None] = lambda crash: None
         self.on_unobserved_crash: Callable[[str], None] = lambda endpoint_id: None
         self.on_crash_found: Callable[[str], None] = lambda endpoint_id: None
 
@@ -122,7 +123,10 @@
             self._declare_crash(endpoint_id, check)
 
     def confirm_crash(self, endpoint_id: str, on_confirmed: Callable[[], None]) -> None:
-        """Probe an endpoint whose row was deleted; call `on_confirmed` unless it still listens."""
+        """Probe an endpoint whose row was deleted; call `on_confirmed` unless it still listens.
+
+        An endpoint that still listens is shutting down and has not crashed.
+        """
         address = self._directory.address_of(endpoint_id)
         if not address:
             on_confirmed()
@@ -147,7 +151,7 @@
         return self._directory.zone_of(endpoint_id)
 
     def record_closed_port(self, endpoint_id: str) -> None:
-        """Record that no process listens at the address of an endpoint."""
+        """Record that an endpoint refuses connections, whether or not it had requests."""
         if endpoint_id in self._checks or self._directory.is_leaving(endpoint_id):
             return
         self._directory.record_connect_failure(endpoint_id, self._timers.now(), is_refused=True)
--- a/flamingofront/request/endpoint_limits.py
+++ b/flamingofront/request/endpoint_limits.py
@@ -99,7 +99,13 @@
         self._store_limit(EndpointLimit(endpoint_id, started_ms, rate, self.wall()), request_id)
 
     def _can_clear_limit(self, endpoint_id: str, sent_at: float) -> bool:
-        """Return True if a response without a limit ends the stored limit."""
+        """Return True if a response without a limit ends the stored limit.
+
+        Parameters
+        ----------
+        sent_at : float
+            Time at which the request was sent, on the clock of the timer service.
+        """
         cached = self._limits.get(endpoint_id)
         if cached is None or cached.rate is None:
             return False
--- a/flamingofront/request/endpoint_pauses.py
+++ b/flamingofront/request/endpoint_pauses.py
@@ -9,11 +9,9 @@
 
 __all__ = ["EndpointBackoffs"]
 
-# Longer requests are cut to this: an endpoint that requests a day by mistake would otherwise get no
-# requests for a day.
+# Longer back-offs are shortened to this: an endpoint that asks for a day by mistake would otherwise
+# get no requests for that day.
 MAX_BACKOFF_SECONDS = 60.0
-
-
 # A back-off is extended by a random fraction up to this one, so that processes that were rejected
 # together do not retry together.
 JITTER_FRACTION = 0.25
@@ -37,11 +35,11 @@
 
 
 class EndpointBackoffs:
-    """Tracks the endpoints to which this process sends no requests for a while.
+    """Tracks the back-offs of endpoints, during which this process sends them no requests.
 
     The success of an earlier request does not end a back-off. When it is over, one trial request is
-    sent, as in a half-open circuit breaker; other requests follow when it is not rejected or after
-    `TRIAL_TIMEOUT_SECONDS`.
+    sent, as in a half-open circuit breaker. Other requests follow when a response to it requests no
+    back-off, or after `TRIAL_TIMEOUT_SECONDS`.
     """
 
     def __init__(self, timers: TimerService, metrics: Metrics, log: Log, rng: random.Random):
@@ -98,7 +96,7 @@
             self._backoffs[endpoint_id] = replace(backoff, trial_at=self._timers.now())
 
     def record_response(self, endpoint_id: str, sent_at: float) -> None:
-        """Record a response that requests no back-off; a response to the trial request ends it.
+        """Record a response that requests no back-off; a response to the trial ends the back-off.
 
         Parameters
         ----------
--- a/flamingofront/request/guard.py
+++ b/flamingofront/request/guard.py
@@ -86,8 +86,8 @@
         Called with each quarantine entry that is new or cleared, and True if this process detected
         the change itself.
     on_evidence : callable
-        Called with the crashes to persist, by fingerprint; none for a request that a response has
-        cleared.
+        Called with the crashes to persist, by fingerprint; the tuple is empty for a request that a
+        response has cleared.
     on_endpoint_crash : callable
         Called with each endpoint that has crashed, whether observed here or reported.
     entry_start_times : callable
@@ -128,11 +128,12 @@
         self._metrics = metrics
         self._log = log
         self._active = active
-        # Endpoints that crashed while no process had a request there, as far as is known.
+        # Endpoints that crashed while no process had a request there, as far as this process knows.
         self._unobserved: deque[str] = deque(maxlen=MAX_UNOBSERVED)
-        # Requests of crashes observed here, until the reports of all processes have been received.
+        # Fingerprints of requests whose connections were lost in crashes observed here, until the
+        # reports of all processes have been received.
         self._observed_fingerprints: set[str] = set()
-        # Requests whose crashes are persisted in the store, by the local view.
+        # Fingerprints of requests whose crashes are in the store, as far as this process knows.
         self._persisted: OrderedDict[str, None] = OrderedDict()
         self._gossip_scheduled = False
         self._evaluation_scheduled = False
@@ -219,7 +220,10 @@
         )
 
     def _on_unobserved_crash(self, endpoint_id: str) -> None:
-        """Record that the row of an endpoint without known requests was deleted."""
+        """Record a crash of an endpoint whose row was deleted while it had no local requests.
+
+        Near a restart of an entry process, the endpoint is probed first.
+        """
         if self._is_recorded(endpoint_id):
             return
         if is_near_restart(self.wall(), self.entry_start_times()):
@@ -230,9 +234,10 @@
             self._record_unobserved(endpoint_id, "row")
 
     def _record_unobserved(self, endpoint_id: str, source: str) -> None:
-        """Record an unobserved crash; close to a restart, start to record requests before sending.
+        """Record an unobserved crash; near a restart of an entry process, also in `intents`.
 
-        The process that had a request at the endpoint may be the one that restarted.
+        The restarted process may be the one that had a request at the endpoint, so requests are
+        recorded before they are sent from then on.
         """
         if endpoint_id in self._unobserved:
             return
--- a/flamingofront/request/hub.py
+++ b/flamingofront/request/hub.py
@@ -44,13 +44,14 @@
 ADMISSION_FILL_FRACTION = 0.9
 EXPIRY_PERIOD_SECONDS = 0.1
 CHOICE_RETRY_SECONDS = 0.2
-# The wait for the first endpoint to open is extended by a random fraction up to this one.
+# The delay until the first endpoint opens, which callers also get as Retry-After, is extended by a
+# random fraction up to this one.
 RETRY_JITTER_FRACTION = 0.1
 TOKENS_PER_COST_UNIT = 64.0
 
 
 def paced_budget(service: Service) -> RetryBudget:
-    """Return a retry budget for a service that only this process enforces."""
+    """Return a retry budget of a service for this process alone."""
     return PacedRetryBudget(service.retry_ratio)
 
 
@@ -324,8 +325,8 @@
         Notes
         -----
         When each process had to detect the crash itself, 298 further attempts were refused after a
-        fleet crashed within 1.3 s. Others were reset on idle connections, which leaves it unknown
-        whether they ran.
+        fleet crashed within 1.3 s. Other attempts were reset on idle connections, which leaves it
+        unknown whether they ran.
         """
         self.directory.record_connect_failure(endpoint_id, self.now(), is_refused=True)
         address = self.directory.address_of(endpoint_id)
@@ -443,7 +444,7 @@
 def _select_candidates(
     candidates: list[Candidate], side: str | None, exclude: frozenset[str]
 ) -> list[Candidate]:
-    """Return the candidates that pass the most rules; barred endpoints are never selected.
+    """Return the candidates that pass the most rules, never a drained or closed one.
 
     Notes
     -----
--- a/flamingofront/request/intent_gate.py
+++ b/flamingofront/request/intent_gate.py
@@ -35,9 +35,9 @@
     CONCURRENT = "beside"
     """The record is written concurrently, because no earlier send of the request is known."""
     TIMED_OUT = "late"
-    """The store did not respond in time, now or before; the record is written later."""
+    """The store did not respond in time, now or before; the record is written after the send."""
     RATE_LIMITED = "paced"
-    """The rate limit for store writes is reached; the record is written later."""
+    """The rate limit for store writes is reached; the record is written after the send."""
     NOT_NEEDED = "needless"
     """An endpoint has responded to the same request meanwhile."""
 
@@ -61,7 +61,7 @@
 
     @abstractmethod
     def close(self) -> None:
-        """Record that the attempt is over, as far as this process knows."""
+        """Record that the endpoint no longer has the request, as far as this process knows."""
 
 
 class IntentLog(ABC):
@@ -83,7 +83,7 @@
 
     @abstractmethod
     def known_records(self) -> tuple[IntentRecord, ...]:
-        """Return the recorded intents that this process knows."""
+        """Return the intents that are in the store, as far as this process knows."""
 
     @abstractmethod
     def count_waiting(self, fingerprint: str) -> int:
@@ -95,7 +95,7 @@
 
     @abstractmethod
     def record_unobserved_crash(self, endpoint_id: str) -> None:
-        """Record a crash close to a restart, at which no process knows of a request."""
+        """Record an unobserved crash shortly before or after a restart of an entry process."""
 
 
 class NullIntentLog(IntentLog):
@@ -184,7 +184,7 @@
             handle.withdraw()
 
     def close_current(self) -> None:
-        """Record that the current attempt is over."""
+        """Record that the endpoint no longer has the request of the current attempt."""
         handle, self._sent = self._sent, None
         if handle is not None:
             handle.close()
--- a/flamingofront/request/migration.py
+++ b/flamingofront/request/migration.py
@@ -48,7 +48,7 @@
         self._address_of = address_of
         self._policy = policy or CostRecovery()
         self._rates = rates or RecoveryRates()
-        self._planned: set[str] = set()
+        self._planned_endpoints: set[str] = set()
 
     def migrate_streams(self, endpoint_id: str, notice_seconds: float) -> None:
         """Plan and schedule the recovery of the streams on an endpoint; later calls do nothing.
@@ -58,9 +58,9 @@
         notice_seconds : float
             Seconds until the VM of the endpoint is reclaimed.
         """
-        if endpoint_id in self._planned:
+        if endpoint_id in self._planned_endpoints:
             return
-        self._planned.add(endpoint_id)
+        self._planned_endpoints.add(endpoint_id)
         requests = {each.request_id: each for each in self._streams_on(endpoint_id)}
         states = [_stream_state(each) for each in requests.values()]
         total = self._hub.directory.load_of(endpoint_id)
@@ -69,8 +69,8 @@
             self._schedule(requests[plan.request_id], plan)
 
     def forget_endpoint(self, endpoint_id: str) -> None:
-        """Remove the record that the streams of an endpoint were planned."""
-        self._planned.discard(endpoint_id)
+        """Remove the state of an endpoint that has left."""
+        self._planned_endpoints.discard(endpoint_id)
 
     def _streams_on(self, endpoint_id: str) -> list[ModelRequest]:
         return [
--- a/flamingofront/request/permit_claims.py
+++ b/flamingofront/request/permit_claims.py
@@ -24,7 +24,10 @@
         self._claim_count = 0
 
     def is_exhausted(self, action: StartAttempt) -> bool:
-        """Return True if an attempt may claim no more permits and needs an unlimited endpoint."""
+        """Return True if an attempt may claim no more permits.
+
+        It then needs an endpoint without a rate limit.
+        """
         return self._attempt_id == action.attempt_id and self._claim_count >= MAX_CLAIMS
 
     def claim_permit(self, action: StartAttempt, chosen: Candidate) -> None:
--- a/flamingofront/request/recovery.py
+++ b/flamingofront/request/recovery.py
@@ -20,6 +20,7 @@
 ]
 
 
+# Safety factor on the expected transfer time, because transfers start as late as possible.
 LATE_START_FACTOR = 1.25
 
 
@@ -99,7 +100,7 @@
     def plan(
         self, streams: Sequence[StreamState], notice_seconds: float, rates: RecoveryRates
     ) -> list[RecoveryPlan]:
-        """Return a recomputation for each stream at the end of the notice."""
+        """Return a plan for each stream: recompute it at the time of the reclaim."""
         return [
             RecoveryPlan(each.request_id, RecoveryAction.RECOMPUTE, notice_seconds)
             for each in streams
--- a/flamingofront/request/tests/test_crashing_requests.py
+++ b/flamingofront/request/tests/test_crashing_requests.py
@@ -159,7 +159,10 @@
 
 
 class TestRepeatedProcessKills:
-    """Guards against 4 to 6 late sends, in all modes but jobs, when processes are killed."""
+    """Guards against late sends when all processes are killed with the request in flight.
+
+    There were 4 to 6 of them in all modes but jobs.
+    """
 
     @pytest.mark.parametrize("mode", MODES)
     @pytest.mark.parametrize(("restarts", "sends"), [(4, 1), (3, 2)])
--- a/flamingofront/request/tests/test_directory.py
+++ b/flamingofront/request/tests/test_directory.py
@@ -82,7 +82,7 @@
 
 class TestThunderingHerd:
     def longest_queue(self, size):
-        """Return the most choices of one endpoint when 60 processes choose once by equal loads."""
+        """Return the choices of the most chosen endpoint by 60 processes with equal reports."""
         chosen = []
         for seed in range(60):
             zone = ZONES[seed % len(ZONES)]
@@ -95,7 +95,7 @@
         return max(chosen.count(name) for name in set(chosen))
 
     def test_stale_loads_do_not_cause_herding(self):
-        """By the stale reports, six of 92 endpoints are idle, in all processes."""
+        """The stale reports show the same six of 92 endpoints as idle to all processes."""
         full_queue, sample_queue = self.longest_queue(ENDPOINT_COUNT), self.longest_queue(
             SAMPLE_SIZE
         )
--- a/flamingofront/request/tests/test_endpoint_limits.py
+++ b/flamingofront/request/tests/test_endpoint_limits.py
@@ -33,7 +33,7 @@
 
 
 def show_limit(world, name):
-    """Return the rate limit that operators see, and the reason why nothing is sent."""
+    """Return the rate limit and the reason for sending no requests, as operators see them."""
     caller = Caller(world.fronts["front-1"], world.host("front-1"))
     body = orjson.dumps({"statements": ["show endpoints"]})
     req = InboundRequest("POST", "/operate", {}, {}, body, "/operate", (), world.clock.now())
--- a/flamingofront/request/tests/test_endpoint_pauses.py
+++ b/flamingofront/request/tests/test_endpoint_pauses.py
@@ -47,7 +47,7 @@
         self.backoffs = EndpointBackoffs(TimerService(self.clock), Metrics(), Log("test"), rng)
 
     def test_shorter_request_does_not_shorten_backoff(self):
-        """Responses on several connections arrive in any order."""
+        """Responses on several connections can arrive in any order."""
         self.backoffs.start("e", 3.0, "r")
         self.clock.time += 1.0
         self.backoffs.start("e", 0.6, "r")
