--- a/flamingofront/request/directory.py
+++ b/flamingofront/request/directory.py
@@ -25,7 +25,7 @@
 SLOWNESS_EWMA_WEIGHT = 0.2
 MAX_SLOWNESS_RATIO = 20.0
 MAX_REPORT_AGE_SECONDS = 10.0
-DEFAULT_RECLAIM_RISK = 0.05
+DEFAULT_RECLAIMS_PER_HOUR = 0.05
 # Backoff after failed connection attempts: it doubles with each failure up to the maximum.
 INITIAL_BACKOFF_SECONDS = 1.0
 MAX_BACKOFF_SECONDS = 4.0
@@ -325,7 +325,7 @@
             local_at_report=report.local_in_flight if report else 0,
             cached_tokens=self._cached_tokens(endpoint_id, hashes, context),
             backlog_tokens=backlog + noted_tokens,
-            reclaim_risk=DEFAULT_RECLAIM_RISK if fact.reclaimable else 0.0,
+            reclaim_risk=DEFAULT_RECLAIMS_PER_HOUR if fact.reclaimable else 0.0,
             slowness=self._slowness(endpoint_id, context.median_token_seconds),
             leaving=endpoint_id in context.drained,
             ejected=endpoint_id in context.ejected,
@@ -346,7 +346,7 @@
         )
 
     def capacity(self, service: Service) -> int:
-        """Return the total slots of the endpoints of a service that may get new requests."""
+        """Return the total number of slots of the undrained endpoints of a service."""
         endpoints = self._endpoints_of(service.name)
         return service.slots * (len(endpoints.facts) - len(endpoints.drained))
 
--- a/flamingofront/request/endpoint_ends.py
+++ b/flamingofront/request/endpoint_ends.py
@@ -60,7 +60,7 @@
     ----------
     on_crash : callable
         Called with each `EndpointCrash`, with its time on the clock of the timer service. Another
-        call for the same crash has the requests that were detected later.
+        call for the same crash has the requests whose lost connections were detected later.
     on_unobserved_crash : callable
         Called with each endpoint whose row was deleted without notice while this process had no
         request there.
--- a/flamingofront/request/guard.py
+++ b/flamingofront/request/guard.py
@@ -81,7 +81,7 @@
     wall : callable
         Returns the wall time on which the entry processes agree, in seconds.
     on_update : callable
-        Called when an update has to be sent to the other processes.
+        Called when the other processes need an update, which `build_update` returns.
     on_quarantine_change : callable
         Called with each quarantine entry that is new or cleared, and True if this process detected
         the change itself.
@@ -308,10 +308,10 @@
         if update is None:
             return
         previous = {each.fingerprint: each for each in self.quarantine.list_entries()}
-        known_crashes = self.quarantine.get_crashed_endpoints()
+        previous_crashes = self.quarantine.get_crashed_endpoints()
         if not self.quarantine.merge_update(update, self.wall()):
             return
-        for endpoint_id in self.quarantine.get_crashed_endpoints() - known_crashes:
+        for endpoint_id in self.quarantine.get_crashed_endpoints() - previous_crashes:
             self.on_endpoint_crash(endpoint_id)
             if self.quarantine.is_unattributed(endpoint_id):
                 self._record_unobserved(endpoint_id, "peer")
--- a/flamingofront/request/host.py
+++ b/flamingofront/request/host.py
@@ -153,7 +153,7 @@
 
     @abstractmethod
     def choice_retry_delay(self, service: str, priority: float) -> float:
-        """Return the seconds until the next choice of an endpoint after one that found none."""
+        """Return the seconds until the next choice of an endpoint, after a choice found none."""
 
     @abstractmethod
     def record_load(self, service: str, tokens: int) -> None:
--- a/flamingofront/request/hub.py
+++ b/flamingofront/request/hub.py
@@ -277,7 +277,7 @@
         return min(waits, default=0.0)
 
     def choice_retry_delay(self, service: str, priority: float) -> float:
-        """Return the seconds until the next choice of an endpoint after one that found none."""
+        """Return the seconds until the next choice of an endpoint, after a choice found none."""
         wait = self.seconds_until_open(service, priority)
         if wait > 0:
             return wait * (1 + RETRY_JITTER_FRACTION * self.rng.random())
--- a/flamingofront/request/tests/test_directory.py
+++ b/flamingofront/request/tests/test_directory.py
@@ -81,13 +81,13 @@
 
 
 class TestThunderingHerd:
-    def longest_queue(self, size):
-        """Return the choices of the most chosen endpoint by 60 processes with equal reports."""
+    def count_most_chosen(self, sample_size):
+        """Return how many of 60 processes with equal load reports choose the same endpoint."""
         chosen = []
         for seed in range(60):
             zone = ZONES[seed % len(ZONES)]
             fleet = LargeFleet(seed, zone)
-            fleet.directory.sample_size = lambda: size
+            fleet.directory.sample_size = lambda: sample_size
             loads = {f"e{number}": float(number >= 6) for number in range(ENDPOINT_COUNT)}
             fleet.directory.apply_load_reports(loads, 0.0)
             work = WorkEstimate(6000, 380, 0.6, 0.05, zone)
@@ -96,8 +96,8 @@
 
     def test_stale_loads_do_not_cause_herding(self):
         """The stale reports show the same six of 92 endpoints as idle to all processes."""
-        full_queue, sample_queue = self.longest_queue(ENDPOINT_COUNT), self.longest_queue(
+        full_count, sample_count = self.count_most_chosen(ENDPOINT_COUNT), self.count_most_chosen(
             SAMPLE_SIZE
         )
-        assert full_queue >= 15
-        assert sample_queue <= full_queue / 2
+        assert full_count >= 15
+        assert sample_count <= full_count / 2
--- a/flamingofront/request/tests/test_endpoint_limits.py
+++ b/flamingofront/request/tests/test_endpoint_limits.py
@@ -59,7 +59,7 @@
 
 
 class TestLimitChanges:
-    def test_response_without_limit_ends_it(self):
+    def test_response_without_limit_ends_limit(self):
         harness = LimitsHarness()
         harness.receive_response(2.0)
         harness.clock.time += 1.0
@@ -67,7 +67,7 @@
         assert harness.limits.rate_of("e") is None
         assert harness.count_changes("ended") == 1
 
-    def test_response_to_earlier_request_does_not_end_it(self):
+    def test_response_to_earlier_request_keeps_limit(self):
         """A long response that started before the limit can end after it on another connection."""
         harness = LimitsHarness()
         harness.receive_response(2.0)
@@ -75,7 +75,7 @@
         harness.receive_response(None, sent_ago=1.1)
         assert harness.limits.rate_of("e") == 2.0
 
-    def test_restart_of_endpoint_ends_it(self):
+    def test_restart_of_endpoint_ends_limit(self):
         harness = LimitsHarness()
         harness.receive_response(2.0)
         harness.limits.forget("e")
--- a/flamingofront/request/tests/test_endpoint_pauses.py
+++ b/flamingofront/request/tests/test_endpoint_pauses.py
@@ -46,7 +46,7 @@
         rng = random.Random(1)
         self.backoffs = EndpointBackoffs(TimerService(self.clock), Metrics(), Log("test"), rng)
 
-    def test_shorter_request_does_not_shorten_backoff(self):
+    def test_shorter_retry_after_does_not_shorten_backoff(self):
         """Responses on several connections can arrive in any order."""
         self.backoffs.start("e", 3.0, "r")
         self.clock.time += 1.0
