--- a/flamingofront/request/tests/test_directory.py
+++ b/flamingofront/request/tests/test_directory.py
@@ -81,13 +81,13 @@
 
 
 class TestThunderingHerd:
-    def count_most_chosen(self, sample_size):
+    def count_most_chosen(self, max_sample):
         """Return how many of 60 processes with equal load reports choose the same endpoint."""
         chosen = []
         for seed in range(60):
             zone = ZONES[seed % len(ZONES)]
             fleet = LargeFleet(seed, zone)
-            fleet.directory.sample_size = lambda: sample_size
+            fleet.directory.sample_size = lambda: max_sample
             loads = {f"e{number}": float(number >= 6) for number in range(ENDPOINT_COUNT)}
             fleet.directory.apply_load_reports(loads, 0.0)
             work = WorkEstimate(6000, 380, 0.6, 0.05, zone)
