--- a/bench/entries.py
+++ b/bench/entries.py
@@ -22,7 +22,7 @@
     report_weight,
 )
 from flamingofront.decisions.retry import EndpointHealth, PacedRetryBudget, RetryBudget
-from flamingofront.errors import Ran, RequestError
+from flamingofront.errors import Executed, RequestError
 from flamingofront.messages import (
     CancelAttempt,
     Complete,
@@ -153,7 +153,7 @@
     def expire(self):
         for ticket in self.admission.drop_expired(self.sim.now):
             job = self.jobs.pop(ticket.request_id)
-            job.machine.caller_gone()
+            job.machine.end_without_answer()
             self.sim.result.refused_late += 1
             self.sim.refused(job.call, self.admission.retry_after(self.sim.now))
         self.pump()
@@ -237,7 +237,7 @@
         entry = self.entry
         chosen = self._choose(order.exclude)
         if chosen is None:
-            self.carry(self.machine.no_endpoint(order.attempt_id, self.sim.now, 0.2))
+            self.carry(self.machine.defer_without_endpoint(order.attempt_id, self.sim.now, 0.2))
             return
         self.sim.result.attempts += 1
         self.engine = self.sim.engine(chosen.engine_id)
@@ -292,7 +292,7 @@
             self.ticket.request_id, self.machine.attempt_id, self.made, ("t",) * count, final
         )
         self.sim.result.generated += count
-        return self.machine.frame(frame)
+        return self.machine.accept_frame(frame)
 
     def leave(self):
         engine_id = self.engine.engine_id
@@ -334,7 +334,9 @@
         engine_id, attempt = self.engine.engine_id, self.machine.attempt_id
         self.leave()
         self.entry.health.record_failure(engine_id, self.sim.now)
-        self.carry(self.machine.lost(attempt, engine_id, Ran.UNKNOWN, self.sim.now))
+        self.carry(
+            self.machine.handle_attempt_failure(attempt, engine_id, Executed.UNKNOWN, self.sim.now)
+        )
 
     def move(self, attempt):
         """Resume elsewhere by recomputation."""
@@ -342,7 +344,7 @@
             return
         self.sim.result.moved += 1
         self._collect()
-        self.carry(self.machine.replace(attempt))
+        self.carry(self.machine.replace_attempt(attempt))
 
     def transfer(self, attempt):
         """Export the cache from the leaving engine; transfers off one VM follow one another."""
@@ -365,5 +367,5 @@
         self.sim.result.moved += 1
         original = self._choose
         self._choose = lambda exclude: target
-        self.carry(self.machine.replace(attempt))
+        self.carry(self.machine.replace_attempt(attempt))
         self._choose = original
--- a/bench/knowledge_mutations.py
+++ b/bench/knowledge_mutations.py
@@ -35,7 +35,7 @@
     Mutation(
         "Know: unknown routes are looked up",
         "request/forward_gateway.py",
-        "if exc.kind in UNKNOWN_KINDS and not self.unknown_gate.is_current():",
+        "if exc.kind in UNKNOWN_KINDS and not self.config_freshness.is_current():",
         "if False:",
         FRESHNESS,
     ),
--- a/bench/known_failure_mutations.py
+++ b/bench/known_failure_mutations.py
@@ -30,14 +30,14 @@
     Mutation(
         "S the time left is looked at again before an attempt",
         "request/forwarded_request.py",
-        "if refusal is None or self.machine.ran is not Ran.NO:",
+        "if refusal is None or self.machine.ran is not Executed.NO:",
         "if True:",
         STOPPING,
     ),
     Mutation(
         "S what has no answer gets one before the exit",
         "process/forwarding/shutdown.py",
-        "            request.process_ends()",
+        "            request.fail_for_shutdown()",
         "            pass",
         STOPPING,
     ),
--- a/bench/platform_mutations.py
+++ b/bench/platform_mutations.py
@@ -26,14 +26,14 @@
     Mutation(
         "P a status that says not run needs evidence",
         "platform/requests.py",
-        "if status in NOT_RUN_STATUSES and exc.ran is not Ran.NO:",
+        "if status in NOT_RUN_STATUSES and exc.ran is not Executed.NO:",
         "if False:",
         "platform/tests/test_adapter.py",
     ),
     Mutation(
         "P answers of other requests are not passed on",
         "request/answer_reader.py",
-        "        if response.crossed:\n            self._fail_attempt",
+        "        if response.is_mismatched:\n            self._fail_attempt",
         "        if False:\n            self._fail_attempt",
         FORWARDING,
     ),
@@ -203,7 +203,7 @@
     Mutation(
         "P an idle connection is closed behind what has arrived",
         "connection/server.py",
-        "        self._sockets.read_now(sock)\n",
+        "        self._sockets.read_available(sock)\n",
         "",
         SERVER,
     ),
@@ -217,7 +217,7 @@
     Mutation(
         "P bytes behind an answer end the connection",
         "connection/client.py",
-        "reusable = self._head.keep_alive and not self._unsent and not beyond",
+        "reusable = self._head.keep_alive and not self._unsent and not trailing",
         "reusable = self._head.keep_alive and not self._unsent",
         CLIENT,
     ),
--- a/bench/proofs.py
+++ b/bench/proofs.py
@@ -1,10 +1,14 @@
 """The figures of docs/PROOFS.md, from the tests' world in virtual time."""
 
 from flamingofront.process.tests.test_configuration import ZONES as FOUR_ZONES
-from flamingofront.process.tests.test_configuration import seconds_until_in_force
-from flamingofront.process.tests.test_leaving import last_new_work
+from flamingofront.process.tests.test_configuration import seconds_until_active
+from flamingofront.process.tests.test_leaving import measure_last_request
 from flamingofront.request.recovery import ResumeOnLoss
-from flamingofront.request.tests.test_reclaims import reclaim, recomputed, start_streams
+from flamingofront.request.tests.test_reclaims import (
+    count_recomputed_tokens,
+    reclaim,
+    start_streams,
+)
 from flamingofront.standins.platform import FaultMode
 from flamingofront.tests.world import demo_world
 
@@ -15,19 +19,19 @@
     """Seconds from the first sign to the last new request at a leaving endpoint."""
     world = demo_world(THREE_ZONES, list_lag=20.0)
     world.platform.reclaim("engine-a1", 60.0)
-    yield "notice, list 20 s late", last_new_work(world, "engine-a1", 15.0)
+    yield "notice, list 20 s late", measure_last_request(world, "engine-a1", 15.0)
     world = demo_world(THREE_ZONES)
     world.platform.vms["engine-a1"]["state"] = "leaving"
-    world.platform._show("engine-a1", 0.0)
-    yield "sign in the VM list only", last_new_work(world, "engine-a1", 15.0)
+    world.platform._update_list("engine-a1", 0.0)
+    yield "sign in the VM list only", measure_last_request(world, "engine-a1", 15.0)
     world = demo_world(THREE_ZONES)
     world.start_operation(["drain endpoint engine-a1"], "entry-b1")
-    yield "order to drain", last_new_work(world, "engine-a1", 15.0)
+    yield "order to drain", measure_last_request(world, "engine-a1", 15.0)
     world = demo_world(THREE_ZONES, list_lag=20.0)
     world.cut("zone-c", "platform")
     world.cut("zone-c", "entry-a1")
     world.platform.reclaim("engine-a1", 60.0)
-    yield "notice, a zone cut off from the platform", last_new_work(world, "engine-a1", 15.0)
+    yield "notice, a zone cut off from the platform", measure_last_request(world, "engine-a1", 15.0)
 
 
 def _in_force():
@@ -41,14 +45,14 @@
         caller = world.start_operation(["change workspace desk weight=2"], "entry-a1")
         world.run_until(lambda caller=caller: caller.done)
         for service in ("table", "vms", "cloud"):
-            world.platform.fail(service, mode)
-        yield name, seconds_until_in_force(world, caller.data["revision"])
+            world.platform.inject_fault(service, mode)
+        yield name, seconds_until_active(world, caller.data["revision"])
     world = demo_world(FOUR_ZONES)
     world.isolate("zone-d")
     outcome = world.operate("change workspace desk weight=2", "entry-a1")
     world.run(15.0)
     world.heal()
-    yield "zone cut off, after it is joined", seconds_until_in_force(world, outcome["revision"])
+    yield "zone cut off, after it is joined", seconds_until_active(world, outcome["revision"])
 
 
 def _recomputed():
@@ -65,7 +69,7 @@
         callers = start_streams(world, 12)
         reclaim(world, ["engine-a1", "engine-a2"], notice)
         world.finish(*callers)
-        yield name, recomputed(world)
+        yield name, count_recomputed_tokens(world)
 
 
 def main():
--- a/bench/quarantine_mutations.py
+++ b/bench/quarantine_mutations.py
@@ -102,14 +102,14 @@
     Mutation(
         "Q what is under way is stopped",
         "request/guard.py",
-        "                request.held_back()",
+        "                request.fail_quarantined()",
         "                pass",
         WORLD,
     ),
     Mutation(
         "Q processes of the product tell one another",
         "process/node.py",
-        "        self.gossip.on_word = guard.merge_update\n",
+        "        self.gossip.on_quarantine_update = guard.merge_update\n",
         "",
         PRODUCT,
     ),
@@ -151,14 +151,14 @@
     Mutation(
         "Q an endpoint that still listens has not ended",
         "request/endpoint_ends.py",
-        "if reach is Reach.CONNECTED and not self._directory.is_replaced(endpoint_id):",
+        "if reach is ConnectResult.CONNECTED and not self._directory.is_replaced(endpoint_id):",
         "if False:",
         RECORDER,
     ),
     Mutation(
         "Q a request that is found out while it waits is not sent",
         "request/intent_gate.py",
-        "if request.is_held:",
+        "if request.is_quarantined:",
         "if False:",
         PRODUCT,
     ),
--- a/bench/restart_mutations.py
+++ b/bench/restart_mutations.py
@@ -20,7 +20,7 @@
     Mutation(
         "R what ran at an earlier start is given up",
         "request/hub.py",
-        "                request.endpoint_restarted(at)",
+        "                request.fail_if_restarted(at)",
         "                pass",
         ENDPOINTS,
     ),
--- a/bench/slopes.py
+++ b/bench/slopes.py
@@ -131,7 +131,7 @@
             request = orjson.dumps(one.make_digest(0.0).to_json())
             digest = Digest.from_json(orjson.loads(request))
             reply = orjson.dumps(other.answer_digest(digest, 0.0).to_json())
-            one.take_reply(DigestReply.from_json(orjson.loads(reply)), 0.0)
+            one.apply_reply(DigestReply.from_json(orjson.loads(reply)), 0.0)
             sizes.append(len(request) + len(reply))
 
         seconds = _median_seconds(exchange, 200)
@@ -178,7 +178,7 @@
     group, rng = _group(members, seed), random.Random(seed)
     fact = dataclasses.replace(_endpoint(1), state=VmState.LEAVING)
     first = group["entry-0000"]
-    front = [(first, first.take_facts([fact]))]
+    front = [(first, first.merge_facts([fact]))]
     known, count, depth = {first.own_id}, 0, 0
     while front:
         depth += 1
@@ -189,7 +189,7 @@
                 if rng.random() < loss:
                     continue
                 target = group[peer.vm_id]
-                onward = target.take_push(Push.from_json(push.to_json()))
+                onward = target.apply_push(Push.from_json(push.to_json()))
                 if onward is not None:
                     known.add(target.own_id)
                     following.append((target, onward))
@@ -214,9 +214,9 @@
         for gossip in group.values():
             peer = group[gossip.pick_peers(1)[0].vm_id]
             reply = peer.answer_digest(gossip.make_digest(0.0), 0.0)
-            to_peer, _ = gossip.take_reply(reply, 0.0)
+            to_peer, _ = gossip.apply_reply(reply, 0.0)
             if to_peer is not None:
-                peer.take_push(to_peer)
+                peer.apply_push(to_peer)
     return rounds
 
 
--- a/flamingofront/cli.py
+++ b/flamingofront/cli.py
@@ -18,7 +18,7 @@
 
 from flamingofront.errors import CommandError
 from flamingofront.logview import select_lines
-from flamingofront.version.files import statements_of
+from flamingofront.version.files import load_statements
 
 __all__ = ["ExitCode", "OperatorClient", "main"]
 
@@ -382,7 +382,7 @@
     :param no_wait: do not wait until the change is in force in all zones
     """
     try:
-        statements = statements_of(file.read_text())
+        statements = load_statements(file.read_text())
     except (OSError, CommandError) as exc:
         _say(f"error: {file}: {exc}")
         sys.exit(ExitCode.BAD_COMMAND)
--- a/flamingofront/connection/client.py
+++ b/flamingofront/connection/client.py
@@ -16,7 +16,7 @@
 from circuits.core.utils import findcmp
 
 from flamingofront.connection.framing import BodyDecoder, Head, HeadBuffer, response_decoder
-from flamingofront.connection.interfaces import CallEvent, CallHandle, Reach, Transport
+from flamingofront.connection.interfaces import CallEvent, CallHandle, ConnectResult, Transport
 from flamingofront.connection.poller import READ, WRITE, DirectPoller, SocketOwner
 from flamingofront.errors import RequestError
 from flamingofront.messages import (
@@ -32,8 +32,8 @@
 
 READ_BYTES = 64 * 1024
 MAX_RESPONSE_HEAD_BYTES = 64 * 1024
-MAX_IDLE_PER_ADDRESS = 16
-IDLE_SECONDS = 20.0
+MAX_IDLE_CONNECTIONS_PER_ADDRESS = 16
+IDLE_TIMEOUT_SECONDS = 20.0
 # A kept connection is given up this long before the time that the target announced, so that a call
 # does not cross the target's close: about twice the slowest round trip plus the coarseness of the
 # announcement, which is in whole seconds.
@@ -41,8 +41,8 @@
 # A silent target (no power, partition) is noticed after about two seconds instead of never; callers
 # of streams leave after two seconds of silence.
 USER_TIMEOUT_MS = 2000
-KEEP_ALIVE_SECONDS = 1
-KEEP_ALIVE_PROBES = 2
+KEEPALIVE_INTERVAL_SECONDS = 1
+KEEPALIVE_PROBE_COUNT = 2
 _RESET_ON_CLOSE = struct.pack("ii", 1, 0)
 _KEEP_ALIVE_TIMEOUT = re.compile(r"timeout=(\d{1,6})")
 BODILESS_METHODS = ("GET", "HEAD")
@@ -65,17 +65,17 @@
 def _notice_silence(sock: socket.socket) -> None:
     """Let the kernel reset the connection when its peer has fallen silent."""
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
-    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, KEEP_ALIVE_SECONDS)
-    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, KEEP_ALIVE_SECONDS)
-    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPCNT, KEEP_ALIVE_PROBES)
+    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, KEEPALIVE_INTERVAL_SECONDS)
+    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, KEEPALIVE_INTERVAL_SECONDS)
+    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPCNT, KEEPALIVE_PROBE_COUNT)
 
 
 def _idle_seconds(head: Head) -> float:
     """Return how long a connection may be kept, by what the target announced."""
     match = _KEEP_ALIVE_TIMEOUT.search(head.headers.get("keep-alive", ""))
     if match is None:
-        return IDLE_SECONDS
-    return min(IDLE_SECONDS, float(match.group(1)) - IDLE_MARGIN_SECONDS)
+        return IDLE_TIMEOUT_SECONDS
+    return min(IDLE_TIMEOUT_SECONDS, float(match.group(1)) - IDLE_MARGIN_SECONDS)
 
 
 def _longest_silence(call: OutboundCall) -> float:
@@ -167,20 +167,20 @@
         """Take a call over and send it as soon as the connection stands."""
         self._call = call
         call.conn = self
-        self._limit_silence(call.call.silence_timeout)
+        self._limit_silence(call.call.ack_timeout)
         self._heads = HeadBuffer(is_request=False, max_bytes=MAX_RESPONSE_HEAD_BYTES)
         self._head: Head | None = None
         self._decoder: BodyDecoder | None = None
         self._unsent = _request_bytes(call.call)
         if self.connected:
-            self.writable()
+            self.on_writable()
 
     def _limit_silence(self, seconds: float | None) -> None:
         """Set after how long the system gives up what the target does not acknowledge."""
         limit = USER_TIMEOUT_MS if seconds is None else int(seconds * 1000)
         self.sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, limit)
 
-    def writable(self) -> None:
+    def on_writable(self) -> None:
         """Send what is unsent."""
         if not self.connected and not self._finish_connect():
             return
@@ -208,14 +208,14 @@
             self._connect_timer.cancel()
         return True
 
-    def broken(self) -> None:
+    def on_socket_error(self) -> None:
         """Take note that the socket failed."""
         if self.connected:
-            self.readable()
+            self.on_readable()
         else:
             self._finish_connect()
 
-    def readable(self) -> None:
+    def on_readable(self) -> None:
         """Read and pass on what has arrived."""
         try:
             data = self.sock.recv(READ_BYTES)
@@ -249,7 +249,7 @@
                 return
             data = self._rest if self._rest is not None else data
             self._rest = None
-            body, beyond = self._decoder.feed(data)
+            body, trailing = self._decoder.feed(data)
         except RequestError:
             self.fail("framing")
             return
@@ -257,7 +257,7 @@
             self._client.renew_timeout(call)
             call.tell(ResponseData(body))
         if self._decoder.complete and self._call is call:
-            self._finish_call(beyond)
+            self._finish_call(trailing)
 
     _rest: bytes | None = None
 
@@ -275,11 +275,11 @@
         self._call.tell(ResponseHead(head.status, head.headers, head.fields))
         return self._call is not None
 
-    def _finish_call(self, beyond: bytes) -> None:
+    def _finish_call(self, trailing: bytes) -> None:
         """End the call; keep the connection if nothing is left unsent or was sent beyond."""
         call, self._call = self._call, None
         idle_seconds = _idle_seconds(self._head)
-        reusable = self._head.keep_alive and not self._unsent and not beyond
+        reusable = self._head.keep_alive and not self._unsent and not trailing
         if reusable and idle_seconds > 0:
             self._client.keep(self, idle_seconds)
         else:
@@ -312,7 +312,9 @@
 class _Probe:
     """One connection that is opened only to learn whether a process listens there."""
 
-    def __init__(self, client: "HTTPClient", address: str, listener: Callable[[Reach], None]):
+    def __init__(
+        self, client: "HTTPClient", address: str, listener: Callable[[ConnectResult], None]
+    ):
         self._client = client
         self.address = address
         self._listener = listener
@@ -328,15 +330,15 @@
             self._client.timers.once(0.0, lambda: self._end(_reach(code)))
             return
         self._client.watch(self, WRITE)
-        self._timer = self._client.timers.once(timeout, lambda: self._end(Reach.UNANSWERED))
+        self._timer = self._client.timers.once(timeout, lambda: self._end(ConnectResult.UNANSWERED))
 
-    def readable(self) -> None:
+    def on_readable(self) -> None:
         """Take note that the connection stands, or failed."""
         self._end(_reach(self.sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)))
 
-    writable = broken = readable
+    on_writable = on_socket_error = on_readable
 
-    def _end(self, reach: Reach) -> None:
+    def _end(self, reach: ConnectResult) -> None:
         if self._timer is not None:
             self._timer.cancel()
         self._client.forget(self)
@@ -344,11 +346,11 @@
         self._listener(reach)
 
 
-def _reach(code: int) -> Reach:
+def _reach(code: int) -> ConnectResult:
     """Return what the error of a socket says of its target."""
     if code == errno.ECONNREFUSED:
-        return Reach.REFUSED
-    return Reach.UNANSWERED if code else Reach.CONNECTED
+        return ConnectResult.REFUSED
+    return ConnectResult.UNANSWERED if code else ConnectResult.CONNECTED
 
 
 class HTTPClient(BaseComponent, Transport, SocketOwner):
@@ -371,7 +373,7 @@
     def __init__(self, timers: TimerService):
         super().__init__(channel="http-client")
         self.timers = timers
-        self.max_idle: Callable[[str], int] = lambda address: MAX_IDLE_PER_ADDRESS
+        self.max_idle: Callable[[str], int] = lambda address: MAX_IDLE_CONNECTIONS_PER_ADDRESS
         self._poller: DirectPoller | None = None
         self._connections: dict[socket.socket, _ClientConnection | _Probe] = {}
         self._idle: dict[str, deque[_ClientConnection]] = {}
@@ -382,11 +384,11 @@
         Notes
         -----
         The target may be closing an idle connection at the very moment it is used again; the reset
-        then says nothing about execution. A call with `fresh` set avoids that doubt.
+        then says nothing about execution. A call with `new_connection` set avoids that doubt.
         """
         handle = _Call(call, listener)
         handle.timer = self.timers.once(call.timeout, lambda: self._timed_out(handle))
-        conn = None if call.fresh else self._take_idle(call.address)
+        conn = None if call.new_connection else self._take_idle(call.address)
         if conn is None:
             conn = _ClientConnection(self, call.address)
             self._connections[conn.sock] = conn
@@ -397,7 +399,9 @@
             conn.carry(handle)
         return handle
 
-    def probe(self, address: str, timeout: float, listener: Callable[[Reach], None]) -> None:
+    def probe(
+        self, address: str, timeout: float, listener: Callable[[ConnectResult], None]
+    ) -> None:
         """Open a connection, close it again, and tell what became of it."""
         probe = _Probe(self, address, listener)
         self._connections[probe.sock] = probe
@@ -475,14 +479,14 @@
             self._poller = findcmp(self.root, DirectPoller)
         return self._poller
 
-    def readable(self, sock: socket.socket) -> None:
+    def on_readable(self, sock: socket.socket) -> None:
         """Let a connection read what has arrived."""
-        self._connections[sock].readable()
+        self._connections[sock].on_readable()
 
-    def writable(self, sock: socket.socket) -> None:
+    def on_writable(self, sock: socket.socket) -> None:
         """Let a connection send, or note that it stands."""
-        self._connections[sock].writable()
+        self._connections[sock].on_writable()
 
-    def broken(self, sock: socket.socket) -> None:
+    def on_socket_error(self, sock: socket.socket) -> None:
         """End a connection that failed."""
-        self._connections[sock].broken()
+        self._connections[sock].on_socket_error()
--- a/flamingofront/connection/datagrams.py
+++ b/flamingofront/connection/datagrams.py
@@ -57,7 +57,7 @@
         if component is self:
             findcmp(self.root, DirectPoller).watch(self._sock, self, READ)
 
-    def readable(self, sock: socket.socket) -> None:
+    def on_readable(self, sock: socket.socket) -> None:
         """Read the datagrams that have arrived."""
         for _ in range(MAX_READS_PER_TURN):
             try:
@@ -69,9 +69,9 @@
                 return
             self._on_datagram(data, address[0])
 
-    def writable(self, sock: socket.socket) -> None:
+    def on_writable(self, sock: socket.socket) -> None:
         """Do nothing: what the kernel does not take at once is lost."""
 
-    def broken(self, sock: socket.socket) -> None:
+    def on_socket_error(self, sock: socket.socket) -> None:
         """Read the error of the socket, which clears it."""
-        self.readable(sock)
+        self.on_readable(sock)
--- a/flamingofront/connection/events.py
+++ b/flamingofront/connection/events.py
@@ -10,11 +10,11 @@
 __all__ = [
     "DONE_EVENT",
     "EventId",
-    "chunk_event",
-    "error_event",
+    "encode_chunk_event",
+    "encode_error_event",
     "parse_event_id",
-    "reattach_event",
-    "whole_answer",
+    "encode_reattach_event",
+    "encode_completion",
 ]
 
 DONE_EVENT = b"data: [DONE]\n\n"
@@ -53,7 +53,7 @@
     return {"index": 0, "text": text, "finish_reason": finish}
 
 
-def chunk_event(
+def encode_chunk_event(
     request_id: str, model: str, chat: bool, end_offset: int, text: str, finish: str | None = None
 ) -> bytes:
     """Return the event for a part of the text that ends at `end_offset`."""
@@ -66,12 +66,12 @@
     return b"id: %s:%d\ndata: %s\n\n" % (request_id.encode(), end_offset, orjson.dumps(data))
 
 
-def error_event(body: bytes) -> bytes:
+def encode_error_event(body: bytes) -> bytes:
     """Return the event that ends a stream with an error."""
     return b"event: error\ndata: " + body + b"\n\n"
 
 
-def reattach_event(request_id: str, offset: int) -> bytes:
+def encode_reattach_event(request_id: str, offset: int) -> bytes:
     """Return the event that asks the caller to come back for the rest of the text."""
     data = {"request_id": request_id, "offset": offset, "path": f"/v1/requests/{request_id}"}
     return b"event: reattach\nid: %s:%d\nretry: 200\ndata: %s\n\n" % (
@@ -81,7 +81,7 @@
     )
 
 
-def whole_answer(
+def encode_completion(
     request_id: str, model: str, chat: bool, text: str, prompt_tokens: int, output_tokens: int
 ) -> bytes:
     """Return the JSON body of a whole completion."""
--- a/flamingofront/connection/interfaces.py
+++ b/flamingofront/connection/interfaces.py
@@ -15,12 +15,12 @@
     ResponseHead,
 )
 
-__all__ = ["CallEvent", "CallHandle", "Exchange", "Reach", "Transport"]
+__all__ = ["CallEvent", "CallHandle", "Exchange", "ConnectResult", "Transport"]
 
 CallEvent = ResponseHead | ResponseData | ResponseEnd | CallFailed
 
 
-class Reach(StrEnum):
+class ConnectResult(StrEnum):
     """What became of an attempt to connect."""
 
     CONNECTED = "connected"
@@ -52,7 +52,9 @@
         """Begin a call; `listener` gets its events, the last one `ResponseEnd` or `CallFailed`."""
 
     @abstractmethod
-    def probe(self, address: str, timeout: float, listener: Callable[[Reach], None]) -> None:
+    def probe(
+        self, address: str, timeout: float, listener: Callable[[ConnectResult], None]
+    ) -> None:
         """Open a connection, close it again, and tell what became of it.
 
         Parameters
@@ -69,7 +71,7 @@
 class Exchange(ABC):
     """The caller's side of one request: where its answer goes."""
 
-    on_gone: Callable[[], None] | None = None
+    on_disconnect: Callable[[], None] | None = None
 
     @abstractmethod
     def respond(self, status: int, headers: tuple[tuple[str, str], ...], body: bytes) -> None:
--- a/flamingofront/connection/poller.py
+++ b/flamingofront/connection/poller.py
@@ -21,7 +21,7 @@
 WRITE = select.EPOLLOUT
 _BROKEN = select.EPOLLHUP | select.EPOLLERR
 # Longest poll, in seconds: the bound of what a wake-up that was missed can cost.
-LONGEST_WAIT_SECONDS = 1.0
+MAX_POLL_SECONDS = 1.0
 _WAKE_BYTES = 64
 
 
@@ -29,15 +29,15 @@
     """Gets what the poller sees at a socket."""
 
     @abstractmethod
-    def readable(self, sock: socket.socket) -> None:
+    def on_readable(self, sock: socket.socket) -> None:
         """Take note that a socket has data, a new connection, or its end to be read."""
 
     @abstractmethod
-    def writable(self, sock: socket.socket) -> None:
+    def on_writable(self, sock: socket.socket) -> None:
         """Take note that a socket has room to write, or is connected."""
 
     @abstractmethod
-    def broken(self, sock: socket.socket) -> None:
+    def on_socket_error(self, sock: socket.socket) -> None:
         """Take note that a socket failed, without anything left to be read."""
 
 
@@ -93,7 +93,7 @@
             known.mask = mask
             self._epoll.modify(fileno, mask)
 
-    def forget(self, sock: socket.socket) -> None:
+    def unwatch(self, sock: socket.socket) -> None:
         """Watch a socket no longer; call it before the socket is closed."""
         watch = self._watches.pop(sock.fileno(), None)
         if watch is not None:
@@ -125,8 +125,8 @@
     def _wait(self) -> float:
         due = self._timers.next_due()
         if due is None:
-            return LONGEST_WAIT_SECONDS
-        return max(0.0, min(LONGEST_WAIT_SECONDS, due - self._timers.now()))
+            return MAX_POLL_SECONDS
+        return max(0.0, min(MAX_POLL_SECONDS, due - self._timers.now()))
 
     def _serve_ready(self, wait: float) -> None:
         """Poll once and call the owners of the sockets that are ready.
@@ -152,10 +152,10 @@
     def _serve(self, watch: _Watch, mask: int) -> None:
         try:
             if mask & READ:
-                watch.owner.readable(watch.sock)
+                watch.owner.on_readable(watch.sock)
             if mask & WRITE and watch.active:
-                watch.owner.writable(watch.sock)
+                watch.owner.on_writable(watch.sock)
             if mask & _BROKEN and not mask & READ and watch.active:
-                watch.owner.broken(watch.sock)
+                watch.owner.on_socket_error(watch.sock)
         except Exception as exc:  # a fault at one socket must not end the others' service
             self._on_fault(exc)
--- a/flamingofront/connection/server.py
+++ b/flamingofront/connection/server.py
@@ -22,7 +22,7 @@
 )
 from flamingofront.connection.interfaces import Exchange
 from flamingofront.connection.sockets import ConnectionListener, ServerSockets
-from flamingofront.errors import ANSWERS, ErrorKind, RequestError
+from flamingofront.errors import ERROR_RESPONSES, ErrorKind, RequestError
 from flamingofront.messages import InboundRequest
 from flamingofront.process.timers import Timer, TimerService
 
@@ -30,13 +30,13 @@
     "HTTPServer",
     "RenderedError",
     "ServerLimits",
-    "default_error",
-    "error_body",
-    "error_headers",
+    "render_default_error",
+    "encode_error",
+    "build_error_headers",
 ]
 
 READ_BYTES = 64 * 1024
-MAX_WAITING_BYTES = 64 * 1024
+MAX_PIPELINED_BYTES = 64 * 1024
 STATUS_NOT_MODIFIED = 304
 REASONS = {
     200: "OK",
@@ -72,7 +72,7 @@
         Seconds from the first byte of a request head to its last, and then for the body.
     idle_timeout : float
         Seconds that a connection may be open without a request.
-    max_unread : int
+    max_unsent_bytes : int
         Bytes of an answer that may wait for a slow reader.
     max_head : int
         Bytes of a request head.
@@ -81,17 +81,17 @@
     max_body: int = 8 * 1024 * 1024
     request_timeout: float = 10.0
     idle_timeout: float = 75.0
-    max_unread: int = 1024 * 1024
+    max_unsent_bytes: int = 1024 * 1024
     max_head: int = MAX_HEAD_BYTES
 
 
-def error_body(exc: RequestError, request_id: str = "") -> bytes:
+def encode_error(exc: RequestError, request_id: str = "") -> bytes:
     """Return the JSON body that tells `exc`."""
     return orjson.dumps(
         {
             "error": {
                 "kind": exc.kind.value,
-                "message": exc.detail or ANSWERS[exc.kind].text,
+                "message": exc.detail or ERROR_RESPONSES[exc.kind].text,
                 "request_id": request_id,
                 "ran": exc.ran.value,
                 "retry_after": exc.retry_after,
@@ -100,8 +100,8 @@
     )
 
 
-def error_headers(exc: RequestError) -> tuple[tuple[str, str], ...]:
-    """Return the headers that go with `error_body`."""
+def build_error_headers(exc: RequestError) -> tuple[tuple[str, str], ...]:
+    """Return the headers that go with `encode_error`."""
     if exc.retry_after is None:
         return JSON_HEADERS
     seconds = max(1, math.ceil(exc.retry_after))
@@ -111,9 +111,9 @@
 RenderedError = tuple[int, tuple[tuple[str, str], ...], bytes]
 
 
-def default_error(exc: RequestError) -> RenderedError:
+def render_default_error(exc: RequestError) -> RenderedError:
     """Return status, headers and body of the answer that tells `exc`."""
-    return ANSWERS[exc.kind].status, error_headers(exc), error_body(exc)
+    return ERROR_RESPONSES[exc.kind].status, build_error_headers(exc), encode_error(exc)
 
 
 class _Connection(Exchange):
@@ -134,7 +134,7 @@
         self.requests = 0
         self._keep_alive = True
         self._method = ""
-        self.on_gone = None
+        self.on_disconnect = None
         self._reset()
 
     def _reset(self) -> None:
@@ -142,18 +142,20 @@
         self._head: Head | None = None
         self._decoder: BodyDecoder | None = None
         self._body = bytearray()
-        self._answering = False
+        self._responding = False
         self._head_at = 0.0
-        self.on_gone = None
+        self.on_disconnect = None
 
     @property
     def idle(self) -> bool:
         """True if no byte of a request has arrived that is still to be answered."""
-        return not self._answering and self._head is None and self._heads.empty
+        return not self._responding and self._head is None and self._heads.empty
 
     def watch_idle(self) -> None:
         """Close the connection if no request begins in time."""
-        self._set_timer(self._server.limits.idle_timeout, lambda: self._server.retire(self._sock))
+        self._set_timer(
+            self._server.limits.idle_timeout, lambda: self._server.close_if_idle(self._sock)
+        )
 
     def _set_timer(self, delay: float, callback: Callable[[], None]) -> None:
         if self._timer is not None:
@@ -162,8 +164,8 @@
 
     def receive(self, data: bytes) -> None:
         """Take bytes from the socket."""
-        if self._answering:
-            self._hold(data)
+        if self._responding:
+            self._buffer_data(data)
             return
         if self._head is None and self._heads.empty:
             self._set_timer(self._server.limits.request_timeout, self._request_late)
@@ -172,9 +174,9 @@
         except RequestError as exc:
             self._refuse(exc)
 
-    def _hold(self, data: bytes) -> None:
+    def _buffer_data(self, data: bytes) -> None:
         self._waiting += data
-        if len(self._waiting) > MAX_WAITING_BYTES:
+        if len(self._waiting) > MAX_PIPELINED_BYTES:
             self.abort()
 
     def _parse(self, data: bytes) -> None:
@@ -199,7 +201,7 @@
 
     def _dispatch(self, rest: bytes) -> None:
         self._timer.cancel()
-        self._answering = True
+        self._responding = True
         self.requests += 1
         self._waiting += rest
         head = self._head
@@ -220,17 +222,17 @@
     def _request_late(self) -> None:
         self._refuse(RequestError(ErrorKind.REQUEST_TIMEOUT, retry_after=1.0))
 
-    def refuse_unread(self, exc: RequestError) -> bool:
+    def reject_incomplete(self, exc: RequestError) -> bool:
         """Refuse a request that has not come whole; False if there is none."""
-        is_unread = not self.idle and not self._answering and not self._closed
+        is_unread = not self.idle and not self._responding and not self._closed
         if is_unread:
             self._refuse(exc)
         return is_unread
 
     def _refuse(self, exc: RequestError) -> None:
         """Answer a request that could not be read, and close: its end is not known."""
-        self._server.count_refusal(exc.kind)
-        self._answering = True
+        self._server.count_rejection(exc.kind)
+        self._responding = True
         self._keep_alive = False
         self.respond(*self._server.render_error(exc))
 
@@ -252,7 +254,7 @@
         if not data:
             return True
         self._write(b"%x\r\n%b\r\n" % (len(data), data))
-        return self._server.unread(self._sock) <= self._server.limits.max_unread
+        return self._server.unsent_bytes(self._sock) <= self._server.limits.max_unsent_bytes
 
     def finish(self) -> None:
         """End a streamed answer."""
@@ -268,8 +270,8 @@
         self._closed = True
         if self._timer is not None:
             self._timer.cancel()
-        if self._answering and self.on_gone is not None:
-            listener, self.on_gone = self.on_gone, None
+        if self._responding and self.on_disconnect is not None:
+            listener, self.on_disconnect = self.on_disconnect, None
             listener()
 
     def _head_bytes(self, status: int, headers: tuple[tuple[str, str], ...]) -> bytes:
@@ -312,7 +314,7 @@
         Address and port; port 0 lets the kernel pick.
     on_request : callable
         Gets the `InboundRequest` and its `Exchange`.
-    count_refusal : callable, optional
+    count_rejection : callable, optional
         Gets the `ErrorKind` of each request that could not be read.
     render_error : callable, optional
         Returns status, headers and body of the answer for a `RequestError`.
@@ -331,17 +333,17 @@
         on_request: Callable[[InboundRequest, Exchange], None],
         timers: TimerService,
         limits: ServerLimits | None = None,
-        count_refusal: Callable[[ErrorKind], None] = lambda kind: None,
+        count_rejection: Callable[[ErrorKind], None] = lambda kind: None,
         on_fault: Callable[[Exception], None] = lambda exc: None,
         channel: str = "http-server",
-        render_error: Callable[[RequestError], RenderedError] = default_error,
+        render_error: Callable[[RequestError], RenderedError] = render_default_error,
     ):
         super().__init__(channel=channel)
         self.timers = timers
         self.limits = limits or ServerLimits()
         self.closing = False
         self.render_error = render_error
-        self.count_refusal = count_refusal
+        self.count_rejection = count_rejection
         self._on_request = on_request
         self._on_fault = on_fault
         self._connections: dict = {}
@@ -369,9 +371,9 @@
             self._on_fault(exc)
             exchange.respond(*self.render_error(RequestError(ErrorKind.INTERNAL)))
 
-    def unread(self, sock) -> int:
+    def unsent_bytes(self, sock) -> int:
         """Return the number of bytes that wait for the reader of `sock`."""
-        return self._sockets.waiting.get(sock, 0)
+        return self._sockets.unsent_bytes.get(sock, 0)
 
     def send(self, sock: socket.socket, data: bytes) -> None:
         """Queue bytes for `sock`.
@@ -390,14 +392,14 @@
         """Close the connections on which no request has begun and return their number."""
         idle = [sock for sock, conn in self._connections.items() if conn.idle]
         for sock in idle:
-            self.retire(sock)
+            self.close_if_idle(sock)
         return len(idle)
 
-    def refuse_unread(self, exc: RequestError) -> int:
+    def reject_incomplete(self, exc: RequestError) -> int:
         """Refuse the requests that have not come whole and return their number."""
-        return sum(conn.refuse_unread(exc) for conn in list(self._connections.values()))
+        return sum(conn.reject_incomplete(exc) for conn in list(self._connections.values()))
 
-    def retire(self, sock: socket.socket) -> None:
+    def close_if_idle(self, sock: socket.socket) -> None:
         """Close an idle connection, unless a request has arrived on it.
 
         Notes
@@ -409,7 +411,7 @@
         if conn is None:
             return
         requests = conn.requests
-        self._sockets.read_now(sock)
+        self._sockets.read_available(sock)
         if conn.idle and conn.requests == requests:
             self.close_after_sending(sock)
 
--- a/flamingofront/connection/sockets.py
+++ b/flamingofront/connection/sockets.py
@@ -17,7 +17,7 @@
 
 MAX_SEND_BYTES = 256 * 1024
 # Connections that the kernel holds until they are accepted: all callers of a VM at once.
-BACKLOG = 4096
+LISTEN_BACKLOG = 4096
 # The caller gave a connection up before it was accepted, or the poll was for one already taken.
 _NOTHING_TO_ACCEPT = (errno.EAGAIN, errno.ECONNABORTED)
 
@@ -68,7 +68,7 @@
         channel: str,
     ):
         super().__init__(channel=channel)
-        self.waiting: dict[socket.socket, int] = {}
+        self.unsent_bytes: dict[socket.socket, int] = {}
         self._listener = listener
         self._timers = timers
         self._read_bytes = read_bytes
@@ -80,7 +80,7 @@
         self._bound.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         self._bound.setblocking(False)
         self._bound.bind(bind)
-        self._bound.listen(BACKLOG)
+        self._bound.listen(LISTEN_BACKLOG)
         self._port = self._bound.getsockname()[1]
 
     @property
@@ -98,15 +98,15 @@
     def _on_stopped(self, component) -> None:
         """Listen no more: a process that has stopped takes no new connections."""
         if self._bound.fileno() >= 0:
-            self._poller.forget(self._bound)
+            self._poller.unwatch(self._bound)
             self._bound.close()
 
-    def readable(self, sock: socket.socket) -> None:
+    def on_readable(self, sock: socket.socket) -> None:
         """Accept a connection, or read from one."""
         if sock is self._bound:
             self._accept()
         else:
-            self.read_now(sock)
+            self.read_available(sock)
 
     def _accept(self) -> None:
         try:
@@ -121,7 +121,7 @@
         self._poller.watch(sock, self, READ)
         self._listener.accepted(sock)
 
-    def read_now(self, sock: socket.socket) -> None:
+    def read_available(self, sock: socket.socket) -> None:
         """Pass on what has arrived on a connection; close it if the caller has."""
         if sock not in self._buffers:
             return
@@ -137,7 +137,7 @@
         else:
             self.close(sock)
 
-    def broken(self, sock: socket.socket) -> None:
+    def on_socket_error(self, sock: socket.socket) -> None:
         """Close a connection that its caller has reset."""
         self.drop(sock)
 
@@ -155,7 +155,7 @@
             data = data[self._send_now(sock, data) :]
         if data:
             buffer.append(data)
-            self.waiting[sock] = self.waiting.get(sock, 0) + len(data)
+            self.unsent_bytes[sock] = self.unsent_bytes.get(sock, 0) + len(data)
             self._poller.watch(sock, self, READ | WRITE)
 
     @staticmethod
@@ -166,7 +166,7 @@
         except OSError:
             return 0
 
-    def writable(self, sock: socket.socket) -> None:
+    def on_writable(self, sock: socket.socket) -> None:
         """Send what waits for a reader."""
         buffer = self._buffers[sock]
         parts, size = [], 0
@@ -183,13 +183,13 @@
             return
         if sent < len(joined):
             buffer.appendleft(joined[sent:])
-        self.waiting[sock] -= sent
+        self.unsent_bytes[sock] -= sent
         if not buffer:
             self._written(sock)
 
     def _written(self, sock: socket.socket) -> None:
         """Go on after all that waited for a reader was sent."""
-        del self.waiting[sock]
+        del self.unsent_bytes[sock]
         if sock in self._closing:
             self.drop(sock)
         else:
@@ -197,7 +197,7 @@
 
     def close(self, sock: socket.socket) -> None:
         """Close a connection once what waits for it has been sent."""
-        if self.waiting.get(sock):
+        if self.unsent_bytes.get(sock):
             self._closing.add(sock)
             # What the caller sends is read no more; its end would be told at each poll.
             self._poller.watch(sock, self, WRITE)
@@ -208,9 +208,9 @@
         """Close a connection without sending what waits for it."""
         if self._buffers.pop(sock, None) is None:
             return
-        self.waiting.pop(sock, None)
+        self.unsent_bytes.pop(sock, None)
         self._closing.discard(sock)
-        self._poller.forget(sock)
+        self._poller.unwatch(sock)
         with contextlib.suppress(OSError):  # its caller has closed it already
             sock.shutdown(socket.SHUT_RDWR)
         sock.close()
--- a/flamingofront/connection/tests/test_client.py
+++ b/flamingofront/connection/tests/test_client.py
@@ -7,7 +7,7 @@
 import pytest
 
 from flamingofront.connection.client import USER_TIMEOUT_MS, HTTPClient
-from flamingofront.connection.interfaces import Reach
+from flamingofront.connection.interfaces import ConnectResult
 from flamingofront.connection.runtime import Runtime
 from flamingofront.messages import (
     CallFailed,
@@ -143,7 +143,7 @@
     def test_call_may_ask_for_a_fresh_connection(self, client):
         endpoint = Endpoint(answer(), answer())
         client.call(endpoint.address)
-        client.call(endpoint.address, fresh=True)
+        client.call(endpoint.address, new_connection=True)
         assert endpoint.connections == 2
 
 
@@ -197,7 +197,7 @@
 
     def test_call_sets_how_long_the_system_keeps_unacknowledged_bytes(self, client):
         endpoint = Endpoint(answer(), answer())
-        client.call(endpoint.address, silence_timeout=0.8)
+        client.call(endpoint.address, ack_timeout=0.8)
         (conn,) = client.client._connections.values()
         option = (socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT)
         assert conn.sock.getsockopt(*option) == 800
@@ -290,10 +290,10 @@
         return ask
 
     def test_address_where_a_process_listens(self, probe):
-        assert probe(Endpoint().address) == [Reach.CONNECTED]
+        assert probe(Endpoint().address) == [ConnectResult.CONNECTED]
 
     def test_address_where_none_listens(self, probe):
-        assert probe(unused_address()) == [Reach.REFUSED]
+        assert probe(unused_address()) == [ConnectResult.REFUSED]
 
     def test_call_to_an_address_where_none_listens_is_refused(self, client):
         assert client.call(unused_address()) == [CallFailed("refused", False)]
--- a/flamingofront/connection/tests/test_server.py
+++ b/flamingofront/connection/tests/test_server.py
@@ -27,7 +27,7 @@
         self.holds = 0
         self.arrived = threading.Event()
         self.runtime = Runtime(self.faults.append, clock=self.clock)
-        limits = ServerLimits(max_body=2000, request_timeout=5.0, max_unread=200_000)
+        limits = ServerLimits(max_body=2000, request_timeout=5.0, max_unsent_bytes=200_000)
         self.server = HTTPServer(
             ("127.0.0.1", 0), self.handle, self.runtime.timers, limits, on_fault=self.faults.append
         ).register(self.runtime)
@@ -39,7 +39,7 @@
         if req.path == "/fault":
             raise RuntimeError("secret detail")
         if req.path == "/hold":
-            exchange.on_gone = self.gone.set
+            exchange.on_disconnect = self.gone.set
             self.held["exchange"] = exchange
             self.holds += 1
             self.arrived.set()
@@ -301,7 +301,7 @@
         refused = []
 
         def refuse():
-            refused.append(server.server.refuse_unread(RequestError(ErrorKind.DRAINING)))
+            refused.append(server.server.reject_incomplete(RequestError(ErrorKind.DRAINING)))
 
         while not any(refused):
             server.act(refuse)
--- a/flamingofront/daemon.py
+++ b/flamingofront/daemon.py
@@ -21,7 +21,7 @@
 from flamingofront.process.settings import EntrySettings, resolve_settings
 from flamingofront.process.store_eras import EraStore
 
-__all__ = ["EntryDaemon", "documents_at", "main"]
+__all__ = ["EntryDaemon", "open_document_store", "main"]
 
 EXIT_BAD_SETTINGS = 2
 CONTROL_MAX_BODY = 32 * 1024 * 1024
@@ -44,7 +44,7 @@
         client = HTTPClient(self.runtime.timers).register(self.runtime)
         self.node = EntryNode(
             settings,
-            documents_at(
+            open_document_store(
                 str(settings.platform), settings.platform_timeout, self.runtime.timers.now, log
             ),
             client,
@@ -101,7 +101,9 @@
         self.runtime.run()
 
 
-def documents_at(address: str, timeout: float, now: Callable[[], float], log: Log) -> DocumentStore:
+def open_document_store(
+    address: str, timeout: float, now: Callable[[], float], log: Log
+) -> DocumentStore:
     """Return the documents in the platform's store.
 
     Parameters
--- a/flamingofront/decisions/tests/test_lateness.py
+++ b/flamingofront/decisions/tests/test_lateness.py
@@ -39,7 +39,9 @@
     @pytest.mark.parametrize(("each", "sent"), [(Urgency.LATE, ["8"]), (Urgency.IN_TIME, [])])
     def test_urgency_header_is_sent_unless_default(self, each, sent):
         work = ForwardWork("POST", "/x", "h", (), b"", True, True, True, 2)
-        fields = PlatformProtocol().attempt_fields(work, AttemptFacts("e", 1.0, urgency=each))
+        fields = PlatformProtocol().encode_attempt_headers(
+            work, AttemptFacts("e", 1.0, urgency=each)
+        )
         found = [value for name, value in fields if name == "X-Flamingofront-Request-Urgency"]
         assert found == sent
 
--- a/flamingofront/decisions/tests/test_quota.py
+++ b/flamingofront/decisions/tests/test_quota.py
@@ -261,11 +261,11 @@
         world = ready_world(fronts=2, tenants=[tenant])
         rejections = []
         front = world.fronts["front-1"]
-        front.gateway.refused = lambda exc, req=None: rejections.append(exc)
+        front.gateway.record_rejection = lambda exc, req=None: rejections.append(exc)
         callers = [world.ask("front-1", "/read/x") for _ in range(12)]
         world.finish(*callers)
         assert rejections and {each.kind for each in rejections} == {ErrorKind.LIMIT_EXCEEDED}
-        inputs = rejections[-1].inputs
+        inputs = rejections[-1].log_fields
         assert (inputs["workspace"], inputs["rate"], inputs["burst"]) == ("desk", 2.0, 2.0)
         assert inputs["bucket"] < inputs["burst"] and inputs["taken"] > 0
         assert {"units", "limit", "heard_share", "lag"} <= set(inputs)
@@ -281,7 +281,7 @@
         world.run_until(lambda: all(each.ready for each in world.fronts.values()))
         rejections = []
         for front in world.fronts.values():
-            front.gateway.refused = lambda exc, req=None: rejections.append(exc.inputs)
+            front.gateway.record_rejection = lambda exc, req=None: rejections.append(exc.log_fields)
         for _ in range(30):
             world.ask("front-1", "/read/x")
             world.run(0.05)
--- a/flamingofront/errors.py
+++ b/flamingofront/errors.py
@@ -1,6 +1,6 @@
 """Exceptions of flamingofront and the closed list of error kinds.
 
-Every answer that is not a success is made from one row of `ANSWERS`. No other module chooses an
+Every answer that is not a success is made from one row of `ERROR_RESPONSES`. No other module chooses an
 HTTP status, and no other module decides whether a retry is worth advertising.
 """
 
@@ -9,14 +9,14 @@
 from enum import StrEnum
 
 __all__ = [
-    "ANSWERS",
-    "Answer",
+    "ERROR_RESPONSES",
+    "ErrorResponse",
     "CommandError",
     "ConfigurationError",
     "ErrorKind",
     "FlamingofrontError",
     "PlatformError",
-    "Ran",
+    "Executed",
     "RequestError",
     "SettingsError",
 ]
@@ -25,7 +25,7 @@
 DEFAULT_RETRY_SECONDS = 1.0
 
 
-class Ran(StrEnum):
+class Executed(StrEnum):
     """Whether the work of a request was executed by an endpoint."""
 
     NO = "no"
@@ -69,7 +69,7 @@
 
 
 @dataclass(frozen=True)
-class Answer:
+class ErrorResponse:
     """How one error kind is told.
 
     Parameters
@@ -85,56 +85,80 @@
     """
 
     status: int
-    ran: Ran
-    retry: bool
+    ran: Executed
+    allows_retry: bool
     text: str
 
 
-ANSWERS: dict[ErrorKind, Answer] = {
-    ErrorKind.MALFORMED_REQUEST: Answer(400, Ran.NO, False, "the request is malformed"),
-    ErrorKind.HEADERS_TOO_LARGE: Answer(431, Ran.NO, False, "the request head is too large"),
-    ErrorKind.BODY_TOO_LARGE: Answer(413, Ran.NO, False, "the request body is too large"),
-    ErrorKind.REQUEST_TIMEOUT: Answer(408, Ran.NO, True, "the request did not arrive in time"),
-    ErrorKind.METHOD_NOT_ALLOWED: Answer(405, Ran.NO, False, "the method is not allowed here"),
-    ErrorKind.NOT_FOUND: Answer(404, Ran.NO, False, "no such resource"),
-    ErrorKind.UNKNOWN_SERVICE: Answer(404, Ran.NO, False, "no such model or service"),
-    ErrorKind.UNKNOWN_WORKSPACE: Answer(401, Ran.NO, False, "unknown workspace or credential"),
-    ErrorKind.UNKNOWN_REQUEST: Answer(404, Ran.UNKNOWN, False, "this request is not held here"),
-    ErrorKind.HOLDER_UNREACHABLE: Answer(
-        503, Ran.UNKNOWN, True, "the entry VM that holds this request cannot be reached"
-    ),
-    ErrorKind.LIMIT_EXCEEDED: Answer(429, Ran.NO, True, "the workspace is over its limit"),
-    ErrorKind.OVERLOADED: Answer(503, Ran.NO, True, "the endpoints are at capacity"),
-    ErrorKind.DRAINING: Answer(503, Ran.NO, True, "this entry VM is draining"),
-    ErrorKind.NOT_READY: Answer(503, Ran.NO, True, "this entry VM is starting"),
-    ErrorKind.NO_ENDPOINT: Answer(503, Ran.NO, True, "no endpoint can take the request"),
-    ErrorKind.RETRY_BUDGET_EXHAUSTED: Answer(
-        503, Ran.UNKNOWN, True, "the retry budget of the service is used up"
-    ),
-    ErrorKind.DEADLINE_EXCEEDED: Answer(504, Ran.UNKNOWN, True, "the deadline passed"),
-    ErrorKind.ENDPOINT_FAILED: Answer(502, Ran.UNKNOWN, True, "the endpoint failed"),
-    ErrorKind.OUTCOME_UNKNOWN: Answer(
-        502, Ran.UNKNOWN, False, "the call was sent but its outcome is not known"
-    ),
-    ErrorKind.CRASHES_ENDPOINTS: Answer(
-        502, Ran.YES, False, "endpoints ended while they ran this request; it is not run again"
-    ),
-    ErrorKind.KEY_REUSED: Answer(
-        422, Ran.NO, False, "the idempotency key was used with another request"
-    ),
-    ErrorKind.KEY_IN_PROGRESS: Answer(
-        409, Ran.UNKNOWN, True, "a request with this idempotency key is in progress"
-    ),
-    ErrorKind.STORE_UNAVAILABLE: Answer(503, Ran.NO, True, "the platform's store is out of reach"),
-    ErrorKind.HANDED_OVER: Answer(503, Ran.YES, True, "the request continues on another entry VM"),
-    ErrorKind.SLOW_READER: Answer(503, Ran.YES, True, "the answer was not read in time"),
-    ErrorKind.INVALID_CONFIGURATION: Answer(422, Ran.NO, False, "the configuration is not valid"),
-    ErrorKind.INVALID_COMMAND: Answer(400, Ran.NO, False, "the command is not valid"),
-    ErrorKind.CONFLICT: Answer(409, Ran.NO, False, "another change was accepted first"),
-    ErrorKind.OPERATION_UNKNOWN: Answer(
-        504, Ran.UNKNOWN, True, "the outcome of the operation is not known"
-    ),
-    ErrorKind.INTERNAL: Answer(500, Ran.UNKNOWN, False, "internal error"),
+ERROR_RESPONSES: dict[ErrorKind, ErrorResponse] = {
+    ErrorKind.MALFORMED_REQUEST: ErrorResponse(400, Executed.NO, False, "the request is malformed"),
+    ErrorKind.HEADERS_TOO_LARGE: ErrorResponse(
+        431, Executed.NO, False, "the request head is too large"
+    ),
+    ErrorKind.BODY_TOO_LARGE: ErrorResponse(
+        413, Executed.NO, False, "the request body is too large"
+    ),
+    ErrorKind.REQUEST_TIMEOUT: ErrorResponse(
+        408, Executed.NO, True, "the request did not arrive in time"
+    ),
+    ErrorKind.METHOD_NOT_ALLOWED: ErrorResponse(
+        405, Executed.NO, False, "the method is not allowed here"
+    ),
+    ErrorKind.NOT_FOUND: ErrorResponse(404, Executed.NO, False, "no such resource"),
+    ErrorKind.UNKNOWN_SERVICE: ErrorResponse(404, Executed.NO, False, "no such model or service"),
+    ErrorKind.UNKNOWN_WORKSPACE: ErrorResponse(
+        401, Executed.NO, False, "unknown workspace or credential"
+    ),
+    ErrorKind.UNKNOWN_REQUEST: ErrorResponse(
+        404, Executed.UNKNOWN, False, "this request is not held here"
+    ),
+    ErrorKind.HOLDER_UNREACHABLE: ErrorResponse(
+        503, Executed.UNKNOWN, True, "the entry VM that holds this request cannot be reached"
+    ),
+    ErrorKind.LIMIT_EXCEEDED: ErrorResponse(
+        429, Executed.NO, True, "the workspace is over its limit"
+    ),
+    ErrorKind.OVERLOADED: ErrorResponse(503, Executed.NO, True, "the endpoints are at capacity"),
+    ErrorKind.DRAINING: ErrorResponse(503, Executed.NO, True, "this entry VM is draining"),
+    ErrorKind.NOT_READY: ErrorResponse(503, Executed.NO, True, "this entry VM is starting"),
+    ErrorKind.NO_ENDPOINT: ErrorResponse(
+        503, Executed.NO, True, "no endpoint can take the request"
+    ),
+    ErrorKind.RETRY_BUDGET_EXHAUSTED: ErrorResponse(
+        503, Executed.UNKNOWN, True, "the retry budget of the service is used up"
+    ),
+    ErrorKind.DEADLINE_EXCEEDED: ErrorResponse(504, Executed.UNKNOWN, True, "the deadline passed"),
+    ErrorKind.ENDPOINT_FAILED: ErrorResponse(502, Executed.UNKNOWN, True, "the endpoint failed"),
+    ErrorKind.OUTCOME_UNKNOWN: ErrorResponse(
+        502, Executed.UNKNOWN, False, "the call was sent but its outcome is not known"
+    ),
+    ErrorKind.CRASHES_ENDPOINTS: ErrorResponse(
+        502, Executed.YES, False, "endpoints ended while they ran this request; it is not run again"
+    ),
+    ErrorKind.KEY_REUSED: ErrorResponse(
+        422, Executed.NO, False, "the idempotency key was used with another request"
+    ),
+    ErrorKind.KEY_IN_PROGRESS: ErrorResponse(
+        409, Executed.UNKNOWN, True, "a request with this idempotency key is in progress"
+    ),
+    ErrorKind.STORE_UNAVAILABLE: ErrorResponse(
+        503, Executed.NO, True, "the platform's store is out of reach"
+    ),
+    ErrorKind.HANDED_OVER: ErrorResponse(
+        503, Executed.YES, True, "the request continues on another entry VM"
+    ),
+    ErrorKind.SLOW_READER: ErrorResponse(
+        503, Executed.YES, True, "the answer was not read in time"
+    ),
+    ErrorKind.INVALID_CONFIGURATION: ErrorResponse(
+        422, Executed.NO, False, "the configuration is not valid"
+    ),
+    ErrorKind.INVALID_COMMAND: ErrorResponse(400, Executed.NO, False, "the command is not valid"),
+    ErrorKind.CONFLICT: ErrorResponse(409, Executed.NO, False, "another change was accepted first"),
+    ErrorKind.OPERATION_UNKNOWN: ErrorResponse(
+        504, Executed.UNKNOWN, True, "the outcome of the operation is not known"
+    ),
+    ErrorKind.INTERNAL: ErrorResponse(500, Executed.UNKNOWN, False, "internal error"),
 }
 
 
@@ -171,13 +195,13 @@
     ----------
     detail : str
         What happened.
-    maybe_done : bool
+    maybe_applied : bool
         True if the operation may have taken effect nevertheless.
     """
 
-    def __init__(self, detail: str, maybe_done: bool = False):
+    def __init__(self, detail: str, maybe_applied: bool = False):
         super().__init__(detail)
-        self.maybe_done = maybe_done
+        self.maybe_applied = maybe_applied
 
 
 class RequestError(FlamingofrontError):
@@ -201,19 +225,19 @@
         self,
         kind: ErrorKind,
         detail: str = "",
-        ran: Ran | None = None,
+        ran: Executed | None = None,
         retry_after: float | None = None,
-        inputs: Mapping[str, object] | None = None,
+        log_fields: Mapping[str, object] | None = None,
     ):
-        super().__init__(detail or ANSWERS[kind].text)
-        self.inputs = inputs or {}
+        super().__init__(detail or ERROR_RESPONSES[kind].text)
+        self.log_fields = log_fields or {}
         self.kind = kind
         self.detail = detail
-        self.ran = ran if ran is not None else ANSWERS[kind].ran
+        self.ran = ran if ran is not None else ERROR_RESPONSES[kind].ran
         self.retry_after = self._retry_after(retry_after)
 
     def _retry_after(self, given: float | None) -> float | None:
         """Return the time to tell: none where the table says that a retry makes no sense."""
-        if not ANSWERS[self.kind].retry:
+        if not ERROR_RESPONSES[self.kind].allows_retry:
             return None
         return DEFAULT_RETRY_SECONDS if given is None else given
--- a/flamingofront/forward_daemon.py
+++ b/flamingofront/forward_daemon.py
@@ -18,7 +18,7 @@
 from flamingofront.platform.endpoints import ENDPOINT_TABLE, decode_endpoint
 from flamingofront.platform.requests import PlatformProtocol
 from flamingofront.platform.rollouts import ROLLOUT_ROWS
-from flamingofront.platform.settings import SETTINGS_VARIABLE, read_settings, settings_path
+from flamingofront.platform.settings import SETTINGS_VARIABLE, get_settings_path, read_settings
 from flamingofront.platform.store import PlatformTableStore
 from flamingofront.process.forwarding.knowledge import SharedTables
 from flamingofront.process.forwarding.node import Dependencies, ForwardingNode
@@ -83,7 +83,7 @@
             self.callers,
             settings.stop_grace,
             self.runtime.stop,
-            self.callers.refuse_unread,
+            self.callers.reject_incomplete,
         )
 
     def _dependencies(self) -> Dependencies:
@@ -129,7 +129,7 @@
         self.node.fault(exc)
 
     def _refused(self, kind) -> None:
-        self.node.gateway.refused(RequestError(kind))
+        self.node.gateway.record_rejection(RequestError(kind))
 
     def _stop_signal(self) -> None:
         self._stop.begin()
@@ -169,7 +169,7 @@
     :param metrics_port: port for metrics on the VM's address, 0 to let the kernel pick
     """
     set_up_logs(log_level, NonBlockingStream(sys.stdout.fileno()))
-    path = settings_path(os.environ) or None
+    path = get_settings_path(os.environ) or None
     try:
         if path is None:
             raise SettingsError(f"{SETTINGS_VARIABLE} is not set: it names the settings file")
--- a/flamingofront/messages.py
+++ b/flamingofront/messages.py
@@ -6,7 +6,7 @@
 from collections.abc import Mapping
 from dataclasses import dataclass, field
 
-from flamingofront.errors import ErrorKind, Ran
+from flamingofront.errors import ErrorKind, Executed
 
 __all__ = [
     "CallFailed",
@@ -23,7 +23,7 @@
     "ScheduleRetry",
     "Sleep",
     "StartAttempt",
-    "WholeResponse",
+    "BufferedResponse",
 ]
 
 
@@ -48,7 +48,7 @@
     body: bytes
     target: str = ""
     fields: tuple[tuple[str, str], ...] = ()
-    began_at: float = 0.0
+    head_received_at: float = 0.0
 
     def header(self, name: str, default: str = "") -> str:
         """Return the value of a header, by its lower-case name."""
@@ -74,7 +74,7 @@
         Value of the ``Host`` header; the address if empty.
     connect_timeout : float or None
         Seconds until the connection must stand; None if only `timeout` bounds it.
-    silence_timeout : float or None
+    ack_timeout : float or None
         Seconds without word from the target's system after which what was sent is given up by the
         system itself, so that it cannot arrive later; None for the client's own limit. To be below
         `timeout` for calls that must not arrive late.
@@ -90,10 +90,10 @@
     headers: tuple[tuple[str, str], ...] = ()
     timeout: float = 2.0
     stream: bool = False
-    fresh: bool = False
+    new_connection: bool = False
     host: str = ""
     connect_timeout: float | None = None
-    silence_timeout: float | None = None
+    ack_timeout: float | None = None
     stall_timeout: float | None = None
 
 
@@ -154,7 +154,7 @@
 
 
 @dataclass(frozen=True)
-class WholeResponse:
+class BufferedResponse:
     """A complete response."""
 
     status: int
@@ -224,6 +224,6 @@
     """The request ends with an error answer."""
 
     kind: ErrorKind
-    ran: Ran
+    ran: Executed
     detail: str = ""
     retry_after: float | None = None
--- a/flamingofront/platform/cloud.py
+++ b/flamingofront/platform/cloud.py
@@ -6,8 +6,8 @@
 
 from flamingofront.messages import OutboundCall
 from flamingofront.platform.store import JSON_HEADERS, STATUS_OK
-from flamingofront.process.calls import ask
-from flamingofront.process.store import Cloud, EndpointOrder, UsageReport
+from flamingofront.process.calls import send_call
+from flamingofront.process.store import Cloud, ScalingRequest, UsageReport
 from flamingofront.process.tasks import Task
 
 __all__ = ["PlatformCloud"]
@@ -39,15 +39,15 @@
     def report_usage(self, holder: str, fencing: int, report: UsageReport) -> Task:
         """Send the counts of one window."""
         body = {"window_id": report.window, "counts": dict(report.counts)}
-        yield from ask(self._post("/usage", holder, fencing, body), True, (STATUS_OK,))
+        yield from send_call(self._post("/usage", holder, fencing, body), True, (STATUS_OK,))
 
-    def order(self, holder: str, fencing: int, order: EndpointOrder) -> Task:
+    def request_endpoints(self, holder: str, fencing: int, order: ScalingRequest) -> Task:
         """Order a number of endpoints; False if none are to be had there now."""
         body = {"service": order.service, "zone": order.zone, "desired": order.count}
         if order.reclaimable:
             body["spot"] = True
         call = self._post("/scale", holder, fencing, body)
-        reply = yield from ask(call, True, (STATUS_OK, STATUS_NONE_TO_BE_HAD))
+        reply = yield from send_call(call, True, (STATUS_OK, STATUS_NONE_TO_BE_HAD))
         return reply.status == STATUS_OK
 
     def _post(self, path: str, holder: str, fencing: int, body: dict[str, Any]) -> OutboundCall:
@@ -59,5 +59,5 @@
             orjson.dumps(body),
             headers,
             self._timeout,
-            silence_timeout=self._timeout * SILENCE_PART,
+            ack_timeout=self._timeout * SILENCE_PART,
         )
--- a/flamingofront/platform/objects.py
+++ b/flamingofront/platform/objects.py
@@ -4,7 +4,7 @@
 
 from flamingofront.messages import OutboundCall
 from flamingofront.platform.store import STATUS_OK
-from flamingofront.process.calls import ask
+from flamingofront.process.calls import send_call
 from flamingofront.process.store import ObjectStore
 from flamingofront.process.tasks import Task
 
@@ -33,18 +33,18 @@
 
     def put(self, name: str, data: bytes) -> Task:
         """Store an object."""
-        yield from ask(self._call("PUT", PUT_PATH, name, data), True, (STATUS_OK,))
+        yield from send_call(self._call("PUT", PUT_PATH, name, data), True, (STATUS_OK,))
 
     def get(self, name: str) -> Task:
         """Return the bytes of an object, None if there is none."""
         call = self._call("GET", GET_PATH, name)
-        reply = yield from ask(call, False, (STATUS_OK, STATUS_NOT_FOUND))
+        reply = yield from send_call(call, False, (STATUS_OK, STATUS_NOT_FOUND))
         return reply.body if reply.status == STATUS_OK else None
 
     def drop(self, name: str) -> Task:
         """Remove an object."""
         call = self._call("DELETE", DROP_PATH, name)
-        yield from ask(call, True, (STATUS_OK, STATUS_NOT_FOUND))
+        yield from send_call(call, True, (STATUS_OK, STATUS_NOT_FOUND))
 
     def _call(self, method: str, path: str, name: str, data: bytes = b"") -> OutboundCall:
         return OutboundCall(
--- a/flamingofront/platform/requests.py
+++ b/flamingofront/platform/requests.py
@@ -2,14 +2,14 @@
 
 import re
 
-from flamingofront.connection.server import RenderedError, error_body
+from flamingofront.connection.server import RenderedError, encode_error
 from flamingofront.decisions.lateness import Urgency
-from flamingofront.errors import ANSWERS, ErrorKind, Ran, RequestError
+from flamingofront.errors import ERROR_RESPONSES, ErrorKind, Executed, RequestError
 from flamingofront.messages import InboundRequest, ResponseHead
 from flamingofront.request.forward_work import (
     AttemptFacts,
     CallerRequest,
-    EndpointAnswer,
+    EndpointResponseHead,
     Fields,
     ForwardProtocol,
     ForwardWork,
@@ -111,7 +111,7 @@
             fields=_without(req.fields, NOT_FORWARDED | named),
         )
 
-    def attempt_fields(self, work: ForwardWork, facts: AttemptFacts) -> Fields:
+    def encode_attempt_headers(self, work: ForwardWork, facts: AttemptFacts) -> Fields:
         """Return the headers of an attempt."""
         fields = work.fields
         if facts.last_event:
@@ -127,32 +127,32 @@
             fields += ((URGENCY, str(int(facts.urgency))),)
         return fields
 
-    def judge(self, request_id: str, head: ResponseHead) -> EndpointAnswer:
+    def decode_response_head(self, request_id: str, head: ResponseHead) -> EndpointResponseHead:
         """Return what the head of an endpoint's answer says."""
         wrong_endpoint = head.status == STATUS_WRONG_ENDPOINT
-        return EndpointAnswer(
+        return EndpointResponseHead(
             status=head.status,
             not_run=NOT_RUN in head.headers or wrong_endpoint,
-            crossed=head.headers.get(REQUEST_ID, request_id) != request_id,
+            is_mismatched=head.headers.get(REQUEST_ID, request_id) != request_id,
             wrong_endpoint=wrong_endpoint,
             stream=head.headers.get("content-type", "").startswith("text/event-stream"),
             fields=_without(head.fields, HOP_FIELDS | _connection_options(head.fields)),
-            names_limit=RATE_LIMIT in head.headers,
+            has_rate_limit_header=RATE_LIMIT in head.headers,
             rate_limit=_decimal(head.headers.get(RATE_LIMIT, "")),
             leaving=head.headers.get(LEAVING, "").strip() == "1",
-            pause=_pause(head),
+            backoff_seconds=_pause(head),
         )
 
     def render_error(self, exc: RequestError) -> RenderedError:
         """Return an error answer; a status that says "not run" is only given with evidence."""
-        status = ANSWERS[exc.kind].status
-        if status in NOT_RUN_STATUSES and exc.ran is not Ran.NO:
+        status = ERROR_RESPONSES[exc.kind].status
+        if status in NOT_RUN_STATUSES and exc.ran is not Executed.NO:
             status = STATUS_MAY_HAVE_RUN
         fields: Fields = (("Content-Type", "application/json"),)
         if exc.retry_after is not None and status in NOT_RUN_STATUSES:
             # Seconds, which may have a fraction here.
             fields += (("Retry-After", f"{exc.retry_after:.3f}"),)
-        return status, fields, error_body(exc)
+        return status, fields, encode_error(exc)
 
 
 def _without(fields: Fields, names: frozenset[str]) -> Fields:
--- a/flamingofront/platform/settings.py
+++ b/flamingofront/platform/settings.py
@@ -7,13 +7,13 @@
 from flamingofront.process.forwarding.settings import DeploymentSettings, SharedRules
 from flamingofront.process.settings import Address, parse_address
 
-__all__ = ["SETTINGS_VARIABLE", "parse_settings", "read_settings", "settings_path"]
+__all__ = ["SETTINGS_VARIABLE", "parse_settings", "read_settings", "get_settings_path"]
 
 # Name of the environment variable with the path of the settings file.
 SETTINGS_VARIABLE = "FLAMINGOFRONT_BOOT"
 
 
-def settings_path(environment: Mapping[str, str] = os.environ) -> str | None:
+def get_settings_path(environment: Mapping[str, str] = os.environ) -> str | None:
     """Return the path of the settings file, None if the process does not run on the platform."""
     return environment.get(SETTINGS_VARIABLE)
 
--- a/flamingofront/platform/store.py
+++ b/flamingofront/platform/store.py
@@ -8,8 +8,8 @@
 import orjson
 
 from flamingofront.errors import PlatformError
-from flamingofront.messages import OutboundCall, WholeResponse
-from flamingofront.process.calls import ask
+from flamingofront.messages import BufferedResponse, OutboundCall
+from flamingofront.process.calls import send_call
 from flamingofront.process.store import (
     HistoryLostError,
     RowChanges,
@@ -19,8 +19,8 @@
     StoredRow,
     TableStore,
     TransactionOutcome,
-    position,
-    version_of,
+    get_era_version,
+    make_revision,
 )
 from flamingofront.process.tasks import Task
 
@@ -58,20 +58,20 @@
         bounds = {"from": first, "to": end, "limit": limit}
         query.update({name: value for name, value in bounds.items() if value})
         call = self._get("/api/rows-get", query, self._timeout)
-        reply = yield from ask(call, False, (STATUS_OK,))
+        reply = yield from send_call(call, False, (STATUS_OK,))
         doc, era = _body(reply), _era(reply)
-        version = position(era, doc["ver"])
+        version = make_revision(era, doc["ver"])
         return RowRange(_rows(doc, era), version, bool(doc.get("truncated", False)))
 
-    def changes(self, table: str, after: int, wait: float) -> Task:
+    def read_changes(self, table: str, after: int, wait: float) -> Task:
         """Return what has changed since a version."""
-        query = {"table": table, "after_rev": version_of(after), "wait_ms": int(wait * 1000)}
+        query = {"table": table, "after_rev": get_era_version(after), "wait_ms": int(wait * 1000)}
         call = self._get("/api/rows-feed", query, wait + self._timeout)
-        reply = yield from ask(call, False, (STATUS_OK, STATUS_HISTORY_LOST))
+        reply = yield from send_call(call, False, (STATUS_OK, STATUS_HISTORY_LOST))
         if reply.status == STATUS_HISTORY_LOST:
             raise HistoryLostError(f"changes of table {table} since {after} are not kept")
         doc, era = _body(reply), _era(reply)
-        return RowChanges(_rows(doc, era), position(era, doc["ver"]))
+        return RowChanges(_rows(doc, era), make_revision(era, doc["ver"]))
 
     def transact(
         self, part: str, conditions: Sequence[RowCondition], writes: Sequence[RowWrite]
@@ -84,7 +84,7 @@
                     "table": each.table,
                     "part": part,
                     "key": each.key,
-                    "ver": version_of(each.version),
+                    "ver": get_era_version(each.version),
                 }
                 for each in conditions
             ],
@@ -112,9 +112,9 @@
             JSON_HEADERS,
             self._timeout,
         )
-        reply = yield from ask(call, True, (STATUS_OK, STATUS_CONDITION_FAILED))
+        reply = yield from send_call(call, True, (STATUS_OK, STATUS_CONDITION_FAILED))
         doc, era = _body(reply), _era(reply)
-        version = position(era, doc.get("ver", 0))
+        version = make_revision(era, doc.get("ver", 0))
         return TransactionOutcome(reply.status == STATUS_OK, version, _rows(doc, era))
 
     def _get(self, path: str, query: dict[str, Any], timeout: float) -> OutboundCall:
@@ -128,14 +128,14 @@
         )
 
 
-def _body(reply: WholeResponse) -> dict[str, Any]:
+def _body(reply: BufferedResponse) -> dict[str, Any]:
     try:
         return orjson.loads(reply.body)
     except orjson.JSONDecodeError as exc:
         raise PlatformError(f"the store's answer is malformed: {exc}") from exc
 
 
-def _era(reply: WholeResponse) -> int:
+def _era(reply: BufferedResponse) -> int:
     text = reply.headers.get(ERA, "0")
     if not text.isdigit():
         raise PlatformError(f"the store's era is malformed: {text[:40]!r}")
@@ -153,5 +153,5 @@
     # A deleted row is marked so and has no value.
     deleted = data.get("tombstone") or data.get("value") is None
     value = None if deleted else base64.b64decode(data["value"])
-    version = position(era, data["ver"])
+    version = make_revision(era, data["ver"])
     return StoredRow(data["table"], data.get("part", ""), data["key"], value, version)
--- a/flamingofront/platform/tests/test_adapter.py
+++ b/flamingofront/platform/tests/test_adapter.py
@@ -8,14 +8,20 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from flamingofront.errors import ConfigurationError, ErrorKind, PlatformError, Ran, RequestError
+from flamingofront.errors import (
+    ConfigurationError,
+    ErrorKind,
+    Executed,
+    PlatformError,
+    RequestError,
+)
 from flamingofront.messages import InboundRequest, ResponseHead
 from flamingofront.platform.cloud import PlatformCloud
 from flamingofront.platform.config import decode_configuration
 from flamingofront.platform.endpoints import decode_endpoint
 from flamingofront.platform.requests import PlatformProtocol
 from flamingofront.platform.settings import parse_settings
-from flamingofront.process.store import EndpointOrder, UsageReport
+from flamingofront.process.store import ScalingRequest, UsageReport
 from flamingofront.version.forwarding import Backend, ForwardedRoute, RequestKind
 
 PACKAGE = Path(__file__).resolve().parents[2]
@@ -92,7 +98,7 @@
         assert cfg.version == 3
         assert cfg.routes[0].backends == (Backend("x", 90.0), Backend("y", 10.0))
         assert cfg.routes[1].backends == (Backend("x"),)
-        assert cfg.routes[1].may_repeat and not cfg.routes[0].may_repeat
+        assert cfg.routes[1].can_repeat and not cfg.routes[0].can_repeat
 
     @pytest.mark.parametrize(
         "data", [b"", b"[]", b"null", b'{"version": "x"}', b'{"version": 1, "routes": [{}]}']
@@ -104,7 +110,7 @@
     def test_split_follows_the_weights(self):
         backends = (Backend("x", 90.0), Backend("y", 10.0))
         route = ForwardedRoute("r", "h", "/r/", RequestKind.IDEMPOTENT, backends)
-        share = sum(route.backend_for(f"request-{n}") == "y" for n in range(5000)) / 5000
+        share = sum(route.select_backend(f"request-{n}") == "y" for n in range(5000)) / 5000
         assert 0.08 < share < 0.12
 
 
@@ -209,13 +215,13 @@
 class TestErrorAnswers:
     @pytest.mark.parametrize("kind", list(ErrorKind))
     def test_a_status_that_says_not_run_needs_evidence(self, kind):
-        for ran in (Ran.UNKNOWN, Ran.YES):
+        for ran in (Executed.UNKNOWN, Executed.YES):
             status, fields, _ = PlatformProtocol().render_error(RequestError(kind, ran=ran))
             assert status not in (408, 421, 429, 503)
             assert "Retry-After" not in dict(fields)
 
     def test_time_to_come_back_has_a_fraction(self):
-        exc = RequestError(ErrorKind.OVERLOADED, ran=Ran.NO, retry_after=0.25)
+        exc = RequestError(ErrorKind.OVERLOADED, ran=Executed.NO, retry_after=0.25)
         status, fields, _ = PlatformProtocol().render_error(exc)
         assert status == 503 and dict(fields)["Retry-After"] == "0.250"
 
@@ -224,11 +230,11 @@
     def test_what_a_partition_holds_up_is_given_up_before_the_wait_ends(self):
         cloud = PlatformCloud("127.0.0.1:1", 1.0)
         for task in (
-            cloud.order("front-1", 2, EndpointOrder("s", "z", 1, True)),
+            cloud.request_endpoints("front-1", 2, ScalingRequest("s", "z", 1, True)),
             cloud.report_usage("front-1", 2, UsageReport(7, {})),
         ):
             call = next(task)
-            assert call.silence_timeout < call.timeout
+            assert call.ack_timeout < call.timeout
             assert dict(call.headers)["X-Flamingofront-Fencing-Token"] == "2"
 
 
@@ -261,5 +267,5 @@
         ],
     )
     def test_answers_are_judged(self, headers, not_run, crossed):
-        answer = PlatformProtocol().judge("r", ResponseHead(503, headers))
-        assert (answer.not_run, answer.crossed) == (not_run, crossed)
+        answer = PlatformProtocol().decode_response_head("r", ResponseHead(503, headers))
+        assert (answer.not_run, answer.is_mismatched) == (not_run, crossed)
--- a/flamingofront/process/control.py
+++ b/flamingofront/process/control.py
@@ -14,7 +14,7 @@
 from flamingofront.process.peers import PeerLinks
 from flamingofront.process.rows import LocalRows
 from flamingofront.request.attachments import respond_error
-from flamingofront.request.inheritance import Inheritance
+from flamingofront.request.inheritance import RequestAdopter
 from flamingofront.request.keyed import KeyedRequests
 from flamingofront.request.reattach import Reattachment
 
@@ -45,7 +45,7 @@
         links: PeerLinks,
         rows: LocalRows,
         keyed: KeyedRequests,
-        inheritance: Inheritance,
+        inheritance: RequestAdopter,
         reattachment: Reattachment,
         accepts_work: Callable[[], bool],
     ):
@@ -96,20 +96,20 @@
         raise RequestError(ErrorKind.NOT_FOUND, f"no such path {path[:80]!r}")
 
     def _digest(self, req: InboundRequest, exchange: Exchange) -> None:
-        respond_json(exchange, self._links.take_digest(_parse(req)))
+        respond_json(exchange, self._links.handle_digest(_parse(req)))
 
     def _push(self, req: InboundRequest, exchange: Exchange) -> None:
-        self._links.take_push(_parse(req))
+        self._links.handle_push(_parse(req))
         respond_json(exchange, {})
 
     def _peer_rows(self, req: InboundRequest, exchange: Exchange) -> None:
-        respond_json(exchange, {"rows": self._rows.of(_parse(req)["subject"])})
+        respond_json(exchange, {"rows": self._rows.build_rows(_parse(req)["subject"])})
 
     def _handover(self, req: InboundRequest, exchange: Exchange) -> None:
         if not self._takes_work():
             raise RequestError(ErrorKind.DRAINING)
         data = _parse(req)
-        self._inheritance.take(data["record"], data["sender"])
+        self._inheritance.accept_handover(data["record"], data["sender"])
         respond_json(exchange, {"taken": True})
 
     def _claim(self, req: InboundRequest, exchange: Exchange) -> None:
@@ -122,7 +122,7 @@
         if not offset.isdigit():
             raise RequestError(ErrorKind.MALFORMED_REQUEST, f"bad offset {offset[:40]!r}")
         workspace, stream = req.query.get("workspace", ""), req.query.get("stream") == "1"
-        if not self._reattachment.relay(request_id, workspace, int(offset), stream, exchange):
+        if not self._reattachment.attach_peer(request_id, workspace, int(offset), stream, exchange):
             raise RequestError(ErrorKind.UNKNOWN_REQUEST)
 
 
--- a/flamingofront/process/counted_store.py
+++ b/flamingofront/process/counted_store.py
@@ -32,10 +32,10 @@
         self._count("read", table)
         return self._store.read(table, part, first, end, limit)
 
-    def changes(self, table: str, after: int, wait: float) -> Task:
+    def read_changes(self, table: str, after: int, wait: float) -> Task:
         """Return the `RowChanges` after a version."""
         self._count("changes", table)
-        return self._store.changes(table, after, wait)
+        return self._store.read_changes(table, after, wait)
 
     def transact(
         self, part: str, conditions: Sequence[RowCondition], writes: Sequence[RowWrite]
--- a/flamingofront/process/dissemination.py
+++ b/flamingofront/process/dissemination.py
@@ -12,7 +12,10 @@
 
 from flamingofront.decisions.quarantine_facts import QuarantineUpdate
 from flamingofront.process.membership import Fact, FactTable, Role, VmState
-from flamingofront.process.quarantine_codec import decode_word, encode_word
+from flamingofront.process.quarantine_codec import (
+    decode_quarantine_update,
+    encode_quarantine_update,
+)
 from flamingofront.process.status import StatusRecord, StatusTable
 from flamingofront.version.model import (
     Configuration,
@@ -42,14 +45,14 @@
             "revision": self.revision,
             "hashes": list(self.hashes),
             "records": [each.to_json() for each in self.records],
-            "quarantine": encode_word(self.quarantine),
+            "quarantine": encode_quarantine_update(self.quarantine),
         }
 
     @classmethod
     def from_json(cls, data: dict[str, Any]) -> "Digest":
         """Return the digest that `to_json` was called on."""
         records = tuple(StatusRecord.from_json(each) for each in data["records"])
-        word = decode_word(data.get("quarantine"))
+        word = decode_quarantine_update(data.get("quarantine"))
         return cls(data["sender"], data["revision"], tuple(data["hashes"]), records, word)
 
 
@@ -67,7 +70,7 @@
         return {
             "facts": [each.to_json() for each in self.facts],
             "configuration": None if cfg is None else configuration_to_json(cfg),
-            "quarantine": encode_word(self.quarantine),
+            "quarantine": encode_quarantine_update(self.quarantine),
         }
 
     @classmethod
@@ -77,7 +80,7 @@
         return cls(
             tuple(Fact.from_json(each) for each in data["facts"]),
             None if cfg is None else configuration_from_json(cfg),
-            decode_word(data.get("quarantine")),
+            decode_quarantine_update(data.get("quarantine")),
         )
 
 
@@ -123,7 +126,7 @@
     ----------
     word : callable
         Returns what is to be told of requests that crash endpoints.
-    on_word : callable
+    on_quarantine_update : callable
         Gets what others tell of them.
     """
 
@@ -139,8 +142,8 @@
         self.facts = FactTable()
         self.statuses = StatusTable()
         self.configuration = Configuration()
-        self.word: Callable[[], QuarantineUpdate | None] = lambda: None
-        self.on_word: Callable[[QuarantineUpdate | None], None] = lambda word: None
+        self.build_quarantine_update: Callable[[], QuarantineUpdate | None] = lambda: None
+        self.on_quarantine_update: Callable[[QuarantineUpdate | None], None] = lambda word: None
         self._rng = rng
         self._on_configuration = on_configuration
         self._on_facts = on_facts
@@ -171,7 +174,7 @@
                 picked[0] = self._rng.choice(elsewhere)
         return picked
 
-    def take_facts(self, facts: Iterable[Fact]) -> Push | None:
+    def merge_facts(self, facts: Iterable[Fact]) -> Push | None:
         """Merge facts; return the push to send on if any was news."""
         news = self.facts.merge(facts)
         if not news:
@@ -182,7 +185,7 @@
         self._on_facts(news)
         return Push(facts=news)
 
-    def take_configuration(self, cfg: Configuration) -> Push | None:
+    def apply_configuration(self, cfg: Configuration) -> Push | None:
         """Put a configuration in force if it is newer; return the push to send on."""
         if cfg.revision <= self.configuration.revision:
             return None
@@ -190,36 +193,36 @@
         self._on_configuration(cfg)
         return Push(configuration=cfg)
 
-    def take_push(self, push: Push) -> Push | None:
+    def apply_push(self, push: Push) -> Push | None:
         """Take a peer's push; return what of it was news and should be pushed on."""
-        self.on_word(push.quarantine)
-        facts = self.take_facts(push.facts)
-        cfg = None if push.configuration is None else self.take_configuration(push.configuration)
+        self.on_quarantine_update(push.quarantine)
+        facts = self.merge_facts(push.facts)
+        cfg = None if push.configuration is None else self.apply_configuration(push.configuration)
         if facts is None and cfg is None:
             return None
         return Push(facts.facts if facts else (), cfg.configuration if cfg else None)
 
     def make_digest(self, now: float) -> Digest:
         """Return the digest for a periodic exchange."""
-        records = self.statuses.relay(self._own_record(), now, self._rng)
+        records = self.statuses.select_for_digest(self._own_record(), now, self._rng)
         return Digest(
             self.own_id,
             self.configuration.revision,
             self.facts.hashes(),
             tuple(records),
-            self.word(),
+            self.build_quarantine_update(),
         )
 
     def answer_digest(self, digest: Digest, now: float) -> DigestReply:
         """Take a peer's digest and answer it."""
         self.statuses.merge(digest.records, now)
-        self.on_word(digest.quarantine)
+        self.on_quarantine_update(digest.quarantine)
         differing = self.facts.differing(digest.hashes)
         newer = self.configuration.revision > digest.revision
         push = Push(self.facts.in_buckets(differing), self.configuration if newer else None)
         return DigestReply(self.make_digest(now), push, differing)
 
-    def take_reply(self, reply: DigestReply, now: float) -> tuple[Push | None, Push | None]:
+    def apply_reply(self, reply: DigestReply, now: float) -> tuple[Push | None, Push | None]:
         """Take the answer to an own digest.
 
         Returns
@@ -230,10 +233,10 @@
             What was news here and should be pushed to others.
         """
         self.statuses.merge(reply.digest.records, now)
-        self.on_word(reply.digest.quarantine)
+        self.on_quarantine_update(reply.digest.quarantine)
         missing = self.facts.in_buckets(reply.wanted_buckets)
         newer = self.configuration.revision > reply.digest.revision
-        onward = self.take_push(reply.push)
+        onward = self.apply_push(reply.push)
         known = frozenset(reply.push.facts)
         lacking = tuple(each for each in missing if each not in known)
         to_peer = None
--- a/flamingofront/process/documents.py
+++ b/flamingofront/process/documents.py
@@ -2,7 +2,7 @@
 
 A document is a row of one table. One that is too large for a row is kept as an object, and its row
 names the object. Each operation is a generator for `flamingofront.process.tasks`; a failed one
-raises `PlatformError`, whose `maybe_done` says whether a write may have taken effect.
+raises `PlatformError`, whose `maybe_applied` says whether a write may have taken effect.
 """
 
 import contextlib
@@ -14,14 +14,14 @@
 import orjson
 
 from flamingofront.errors import PlatformError
-from flamingofront.process.recent_documents import Mark, RecentDocuments, is_newer
+from flamingofront.process.recent_documents import RecentDocuments, WriteStamp, is_newer
 from flamingofront.process.store import (
     ObjectStore,
     RowCondition,
     RowWrite,
     StoredRow,
-    era_of,
-    version_of,
+    get_era,
+    get_era_version,
 )
 from flamingofront.process.store_eras import EraStore
 from flamingofront.process.tasks import Task
@@ -57,7 +57,7 @@
     value: Any = None
     revision: int = 0
     object_name: str = ""
-    mark: Mark = Mark()
+    mark: WriteStamp = WriteStamp()
 
 
 @dataclass(frozen=True)
@@ -120,21 +120,21 @@
         self._row_bytes = row_bytes
         self._recent = RecentDocuments(now)
 
-    def on_return(self, listener: Callable[[], None]) -> None:
+    def add_restore_listener(self, listener: Callable[[], None]) -> None:
         """Call `listener` each time the store has come back from an older copy."""
-        self._tables.on_return(listener)
+        self._tables.add_restore_listener(listener)
 
-    def write_again(self) -> Task:
+    def rewrite_recent(self) -> Task:
         """Write what this process wrote lately and the store has lost; return how much it was."""
         count = 0
         for write in self._recent.last_writes():
             (found,) = yield from self.read([write.key])
-            version = version_of(found.revision)
+            version = get_era_version(found.revision)
             if not is_newer(write, found.mark, version, self._tables.era):
                 continue
             if found.revision == 0 and write.value is None:
                 continue
-            mark = Mark(era_of(write.position), write.position)
+            mark = WriteStamp(get_era(write.position), write.position)
             data = yield from self._encoded(Write(write.key, write.value), mark)
             condition = RowCondition(DOCUMENT_TABLE, write.key, found.revision)
             row = RowWrite(DOCUMENT_TABLE, write.key, data)
@@ -175,13 +175,13 @@
         """Write all documents if all conditions hold; return the `TransactionResult`."""
         rows = []
         for write in writes:
-            data = yield from self._encoded(write, Mark(self._tables.era))
+            data = yield from self._encoded(write, WriteStamp(self._tables.era))
             rows.append(RowWrite(DOCUMENT_TABLE, write.key, data))
         required = [RowCondition(DOCUMENT_TABLE, each.key, each.revision) for each in conditions]
         outcome = yield from self._tables.transact("", required, rows)
         if outcome.ok:
             for write in writes:
-                self._recent.wrote(write.key, write.value, outcome.version)
+                self._recent.record_write(write.key, write.value, outcome.version)
         return TransactionResult(outcome.ok, outcome.version)
 
     def replace(self, document: Document, value: Any, *more: Write) -> Task:
@@ -207,7 +207,7 @@
         if document.object_name:
             yield from self._objects.drop(document.object_name)
 
-    def _encoded(self, write: Write, mark: Mark) -> Task:
+    def _encoded(self, write: Write, mark: WriteStamp) -> Task:
         """Return a document's row; store its object first if it needs one."""
         if write.value is None:
             return None
@@ -222,13 +222,13 @@
             yield from self._objects.put(name, data)
         except PlatformError as exc:
             # An object alone changes nothing: the transaction was not sent.
-            raise PlatformError(str(exc), maybe_done=False) from exc
+            raise PlatformError(str(exc), maybe_applied=False) from exc
         return orjson.dumps({OBJECT_FIELD: name, **marked})
 
     def _document(self, row: StoredRow) -> Task:
         body = _decoded(row.key, row.value or b"")
         name = body.get(OBJECT_FIELD, "")
-        mark = Mark(body.get(ERA_FIELD, 0), body.get(ORIGIN_FIELD, 0))
+        mark = WriteStamp(body.get(ERA_FIELD, 0), body.get(ORIGIN_FIELD, 0))
         if not name:
             return Document(row.key, body.get(VALUE_FIELD), row.version, mark=mark)
         data = yield from self._objects.get(name)
--- a/flamingofront/process/drain.py
+++ b/flamingofront/process/drain.py
@@ -113,7 +113,7 @@
     def _hand_over_all(self) -> None:
         self.state = DrainState.HANDING_OVER
         for request in list(self._hub.active.values()):
-            if isinstance(request, ModelRequest) and request.can_move:
+            if isinstance(request, ModelRequest) and request.can_hand_over:
                 self.hand_over(request)
         self.check()
         if self.state is DrainState.HANDING_OVER:
@@ -138,5 +138,5 @@
             self._hub.resume_frozen(request)
             return
         self._hub.record_move(request.request_id, target.vm_id)
-        request.moved()
+        request.notify_moved()
         self.check()
--- a/flamingofront/process/expiry.py
+++ b/flamingofront/process/expiry.py
@@ -14,9 +14,9 @@
 from flamingofront.process.documents import Condition, Document, DocumentStore, Write
 from flamingofront.process.tasks import Task
 
-__all__ = ["KEPT_SECONDS", "Sweeper", "expiry_write"]
+__all__ = ["RETENTION_SECONDS", "Sweeper", "build_expiry_write"]
 
-KEPT_SECONDS = 86_400.0
+RETENTION_SECONDS = 86_400.0
 EXPIRY_PREFIX = "expiry/"
 HOUR_SECONDS = 3600.0
 SWEPT_HOURS = 48
@@ -28,7 +28,7 @@
     return f"{EXPIRY_PREFIX}{hour:010d}/"
 
 
-def expiry_write(key: str, until: float) -> Write:
+def build_expiry_write(key: str, until: float) -> Write:
     """Return the write that has a row removed after its time.
 
     Parameters
--- a/flamingofront/process/former_sends.py
+++ b/flamingofront/process/former_sends.py
@@ -4,19 +4,19 @@
 from collections.abc import Callable, Iterable
 from dataclasses import dataclass
 
-from flamingofront.connection.interfaces import Reach
+from flamingofront.connection.interfaces import ConnectResult
 from flamingofront.decisions.quarantine_facts import EndpointCrash, IntentSummary
 from flamingofront.decisions.send_intents import IntentRecord, SendIntent
 from flamingofront.errors import PlatformError
 from flamingofront.messages import Sleep
 from flamingofront.process.backoff import Backoff
-from flamingofront.process.intent_rows import IntentRows, KeptIntents
-from flamingofront.process.intent_state import KnownRecords
+from flamingofront.process.intent_rows import IntentRows, VersionedRecord
+from flamingofront.process.intent_state import RecordCache
 from flamingofront.process.services import Services
 from flamingofront.process.tasks import Task
 from flamingofront.request.host import RequestHost
 
-__all__ = ["FormerSends", "Sender"]
+__all__ = ["RecoveredIntents", "SenderProcess"]
 
 # Time after a start at which the endpoints that ended with the life before are looked for, and how
 # many of them one process tries: what it finds, it tells the others.
@@ -31,7 +31,7 @@
 
 
 @dataclass(frozen=True)
-class Sender:
+class SenderProcess:
     """The process that records, and whether it has started before.
 
     Parameters
@@ -45,12 +45,12 @@
     first_start: bool = False
 
 
-class FormerSends:
+class RecoveredIntents:
     """Finds out what the sends of former lives have done, and tells the guard.
 
     Parameters
     ----------
-    known : KnownRecords
+    known : RecordCache
         Records as this process knows them.
     vanished : callable or None
         Returns a task that reads which endpoints vanished while no entry process ran.
@@ -68,8 +68,8 @@
         hub: RequestHost,
         rows: IntentRows,
         services: Services,
-        sender: Sender,
-        known: KnownRecords,
+        sender: SenderProcess,
+        known: RecordCache,
         vanished: Callable[[], Task] | None,
     ):
         self.last_alive: dict[str, float] = {}
@@ -131,10 +131,10 @@
             address, PROBE_SECONDS, lambda reach: self._probed(endpoint_id, reach)
         )
 
-    def _probed(self, endpoint_id: str, reach: Reach) -> None:
-        if reach is Reach.CONNECTED:
+    def _probed(self, endpoint_id: str, reach: ConnectResult) -> None:
+        if reach is ConnectResult.CONNECTED:
             self.last_alive[endpoint_id] = self._guard.wall()
-        elif reach is Reach.REFUSED:
+        elif reach is ConnectResult.REFUSED:
             self._guard.crash_detector.record_closed_port(endpoint_id)
 
     def _read_vanished(self) -> Task:
@@ -157,13 +157,13 @@
                 self._metrics.count("platform_errors_total", operation="recorded_sends")
                 if tries == 0:
                     self._log.warning("recorded sends not read yet", detail=str(exc))
-                yield Sleep(_BACKOFF.delay(tries, self._rng))
+                yield Sleep(_BACKOFF.compute_delay(tries, self._rng))
                 tries += 1
             else:
                 self._take_former(found)
                 return
 
-    def _take_former(self, found: Iterable[KeptIntents | PlatformError]) -> None:
+    def _take_former(self, found: Iterable[VersionedRecord | PlatformError]) -> None:
         """Take records, and try the endpoints that they name."""
         for each in self._readable(found):
             self._known.take(each)
@@ -182,9 +182,11 @@
         chosen = repeated + self._rng.sample(others, min(len(others), MAX_PROBES))
         return {send.endpoint_id: send.address for each in chosen for send in each.sends}
 
-    def _readable(self, found: Iterable[KeptIntents | PlatformError]) -> Iterable[KeptIntents]:
+    def _readable(
+        self, found: Iterable[VersionedRecord | PlatformError]
+    ) -> Iterable[VersionedRecord]:
         for each in found:
-            if isinstance(each, KeptIntents):
+            if isinstance(each, VersionedRecord):
                 yield each
             else:
                 self._metrics.count("platform_errors_total", operation="recorded_sends")
@@ -197,13 +199,13 @@
             address, PROBE_SECONDS, lambda reach: self._former_probed(endpoint_id, reach)
         )
 
-    def _former_probed(self, endpoint_id: str, reach: Reach) -> None:
-        if reach is not Reach.REFUSED and not self._directory.ready_endpoints():
+    def _former_probed(self, endpoint_id: str, reach: ConnectResult) -> None:
+        if reach is not ConnectResult.REFUSED and not self._directory.ready_endpoints():
             # The rows of endpoints are not read yet.
             self._timers.once(TOGETHER_SECONDS, lambda: self._former_probed(endpoint_id, reach))
-        elif reach is Reach.REFUSED or not self._directory.zone_of(endpoint_id):
+        elif reach is ConnectResult.REFUSED or not self._directory.zone_of(endpoint_id):
             self._guard.crash_detector.record_closed_port(endpoint_id)
-        elif reach is Reach.CONNECTED:
+        elif reach is ConnectResult.CONNECTED:
             self.last_alive[endpoint_id] = self._guard.wall()
 
     def _read_again(self) -> Task:
--- a/flamingofront/process/forwarding/digests.py
+++ b/flamingofront/process/forwarding/digests.py
@@ -18,7 +18,10 @@
     decode_endpoint_starts,
     decode_rollouts,
 )
-from flamingofront.process.quarantine_codec import decode_word, encode_word
+from flamingofront.process.quarantine_codec import (
+    decode_quarantine_update,
+    encode_quarantine_update,
+)
 
 __all__ = [
     "ALL_ZONES",
@@ -154,7 +157,7 @@
             digest.relays,
             digest.usage,
             digest.usage_until,
-            encode_word(relay.quarantine),
+            encode_quarantine_update(relay.quarantine),
             encode_limits(relay.limits),
             relay.leaving_endpoints,
             [relay.position, relay.ages],
@@ -208,7 +211,7 @@
         watches_store=bool(watches_store),
         leaving=bool(leaving),
         rollouts=decode_rollouts(rollouts),
-        quarantine=decode_word(quarantine),
+        quarantine=decode_quarantine_update(quarantine),
         # Earlier versions send neither limits nor leaving endpoints.
         limits=decode_limits(*values[17:18] or ((),)),
         leaving_endpoints=decode_endpoint_starts(*values[18:19] or ((),)),
--- a/flamingofront/process/forwarding/duty.py
+++ b/flamingofront/process/forwarding/duty.py
@@ -20,7 +20,7 @@
 from flamingofront.messages import Sleep
 from flamingofront.process.forwarding.reports import PeerReport
 from flamingofront.process.logs import Log
-from flamingofront.process.store import RowCondition, RowWrite, StoredRow, TableStore, era_of
+from flamingofront.process.store import RowCondition, RowWrite, StoredRow, TableStore, get_era
 from flamingofront.process.tasks import Task
 
 __all__ = ["LeaderLease", "LeaseState", "HeldLease"]
@@ -200,7 +200,7 @@
         """
         era = self._era
         found = yield from self._store.read(LEADER_TABLE, LEADER_PARTITION)
-        if era_of(found.version) == era:
+        if get_era(found.version) == era:
             return False
         self._log.warning("leader lease lost", fencing=self._lease.fencing, era=era)
         self._lease = None
@@ -234,7 +234,7 @@
         A store restored from an older snapshot lacks later writes. Reports that this process has
         seen in the row may have been sent to the cloud, so they are kept.
         """
-        self._era = max(self._era, era_of(version))
+        self._era = max(self._era, get_era(version))
         self._version = row.version if row is not None else 0
         state = _decode(row)
         self._highest_fencing = max(self._highest_fencing, state.fencing)
@@ -330,7 +330,7 @@
         write = RowWrite(LEADER_TABLE, LEADER_KEY, _encode(state))
         outcome = yield from self._store.transact(LEADER_PARTITION, (condition,), (write,))
         if outcome.ok:
-            self._era = max(self._era, era_of(outcome.version))
+            self._era = max(self._era, get_era(outcome.version))
             self._version, self.state = outcome.version, state
             self._highest_fencing = max(self._highest_fencing, state.fencing)
             self._cached_reports = dict(state.reports)
--- a/flamingofront/process/forwarding/exchange.py
+++ b/flamingofront/process/forwarding/exchange.py
@@ -3,7 +3,7 @@
 import random
 from collections.abc import Callable
 
-from flamingofront.messages import OutboundCall, Sleep, WholeResponse
+from flamingofront.messages import BufferedResponse, OutboundCall, Sleep
 from flamingofront.process.forwarding.document_copies import apply_delta
 from flamingofront.process.forwarding.knowledge import StoreView
 from flamingofront.process.forwarding.news import EndpointUpdate, decode_endpoint_update
@@ -222,7 +222,7 @@
         reply = yield OutboundCall(
             address, "GET", path, timeout=FETCH_TIMEOUT_SECONDS, stall_timeout=FETCH_TIMEOUT_SECONDS
         )
-        if isinstance(reply, WholeResponse) and reply.status == 200:
+        if isinstance(reply, BufferedResponse) and reply.status == 200:
             return reply.body
         self._log.info("fetch from peer failed", peer=peer, path=path, reply=str(reply)[:80])
         return b""
--- a/flamingofront/process/forwarding/follower.py
+++ b/flamingofront/process/forwarding/follower.py
@@ -146,7 +146,7 @@
                 self._version = None
             except PlatformError as exc:
                 self._record_failure(exc)
-                yield Sleep(BACKOFF.delay(self._failures - 1, self._rng))
+                yield Sleep(BACKOFF.compute_delay(self._failures - 1, self._rng))
 
     def step(self) -> Task:
         """Read the whole table, or long-poll its next changes."""
@@ -162,7 +162,7 @@
         wait = 0.0 if self._failures or self._poll_requested else self._wait_seconds
         self._poll_requested = False
         after = max(self._version, self._peer_version())
-        changes = yield from self._store.changes(self.table, after, wait)
+        changes = yield from self._store.read_changes(self.table, after, wait)
         self._record_answer()
         # A large answer may have been in transit for a while; any other one is current.
         is_large = sum(len(each.value or b"") for each in changes.rows) > LARGE_ANSWER_BYTES
--- a/flamingofront/process/forwarding/held_requests.py
+++ b/flamingofront/process/forwarding/held_requests.py
@@ -9,7 +9,7 @@
 
 from flamingofront.process.forwarding.follower import TableListener, TableWatcher
 from flamingofront.process.forwarding.peers import Peers
-from flamingofront.process.holds import HOLD_TABLE, HoldKeeper, TableHolds
+from flamingofront.process.holds import QUARANTINE_TABLE, QuarantineStore, TableQuarantine
 from flamingofront.process.intent_rows import IntentRows, TableIntents
 from flamingofront.process.intents import IntentRecorder
 from flamingofront.process.services import Services
@@ -61,17 +61,17 @@
         guard.wall = peers.cluster_time
         guard.on_update = peers.broadcast_report
         guard.entry_start_times = lambda: _restart_times(peers.start_times(), first_start)
-        self._keeper = HoldKeeper(
-            guard, TableHolds(store), services, FEED_LATENCY_SECONDS, is_standby
+        self._keeper = QuarantineStore(
+            guard, TableQuarantine(store), services, FEED_LATENCY_SECONDS, is_standby
         )
-        store.on_return(self._keeper.write_again)
+        store.add_restore_listener(self._keeper.rewrite_entries)
         self._recorder = make_recorder(TableIntents(store), services)
-        store.on_return(self._recorder.write_again)
+        store.add_restore_listener(self._recorder.rewrite_intents)
         self.follower = TableWatcher(
             store,
-            HOLD_TABLE,
+            QUARANTINE_TABLE,
             TableListener(
-                lambda rows, version: self._keeper.take_rows(rows), self._keeper.take_rows
+                lambda rows, version: self._keeper.merge_rows(rows), self._keeper.merge_rows
             ),
             services.timers.now,
             services.rng,
--- a/flamingofront/process/forwarding/knowledge.py
+++ b/flamingofront/process/forwarding/knowledge.py
@@ -162,7 +162,7 @@
         """
         asked_at = self._now()
         after = self.configuration_position()
-        changes = yield from self._store.changes(self._tables.configuration, after, 0.0)
+        changes = yield from self._store.read_changes(self._tables.configuration, after, 0.0)
         self._apply_configuration_rows(changes.rows)
         self._peer_position = max(self._peer_position, changes.version)
         self._record_confirmation(self._tables.configuration, asked_at)
--- a/flamingofront/process/forwarding/node.py
+++ b/flamingofront/process/forwarding/node.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass, replace
 
-from flamingofront.connection.client import MAX_IDLE_PER_ADDRESS
+from flamingofront.connection.client import MAX_IDLE_CONNECTIONS_PER_ADDRESS
 from flamingofront.connection.interfaces import Exchange, Transport
 from flamingofront.decisions.choice import BacklogChoice
 from flamingofront.decisions.fleet_plan import CheapestSafeFleet
@@ -15,7 +15,7 @@
 from flamingofront.decisions.shared_retry import SharedRetryBudget
 from flamingofront.messages import InboundRequest
 from flamingofront.process.counted_store import CountedTableStore
-from flamingofront.process.former_sends import Sender
+from flamingofront.process.former_sends import SenderProcess
 from flamingofront.process.forwarding.control import ControlHandler
 from flamingofront.process.forwarding.duty import LeaderLease
 from flamingofront.process.forwarding.endpoint_row import EndpointRow
@@ -129,7 +129,7 @@
         self._build_requests()
         self._build_peers()
         self._build_leader_tasks()
-        self.store.on_return(self.peers.register_again)
+        self.store.add_restore_listener(self.peers.register_again)
         services = Services(self.tasks, self.timers, rng, self.metrics, log)
         self.held = QuarantineSync(
             self.hub.guard,
@@ -150,7 +150,7 @@
     def _make_recorder(self, rows: IntentRows, services: Services) -> IntentRecorder:
         """Return the recorder of send intents, which are written before each send."""
         settings = self.settings
-        sender = Sender(settings.vm_id, self._dependencies.incarnation, settings.first_start)
+        sender = SenderProcess(settings.vm_id, self._dependencies.incarnation, settings.first_start)
         vanished = UnobservedRemovals(self.store, self._dependencies.tables)
         return IntentRecorder(self.hub, rows, services, sender, self.member_share, vanished.read)
 
@@ -331,7 +331,7 @@
         self.exchange = PeerSync(self.store_view, self.tasks, self.timers.now, self._rng, self.log)
         self.exchange.remote_watchers = self._remote_relays
         self.exchange.zone_peers = self._zone_peers
-        self.gateway.unknown_gate = FreshnessCheck(
+        self.gateway.config_freshness = FreshnessCheck(
             self.store_view, self.tasks, self.timers, self.log
         )
         self.readers = ZoneWatchers(
@@ -460,7 +460,7 @@
             self.peers.cluster_time,
             self.log,
         )
-        self.store.on_return(rollout_controller.invalidate_rows)
+        self.store.add_restore_listener(rollout_controller.invalidate_rows)
         self.rollouts.on_order = lambda: self.tasks.start(rollout_controller.load_status())
         self.leader_tasks.append(rollout_controller)
 
@@ -477,7 +477,7 @@
         """Count a request in the usage window in which it started to run."""
         if not request.work.workspace:
             return
-        ago = self.timers.now() - request.began_at()
+        ago = self.timers.now() - request.estimate_execution_start()
         self.usage.count_started(request.work.workspace, self.peers.cluster_time() - ago)
 
     # Peers
@@ -500,9 +500,9 @@
         )
         service = self.configuration.services.get(row.service) if row is not None else None
         if service is None or not service.max_connections:
-            return MAX_IDLE_PER_ADDRESS
+            return MAX_IDLE_CONNECTIONS_PER_ADDRESS
         part = service.max_connections * IDLE_SHARE * self.member_share()
-        return max(1, min(MAX_IDLE_PER_ADDRESS, int(part)))
+        return max(1, min(MAX_IDLE_CONNECTIONS_PER_ADDRESS, int(part)))
 
     def start(self) -> None:
         """Start all periodic work."""
--- a/flamingofront/process/forwarding/operators.py
+++ b/flamingofront/process/forwarding/operators.py
@@ -13,7 +13,7 @@
 from flamingofront.errors import CommandError, ErrorKind, RequestError
 from flamingofront.messages import InboundRequest
 from flamingofront.process.forwarding.reports import PeerReport
-from flamingofront.process.held_rows import HELD_COLUMNS, held_rows
+from flamingofront.process.held_rows import QUARANTINE_COLUMNS, held_rows
 from flamingofront.process.membership import Fact, Role, VmState
 from flamingofront.version.language import Query, Statement, parse
 from flamingofront.version.query import run_query
@@ -59,7 +59,7 @@
     "leases": ("lease", "vm", "holder", "fencing", "held", "past"),
     "configuration": ("vm", "zone", "revision", "table", "version", "age", "source"),
     "requests": ("request", "workspace", "service", "endpoint", "phase", "attempts", "age"),
-    "held": HELD_COLUMNS,
+    "held": QUARANTINE_COLUMNS,
     "counters": ("vm", "counter", "labels", "value"),
 }
 
--- a/flamingofront/process/forwarding/reports.py
+++ b/flamingofront/process/forwarding/reports.py
@@ -16,7 +16,10 @@
 from flamingofront.decisions.quarantine_facts import QuarantineUpdate
 from flamingofront.decisions.rollout import Phase
 from flamingofront.process.forwarding.limit_messages import decode_limits, encode_limits
-from flamingofront.process.quarantine_codec import decode_word, encode_word
+from flamingofront.process.quarantine_codec import (
+    decode_quarantine_update,
+    encode_quarantine_update,
+)
 from flamingofront.request.endpoint_limits import EndpointLimit
 
 __all__ = [
@@ -153,7 +156,7 @@
 
 
 _FIELDS = tuple(each.name for each in dataclasses.fields(PeerReport))
-_ENCODERS = {"quarantine": encode_word, "limits": encode_limits}
+_ENCODERS = {"quarantine": encode_quarantine_update, "limits": encode_limits}
 _REQUIRED_COUNT = sum(
     each.default is dataclasses.MISSING and each.default_factory is dataclasses.MISSING
     for each in dataclasses.fields(PeerReport)
@@ -189,7 +192,7 @@
     named = dict(zip(_FIELDS, values, strict=False))
     named["peers"] = _decode_ips(named.get("peers", ()))
     named["rollouts"] = decode_rollouts(named.get("rollouts", {}))
-    named["quarantine"] = decode_word(named.get("quarantine"))
+    named["quarantine"] = decode_quarantine_update(named.get("quarantine"))
     named["limits"] = decode_limits(named.get("limits", ()))
     named["leaving_endpoints"] = decode_endpoint_starts(named.get("leaving_endpoints", ()))
     named["ages"] = decode_ages(named.get("ages", (None, None)))
--- a/flamingofront/process/forwarding/rollouts.py
+++ b/flamingofront/process/forwarding/rollouts.py
@@ -20,7 +20,7 @@
 from flamingofront.messages import Sleep
 from flamingofront.process.forwarding.duty import LeaderLease
 from flamingofront.process.logs import Log
-from flamingofront.process.store import RowCondition, RowWrite, TableStore, era_of
+from flamingofront.process.store import RowCondition, RowWrite, TableStore, get_era
 from flamingofront.process.tasks import Task
 
 __all__ = ["RolloutController", "RolloutRows", "Rollouts"]
@@ -67,7 +67,7 @@
     version that was already rolled back. The same order given twice in one era is a new one.
     """
     same = (before.version, before.seconds) == (order.version, order.seconds)
-    return same and era_of(before.number) < era_of(order.number)
+    return same and get_era(before.number) < get_era(order.number)
 
 
 class Rollouts:
--- a/flamingofront/process/forwarding/scaling.py
+++ b/flamingofront/process/forwarding/scaling.py
@@ -16,7 +16,7 @@
 from flamingofront.process.forwarding.endpoint_row import EndpointRow
 from flamingofront.process.logs import Log
 from flamingofront.process.metrics import Metrics
-from flamingofront.process.store import Cloud, EndpointOrder
+from flamingofront.process.store import Cloud, ScalingRequest
 from flamingofront.process.tasks import Task
 from flamingofront.version.forwarding import ForwardingConfiguration
 
@@ -142,7 +142,7 @@
                 except PlatformError as exc:
                     self._log.warning("scaling request failed", order=str(request), detail=str(exc))
 
-    def plan_requests(self) -> Iterable[EndpointOrder]:
+    def plan_requests(self) -> Iterable[ScalingRequest]:
         """Return the scaling requests to send now."""
         now = self._now()
         requests = []
@@ -158,7 +158,7 @@
             plan = self._policy.plan(service.scaling, self._estimate_demand(service.name), state)
             for reclaimable, counts in ((True, plan.reclaimable), (False, plan.on_demand)):
                 for zone, count in counts.items():
-                    request = EndpointOrder(service.name, zone, count, reclaimable)
+                    request = ScalingRequest(service.name, zone, count, reclaimable)
                     if self._should_send(request, service.scaling.start_seconds, now):
                         requests.append(request)
         return sorted(requests, key=self._send_priority)
@@ -230,14 +230,14 @@
             if each.service == service and each.reclaimable is reclaimable and each.ready
         )
 
-    def _send_priority(self, request: EndpointOrder) -> int:
+    def _send_priority(self, request: ScalingRequest) -> int:
         """Return the sort key: removals first at a start, to free the limits, otherwise last."""
         last = self._last_requests.get(_request_key(request))
         if last is None:
             return 0 if request.count == 0 else 1
         return 2 if request.count < last.granted else 1
 
-    def _should_send(self, request: EndpointOrder, start_seconds: float, now: float) -> bool:
+    def _should_send(self, request: ScalingRequest, start_seconds: float, now: float) -> bool:
         """Return True if a scaling request is to be sent now.
 
         Notes
@@ -272,12 +272,12 @@
     def _has_demand(self, service: str) -> bool:
         return service in self._first_seen
 
-    def _send_request(self, request: EndpointOrder) -> Task:
+    def _send_request(self, request: ScalingRequest) -> Task:
         """Send a scaling request while the lease is held, and record whether it was granted."""
         lease = self._lease.usable_lease()
         if lease is None:
             return
-        granted = yield from self._cloud.order(self._vm_id, lease.fencing, request)
+        granted = yield from self._cloud.request_endpoints(self._vm_id, lease.fencing, request)
         result = "granted" if granted else "refused"
         self._metrics.count("orders_total", kind="endpoints", result=result)
         now = self._now()
@@ -319,5 +319,5 @@
     return start_seconds + RETRY_SECONDS if live < wanted else REPEAT_SECONDS
 
 
-def _request_key(request: EndpointOrder) -> _RequestKey:
+def _request_key(request: ScalingRequest) -> _RequestKey:
     return _RequestKey(request.service, request.zone, request.reclaimable)
--- a/flamingofront/process/forwarding/shutdown.py
+++ b/flamingofront/process/forwarding/shutdown.py
@@ -92,7 +92,7 @@
         """Answer all requests whose response has not started; only started streams are left."""
         unanswered = len(self._node.hub.active)
         for request in list(self._node.hub.active.values()):
-            request.process_ends()
+            request.fail_for_shutdown()
         unread = self._reject_unread(RequestError(ErrorKind.DRAINING))
         self._node.log.info(
             "remaining requests answered",
--- a/flamingofront/process/forwarding/tests/test_duties.py
+++ b/flamingofront/process/forwarding/tests/test_duties.py
@@ -15,7 +15,7 @@
 
 def cloud_calls(world, path):
     """Return the calls of the leader tasks to one path of the cloud API."""
-    return [each for each in world.store.duty_calls if each.path == path]
+    return [each for each in world.store.leader_calls if each.path == path]
 
 
 def usage(world):
@@ -36,7 +36,7 @@
     """Check that fencing tokens never fall and no VM acts around another within one lease."""
     last = None
     last_of = {}
-    for each in world.store.duty_calls:
+    for each in world.store.leader_calls:
         if last is not None:
             assert each.fencing >= last.fencing
             if each.holder != last.holder:
@@ -81,7 +81,7 @@
         windows = sorted(usage(world))
         assert windows == list(range(windows[0], windows[-1] + 1))
         assert sum(each.get("desk", 0) for each in usage(world).values()) == 40
-        assert len({each.holder for each in world.store.duty_calls}) >= 2
+        assert len({each.holder for each in world.store.leader_calls}) >= 2
         assert_one_holder_at_a_time(world)
 
     @pytest.mark.parametrize("seed", range(6))
@@ -92,7 +92,7 @@
         world.run(20.0)
         usage(world)
         assert_one_holder_at_a_time(world)
-        assert len({each.fencing for each in world.store.duty_calls}) == 2
+        assert len({each.fencing for each in world.store.leader_calls}) == 2
 
     def test_rolling_restart_loses_no_counts(self):
         world = ready_world(fronts=3)
@@ -165,7 +165,7 @@
     def test_state_is_kept_in_one_row(self):
         world = ready_world()
         world.run(8.0)
-        row = world.store.value(LEADER_TABLE, LEADER_KEY, LEADER_PARTITION)
+        row = world.store.get_value(LEADER_TABLE, LEADER_KEY, LEADER_PARTITION)
         assert row["holder"] == "front-1" and row["reports"]
 
 
--- a/flamingofront/process/forwarding/tests/test_endpoints.py
+++ b/flamingofront/process/forwarding/tests/test_endpoints.py
@@ -176,7 +176,7 @@
     def test_restart_revives_endpoint_marked_gone_elsewhere(self):
         harness = ViewHarness()
         harness.view.merge_row(self.FIRST)
-        harness.facts.mark("i-1", VmState.GONE)
+        harness.facts.advance_state("i-1", VmState.GONE)
         harness.view.merge_row(self.SECOND)
         assert harness.state() is VmState.LIVE
 
@@ -296,7 +296,7 @@
     def request_before_restart(self, path):
         """Return a world, and a caller whose endpoint restarted before it responded."""
         world = self.world()
-        world.endpoints["engine-1"].fail(ForwardFault.HANG)
+        world.endpoints["engine-1"].inject_fault(ForwardFault.HANG)
         caller = world.ask("front-1", path)
         world.run(0.6)
         self.restart(world)
--- a/flamingofront/process/forwarding/tests/test_lease_fuzz.py
+++ b/flamingofront/process/forwarding/tests/test_lease_fuzz.py
@@ -50,7 +50,7 @@
     def read(self, table, part="", first=""):
         return (yield _Read())
 
-    def changes(self, table, after, wait):
+    def read_changes(self, table, after, wait):
         raise NotImplementedError
 
     def transact(self, part, conditions, writes):
@@ -184,7 +184,7 @@
         task, call = self.store_reports({"7": {"desk": 3}})
         self.store.carry_out(call)
         with pytest.raises(PlatformError):
-            task.throw(PlatformError("timeout", maybe_done=True))
+            task.throw(PlatformError("timeout", maybe_applied=True))
         task, call = self.store_reports({"7": {"desk": 4}})
         with pytest.raises(StopIteration):
             while True:
@@ -230,7 +230,7 @@
                 if process.call is None and process.wake_at <= self.clock.time:
                     process.step(None)
                 elif process.call and self.clock.time - process.sent_at >= CALL_TIMEOUT:
-                    process.step(None, PlatformError("timeout", maybe_done=True))
+                    process.step(None, PlatformError("timeout", maybe_applied=True))
                 self._record_act(process)
 
     @rule(source=st.integers(0, PROCESSES - 1))
--- a/flamingofront/process/forwarding/tests/test_readers.py
+++ b/flamingofront/process/forwarding/tests/test_readers.py
@@ -140,10 +140,10 @@
 
     def test_lost_change_history_causes_reload(self):
         world = two_zone_world()
-        world.store.forget_history()
+        world.store.discard_history()
         world.configure_routes(version=2)
         world.register("plain-1", "records", state="draining", sequence=2)
-        world.store.forget_history()
+        world.store.discard_history()
         world.run(4.5)
         assert active_versions(world) == {2}
         for front in world.fronts.values():
@@ -239,7 +239,7 @@
 
     @rule()
     def store_loses_history(self):
-        self.world.store.forget_history()
+        self.world.store.discard_history()
 
     @rule(name=st.sampled_from(["plain-1", "plain-2"]), ready=st.booleans())
     def endpoint_starts(self, name, ready):
@@ -251,7 +251,7 @@
 
     @rule(index=st.integers(0, 50))
     def endpoint_row_is_deleted(self, index):
-        keys = sorted(self.world.store.rows("servers"))
+        keys = sorted(self.world.store.get_rows("servers"))
         if keys:
             self.world.store.drop("servers", keys[index % len(keys)])
 
@@ -281,8 +281,8 @@
         assert active_versions(world) == {self.version}
         expected = {
             key
-            for key in world.store.rows("servers")
-            if world.store.value("servers", key)["state"] == "ready"
+            for key in world.store.get_rows("servers")
+            if world.store.get_value("servers", key)["state"] == "ready"
         }
         for front in running_fronts(world).values():
             assert live_endpoints(front) == expected
--- a/flamingofront/process/forwarding/tests/test_restored_store.py
+++ b/flamingofront/process/forwarding/tests/test_restored_store.py
@@ -19,8 +19,8 @@
     usage,
 )
 from flamingofront.process.forwarding.tests.test_rollouts import Rollout
-from flamingofront.process.holds import HOLD_TABLE
-from flamingofront.process.store import RowCondition, RowWrite, position, version_of
+from flamingofront.process.holds import QUARANTINE_TABLE
+from flamingofront.process.store import RowCondition, RowWrite, get_era_version, make_revision
 from flamingofront.standins.forward_endpoint import ForwardFault
 from flamingofront.standins.table_store import StoreFault
 from flamingofront.tests.crashing_world import CONTACT_SECONDS, crashing_world
@@ -39,7 +39,7 @@
     timers = world.host("store").timers
     for each in world.store.restore(seconds):
         if each.table in OWNERS:
-            timers.once(max_delay * rng.random(), lambda each=each: world.store.put_back(each))
+            timers.once(max_delay * rng.random(), lambda each=each: world.store.rewrite_row(each))
 
 
 class TestWatching:
@@ -100,7 +100,7 @@
         world.run(1.0)
         restore(world, 3.0)
         world.run(3.0)
-        assert set(world.store.rows(MEMBER_TABLE)) == set(world.fronts)
+        assert set(world.store.get_rows(MEMBER_TABLE)) == set(world.fronts)
 
     def test_quarantine_survives_and_is_stored_again(self):
         world = crashing_world()
@@ -108,7 +108,7 @@
         repeat(world, "/write/x", seconds=3.0)
         restore(world, 12.0)
         world.run(CONTACT_SECONDS)
-        assert len(world.store.rows(HOLD_TABLE)) == 1
+        assert len(world.store.get_rows(QUARANTINE_TABLE)) == 1
         ends = len(world.ends_under(POISON))
         for name in list(world.fronts):
             world.kill(name)
@@ -141,15 +141,15 @@
         world.store.restore(0.8)
         world.heal()
         other = world.fronts["front-2"].store
-        while world.store.rows("own").get("key", (b"", 0))[1] < version_of(first.version):
-            current = world.store.rows("own").get("key", (b"", 0))[1]
-            condition = RowCondition("own", "key", position(1, current) if current else 0)
+        while world.store.get_rows("own").get("key", (b"", 0))[1] < get_era_version(first.version):
+            current = world.store.get_rows("own").get("key", (b"", 0))[1]
+            condition = RowCondition("own", "key", make_revision(1, current) if current else 0)
             task = other.transact("", (condition,), (RowWrite("own", "key", b"other"),))
             world.fronts["front-2"].tasks.start(task, outcomes.append)
             world.run(0.1)
         late = run(write(first.version, b"late"))
         assert not late.ok
-        assert world.store.rows("own")["key"][0] == b"other"
+        assert world.store.get_rows("own")["key"][0] == b"other"
 
 
 class TestLeaderLease:
@@ -175,7 +175,7 @@
         world.run(12.0)
         usage(world)
         assert_one_holder_at_a_time(world)
-        assert world.store.duty_calls[-1].at > world.clock.now() - 6.0
+        assert world.store.leader_calls[-1].at > world.clock.now() - 6.0
 
     def test_holder_keeps_lease_and_reported_windows(self):
         world = ready_world(fronts=3)
@@ -230,7 +230,7 @@
         restore(rollout.world, 3.0)
         rollout.serve(4.0)
         for name in ("new-1", "new-2"):
-            rollout.world.endpoints[name].fail(ForwardFault.NONE)
+            rollout.world.endpoints[name].inject_fault(ForwardFault.NONE)
         rollout.world.store.put("op", "rollout/records", rollout.order)
         rollout.world.run(1.0)
         rollout.ordered_at = rollout.world.clock.now()
--- a/flamingofront/process/forwarding/tests/test_rollouts.py
+++ b/flamingofront/process/forwarding/tests/test_rollouts.py
@@ -160,7 +160,7 @@
         self.serve(2.0)
         for name in ("new-1", "new-2"):
             self.world.endpoint(name, "records", version="v2", gap=gap)
-            self.world.endpoints[name].fail(fault)
+            self.world.endpoints[name].inject_fault(fault)
 
     def serve(self, seconds):
         """Send requests of callers, 40 per second."""
@@ -180,7 +180,7 @@
         return self.world.clock.now() - self.ordered_at
 
     def state(self):
-        status = self.world.store.value("status", "rollout/records")
+        status = self.world.store.get_value("status", "rollout/records")
         return status["state"] if status is not None else None
 
     def runs(self, prefix):
@@ -247,7 +247,7 @@
         rollout.serve(12.0)
         assert rollout.state() == "running"
         for name in ("new-1", "new-2"):
-            rollout.world.endpoints[name].fail(ForwardFault.ERROR)
+            rollout.world.endpoints[name].inject_fault(ForwardFault.ERROR)
         rollout.serve_until("rolled_back", 40.0)
 
     def test_verdict_outlives_its_holder_and_a_restart_of_all(self):
@@ -300,5 +300,5 @@
         world = ready_world(fronts=2)
         world.store.put("op", "rollout/records", {"to": "v2"})
         world.run(5.0)
-        assert world.store.value("status", "rollout/records") is None
+        assert world.store.get_value("status", "rollout/records") is None
         assert not any(each.rollouts.list_orders() for each in world.fronts.values())
--- a/flamingofront/process/forwarding/tests/test_stopping.py
+++ b/flamingofront/process/forwarding/tests/test_stopping.py
@@ -159,7 +159,7 @@
 
     @staticmethod
     def _size_streams_by_tokens(endpoint):
-        inner = endpoint._answer
+        inner = endpoint._respond
 
         def answer(req, exchange, fault):
             named = req.header("x-flamingofront-token-counts")
@@ -167,7 +167,7 @@
                 endpoint.events = int(named.split(",")[1]) // StoppingProcess.TOKENS_PER_EVENT
             inner(req, exchange, fault)
 
-        endpoint._answer = answer
+        endpoint._respond = answer
 
     def ask(self, events=0, path="/stream/once/x", deadline=9000):
         self.count += 1
@@ -247,7 +247,7 @@
         caller = stopping.ask(events=4)
         request = next(iter(stopping.front.hub.active.values()))
         assert not request.done
-        request.carry(request.machine.postponed(request.machine.attempt_id, 0.0, 2.5))
+        request.execute(request.machine.postpone(request.machine.attempt_id, 0.0, 2.5))
         stopping.world.run_until(lambda: stopping.active_at_exit)
         assert caller.done and not caller.broken and caller.status == 503
 
@@ -261,7 +261,7 @@
         """Its caller would see a connection that closes without a response."""
         world = ready_world()
         for each in world.endpoints.values():
-            each.fail(ForwardFault.HANG)
+            each.inject_fault(ForwardFault.HANG)
         caller = world.ask("front-1", path)
         world.run(0.1)
         callers = SimpleNamespace(closing=False, connections=1, close_idle=lambda: 0)
--- a/flamingofront/process/forwarding/vanished.py
+++ b/flamingofront/process/forwarding/vanished.py
@@ -35,7 +35,7 @@
         row = next((each for each in found.rows if each.key == LEADER_KEY), None)
         if row is None:
             return ()
-        changes = yield from self._store.changes(self._tables.endpoints, row.version, 0.0)
+        changes = yield from self._store.read_changes(self._tables.endpoints, row.version, 0.0)
         return self._find_removals(changes.rows)
 
     def _find_removals(self, rows: tuple[StoredRow, ...]) -> tuple[str, ...]:
--- a/flamingofront/process/held_rows.py
+++ b/flamingofront/process/held_rows.py
@@ -5,9 +5,9 @@
 from flamingofront.decisions.send_intents import IntentRecord
 from flamingofront.request.guard import RequestGuard
 
-__all__ = ["HELD_COLUMNS", "held_rows"]
+__all__ = ["QUARANTINE_COLUMNS", "held_rows"]
 
-HELD_COLUMNS = (
+QUARANTINE_COLUMNS = (
     "vm",
     "work",
     "state",
--- a/flamingofront/process/holds.py
+++ b/flamingofront/process/holds.py
@@ -24,18 +24,25 @@
 from flamingofront.process.documents import Condition, DocumentStore, Write
 from flamingofront.process.quarantine_codec import (
     decode_evidence,
-    decode_hold,
+    decode_quarantine_entry,
     encode_evidence,
-    encode_hold,
+    encode_quarantine_entry,
 )
 from flamingofront.process.services import Services
 from flamingofront.process.store import RowCondition, RowWrite, StoredRow, TableStore
 from flamingofront.process.tasks import Task
 from flamingofront.request.guard import Evidence, RequestGuard
 
-__all__ = ["HOLD_TABLE", "DocumentHolds", "HoldKeeper", "HoldRows", "KeptHold", "TableHolds"]
+__all__ = [
+    "QUARANTINE_TABLE",
+    "DocumentQuarantine",
+    "QuarantineStore",
+    "QuarantineRows",
+    "VersionedEntry",
+    "TableQuarantine",
+]
 
-HOLD_TABLE = "held-requests"
+QUARANTINE_TABLE = "held-requests"
 HOLD_PREFIX = "held-request/"
 # Ends of requests that are not held yet: rows beside the holds.
 EVIDENCE_PREFIX = "ends/"
@@ -51,14 +58,14 @@
 
 
 @dataclass(frozen=True)
-class KeptHold:
+class VersionedEntry:
     """A hold as the store has it; `version` is that of its row."""
 
     hold: QuarantineEntry
     version: int
 
 
-class HoldRows(ABC):
+class QuarantineRows(ABC):
     """Where holds are kept."""
 
     @abstractmethod
@@ -70,15 +77,15 @@
         """Write the ends of some requests over what is there; remove those without ends."""
 
     @abstractmethod
-    def drop(self, kept: KeptHold) -> Task:
+    def drop(self, kept: VersionedEntry) -> Task:
         """Remove a hold if its row is still as it was read."""
 
     @abstractmethod
     def read(self, fingerprint: str) -> Task:
-        """Return the `KeptHold` of a request, None if there is none."""
+        """Return the `VersionedEntry` of a request, None if there is none."""
 
 
-class TableHolds(HoldRows):
+class TableQuarantine(QuarantineRows):
     """Holds as rows of a table of their own."""
 
     def __init__(self, store: TableStore):
@@ -86,8 +93,10 @@
 
     def write(self, hold: QuarantineEntry, version: int) -> Task:
         """Write a hold if its row has a version."""
-        condition = RowCondition(HOLD_TABLE, hold.fingerprint, version)
-        row = RowWrite(HOLD_TABLE, hold.fingerprint, orjson.dumps(encode_hold(hold)))
+        condition = RowCondition(QUARANTINE_TABLE, hold.fingerprint, version)
+        row = RowWrite(
+            QUARANTINE_TABLE, hold.fingerprint, orjson.dumps(encode_quarantine_entry(hold))
+        )
         outcome = yield from self._store.transact("", (condition,), (row,))
         return outcome.ok
 
@@ -95,7 +104,7 @@
         """Write the ends of some requests over what is there."""
         rows = [
             RowWrite(
-                HOLD_TABLE,
+                QUARANTINE_TABLE,
                 EVIDENCE_PREFIX + fingerprint,
                 orjson.dumps(encode_evidence(ends)) if ends else None,
             )
@@ -103,21 +112,21 @@
         ]
         yield from self._store.transact("", (), rows[:MAX_ROWS])
 
-    def drop(self, kept: KeptHold) -> Task:
+    def drop(self, kept: VersionedEntry) -> Task:
         """Remove a hold if its row is still as it was read."""
-        condition = RowCondition(HOLD_TABLE, kept.hold.fingerprint, kept.version)
-        row = RowWrite(HOLD_TABLE, kept.hold.fingerprint, None)
+        condition = RowCondition(QUARANTINE_TABLE, kept.hold.fingerprint, kept.version)
+        row = RowWrite(QUARANTINE_TABLE, kept.hold.fingerprint, None)
         yield from self._store.transact("", (condition,), (row,))
 
     def read(self, fingerprint: str) -> Task:
         """Return the kept hold of a request."""
         found = yield from self._store.read(
-            HOLD_TABLE, first=fingerprint, end=fingerprint + "\0", limit=1
+            QUARANTINE_TABLE, first=fingerprint, end=fingerprint + "\0", limit=1
         )
         return kept_hold(found.rows[0]) if found.rows else None
 
 
-class DocumentHolds(HoldRows):
+class DocumentQuarantine(QuarantineRows):
     """Holds as documents beside the others of the product."""
 
     def __init__(self, documents: DocumentStore):
@@ -127,7 +136,7 @@
         """Write a hold if its document has a revision."""
         key = HOLD_PREFIX + hold.fingerprint
         result = yield from self._documents.transact(
-            (Condition(key, version),), (Write(key, encode_hold(hold)),)
+            (Condition(key, version),), (Write(key, encode_quarantine_entry(hold)),)
         )
         return result.ok
 
@@ -147,7 +156,7 @@
             name: decode_evidence(name, each.value) for name, each in zip(names, found, strict=True)
         }
 
-    def drop(self, kept: KeptHold) -> Task:
+    def drop(self, kept: VersionedEntry) -> Task:
         """Remove a hold if its document is still as it was read."""
         key = HOLD_PREFIX + kept.hold.fingerprint
         yield from self._documents.transact((Condition(key, kept.version),), (Write(key, None),))
@@ -157,20 +166,23 @@
         (found,) = yield from self._documents.read([HOLD_PREFIX + fingerprint])
         if not found.revision:
             return None
-        return KeptHold(decode_hold(found.key, found.value), found.revision)
+        return VersionedEntry(decode_quarantine_entry(found.key, found.value), found.revision)
 
     def read_all(self) -> Task:
         """Return all kept holds."""
         found = yield from self._documents.scan(HOLD_PREFIX)
-        return tuple(KeptHold(decode_hold(each.key, each.value), each.revision) for each in found)
+        return tuple(
+            VersionedEntry(decode_quarantine_entry(each.key, each.value), each.revision)
+            for each in found
+        )
 
 
-def kept_hold(row: StoredRow) -> KeptHold:
+def kept_hold(row: StoredRow) -> VersionedEntry:
     """Return the hold in a row; raises `PlatformError` if it is malformed."""
-    return KeptHold(decode_hold(row.key, row.value), row.version)
+    return VersionedEntry(decode_quarantine_entry(row.key, row.value), row.version)
 
 
-class HoldKeeper:
+class QuarantineStore:
     """Keeps the holds of a process's guard in the store, and claims trials there.
 
     Parameters
@@ -184,7 +196,7 @@
     def __init__(
         self,
         guard: RequestGuard,
-        rows: HoldRows,
+        rows: QuarantineRows,
         services: Services,
         others_wait: float,
         may_rest: Callable[[], bool] = lambda: False,
@@ -203,7 +215,7 @@
         guard.acquire_trial = self._claim
         guard.on_evidence = lambda evidence: self._tasks.start(self._keep_evidence(evidence))
 
-    def take(self, kept: KeptHold) -> None:
+    def merge_entry(self, kept: VersionedEntry) -> None:
         """Take a hold as the store has it."""
         name = kept.hold.fingerprint
         if is_entry_expired(kept.hold, self._guard.wall()):
@@ -213,7 +225,7 @@
             self._remember(kept)
         self._guard.load_entry(kept.hold)
 
-    def _remember(self, kept: KeptHold) -> None:
+    def _remember(self, kept: VersionedEntry) -> None:
         """Remember what the store has, of as many holds as the guard knows at most."""
         self._versions[kept.hold.fingerprint] = kept.version
         self._kept[kept.hold.fingerprint] = kept.hold
@@ -222,14 +234,14 @@
             del self._kept[oldest]
             self._versions.pop(oldest, None)
 
-    def _drop(self, kept: KeptHold) -> Task:
+    def _drop(self, kept: VersionedEntry) -> Task:
         """Remove a hold that is forgotten; one that stays for an outage is dropped later."""
         try:
             yield from self._rows.drop(kept)
         except PlatformError as exc:
             self._log.info("old hold not removed", work=kept.hold.fingerprint, detail=str(exc))
 
-    def take_rows(self, rows: tuple[StoredRow, ...]) -> None:
+    def merge_rows(self, rows: tuple[StoredRow, ...]) -> None:
         """Take rows of the table of holds; one that cannot be read is told and left out."""
         for row in rows:
             if row.value is None:
@@ -237,21 +249,21 @@
             try:
                 if row.key.startswith(EVIDENCE_PREFIX):
                     fingerprint = row.key.removeprefix(EVIDENCE_PREFIX)
-                    self.take_evidence(fingerprint, decode_evidence(fingerprint, row.value))
+                    self.merge_evidence(fingerprint, decode_evidence(fingerprint, row.value))
                 else:
-                    self.take(kept_hold(row))
+                    self.merge_entry(kept_hold(row))
             except PlatformError as exc:
                 self._metrics.count("platform_errors_total", operation="hold")
                 self._log.warning("hold refused", work=row.key, detail=str(exc))
 
-    def take_evidence(self, fingerprint: str, ends: tuple[EndpointCrash, ...]) -> None:
+    def merge_evidence(self, fingerprint: str, ends: tuple[EndpointCrash, ...]) -> None:
         """Take the ends of a request as the store has them; remove those that are too old."""
         if all(is_expired(each.at, self._guard.wall()) for each in ends):
             self._tasks.start(self._keep_evidence({fingerprint: ()}))
         else:
             self._guard.load_evidence(ends)
 
-    def write_again(self) -> None:
+    def rewrite_entries(self) -> None:
         """Keep all holds again that the store may have lost with its return from a copy."""
         self._versions.clear()
         self._kept.clear()
@@ -276,7 +288,7 @@
                 self._metrics.count("platform_errors_total", operation="hold")
                 if tries == 0:
                     self._log.warning("hold not kept yet", work=hold.fingerprint, detail=str(exc))
-                yield Sleep(_BACKOFF.delay(tries, self._rng))
+                yield Sleep(_BACKOFF.compute_delay(tries, self._rng))
                 tries += 1
 
     def _keep_evidence(self, evidence: Evidence) -> Task:
@@ -288,7 +300,7 @@
                 self._metrics.count("platform_errors_total", operation="evidence")
                 if tries == 0:
                     self._log.info("ends not kept yet", work=list(evidence), detail=str(exc))
-                yield Sleep(_BACKOFF.delay(tries, self._rng))
+                yield Sleep(_BACKOFF.compute_delay(tries, self._rng))
             else:
                 return
 
--- a/flamingofront/process/intent_rows.py
+++ b/flamingofront/process/intent_rows.py
@@ -17,7 +17,7 @@
     "INTENT_TABLE",
     "DocumentIntents",
     "IntentRows",
-    "KeptIntents",
+    "VersionedRecord",
     "TableIntents",
     "decode_record",
     "encode_record",
@@ -28,7 +28,7 @@
 
 
 @dataclass(frozen=True)
-class KeptIntents:
+class VersionedRecord:
     """A record as the store has it; `version` is that of its row, 0 if there is none."""
 
     record: IntentRecord
@@ -71,7 +71,7 @@
     """Where records of sends are kept."""
 
     @abstractmethod
-    def write(self, kept: Sequence[KeptIntents]) -> Task:
+    def write(self, kept: Sequence[VersionedRecord]) -> Task:
         """Write records if their rows have these versions; those without sends are removed.
 
         Returns
@@ -86,11 +86,11 @@
 
     @abstractmethod
     def read(self, fingerprint: str) -> Task:
-        """Return the `KeptIntents` of a request; they are empty if there are none."""
+        """Return the `VersionedRecord` of a request; they are empty if there are none."""
 
     @abstractmethod
     def read_all(self) -> Task:
-        """Return all `KeptIntents`, and a `PlatformError` for each that cannot be read."""
+        """Return all `VersionedRecord`, and a `PlatformError` for each that cannot be read."""
 
 
 class TableIntents(IntentRows):
@@ -99,7 +99,7 @@
     def __init__(self, store: TableStore):
         self._store = store
 
-    def write(self, kept: Sequence[KeptIntents]) -> Task:
+    def write(self, kept: Sequence[VersionedRecord]) -> Task:
         """Write records if their rows have these versions."""
         conditions = [RowCondition(INTENT_TABLE, _name(each), each.version) for each in kept]
         rows = [RowWrite(INTENT_TABLE, _name(each), _row_value(each.record)) for each in kept]
@@ -115,7 +115,7 @@
         """Return the record of a request."""
         end = fingerprint + "\0"
         found = yield from self._store.read(INTENT_TABLE, first=fingerprint, end=end, limit=1)
-        return _kept(found.rows[0]) if found.rows else KeptIntents(IntentRecord(fingerprint))
+        return _kept(found.rows[0]) if found.rows else VersionedRecord(IntentRecord(fingerprint))
 
     def read_all(self) -> Task:
         """Return all records."""
@@ -133,7 +133,7 @@
     def __init__(self, documents: DocumentStore):
         self._documents = documents
 
-    def write(self, kept: Sequence[KeptIntents]) -> Task:
+    def write(self, kept: Sequence[VersionedRecord]) -> Task:
         """Write records if their documents have these revisions."""
         conditions = [Condition(INTENT_PREFIX + _name(each), each.version) for each in kept]
         writes = [
@@ -155,23 +155,23 @@
         """Return the record of a request."""
         (found,) = yield from self._documents.read([INTENT_PREFIX + fingerprint])
         if not found.revision:
-            return KeptIntents(IntentRecord(fingerprint))
-        return KeptIntents(decode_record(fingerprint, found.value), found.revision)
+            return VersionedRecord(IntentRecord(fingerprint))
+        return VersionedRecord(decode_record(fingerprint, found.value), found.revision)
 
     def read_all(self) -> Task:
         """Return all records."""
         found = yield from self._documents.scan(INTENT_PREFIX)
-        kept: list[KeptIntents | PlatformError] = []
+        kept: list[VersionedRecord | PlatformError] = []
         for each in found:
             name = each.key.removeprefix(INTENT_PREFIX)
             try:
-                kept.append(KeptIntents(decode_record(name, each.value), each.revision))
+                kept.append(VersionedRecord(decode_record(name, each.value), each.revision))
             except PlatformError as exc:
                 kept.append(exc)
         return tuple(kept)
 
 
-def _name(kept: KeptIntents) -> str:
+def _name(kept: VersionedRecord) -> str:
     return kept.record.fingerprint
 
 
@@ -179,12 +179,12 @@
     return orjson.dumps(encode_record(record)) if record.sends else None
 
 
-def _kept(row: StoredRow) -> KeptIntents:
-    return KeptIntents(decode_record(row.key, row.value), row.version)
+def _kept(row: StoredRow) -> VersionedRecord:
+    return VersionedRecord(decode_record(row.key, row.value), row.version)
 
 
-def _readable(rows: Iterable[StoredRow]) -> tuple[KeptIntents | PlatformError, ...]:
-    found: list[KeptIntents | PlatformError] = []
+def _readable(rows: Iterable[StoredRow]) -> tuple[VersionedRecord | PlatformError, ...]:
+    found: list[VersionedRecord | PlatformError] = []
     for row in rows:
         try:
             found.append(_kept(row))
--- a/flamingofront/process/intent_state.py
+++ b/flamingofront/process/intent_state.py
@@ -5,12 +5,12 @@
 from dataclasses import dataclass, field
 
 from flamingofront.decisions.send_intents import IntentRecord
-from flamingofront.process.intent_rows import KeptIntents
+from flamingofront.process.intent_rows import VersionedRecord
 
-__all__ = ["WRITES_AT_ONCE", "KnownRecords", "Pace"]
+__all__ = ["WRITE_BURST", "RecordCache", "WriteRateLimiter"]
 
 # Transactions that may follow each other without a pause.
-WRITES_AT_ONCE = 8.0
+WRITE_BURST = 8.0
 # Part of a transaction that is none: what the sum of small times may lack.
 ROUNDING = 1e-6
 # Records that a process remembers.
@@ -18,16 +18,16 @@
 
 
 @dataclass
-class Pace:
+class WriteRateLimiter:
     """Pace of transactions."""
 
     rate: Callable[[], float]
-    tokens: float = WRITES_AT_ONCE
+    tokens: float = WRITE_BURST
     at: float = 0.0
 
     def wait(self, now: float) -> float:
         """Return the seconds until the next transaction may be made; 0 if it may now."""
-        self.tokens = min(WRITES_AT_ONCE, self.tokens + (now - self.at) * self.rate())
+        self.tokens = min(WRITE_BURST, self.tokens + (now - self.at) * self.rate())
         self.at = now
         missing = 1.0 - self.tokens
         return 0.0 if missing <= ROUNDING else missing / self.rate()
@@ -38,10 +38,10 @@
 
 
 @dataclass
-class KnownRecords:
+class RecordCache:
     """Records as this process knows them, and what is to change in the store."""
 
-    kept: OrderedDict[str, KeptIntents] = field(default_factory=OrderedDict)
+    kept: OrderedDict[str, VersionedRecord] = field(default_factory=OrderedDict)
     # Requests whose records are removed, and those of which some sends are.
     answered: dict[str, None] = field(default_factory=dict)
     changed: dict[str, None] = field(default_factory=dict)
@@ -56,7 +56,7 @@
         kept = self.kept.get(fingerprint)
         return kept.version if kept is not None else 0
 
-    def take(self, kept: KeptIntents) -> None:
+    def take(self, kept: VersionedRecord) -> None:
         """Take a record as the store has it."""
         fingerprint = kept.record.fingerprint
         if not kept.version or not kept.record.sends:
--- a/flamingofront/process/intents.py
+++ b/flamingofront/process/intents.py
@@ -22,9 +22,9 @@
 from flamingofront.errors import PlatformError
 from flamingofront.messages import Sleep
 from flamingofront.process.backoff import Backoff
-from flamingofront.process.former_sends import FormerSends, Sender
-from flamingofront.process.intent_rows import IntentRows, KeptIntents
-from flamingofront.process.intent_state import KnownRecords, Pace
+from flamingofront.process.former_sends import RecoveredIntents, SenderProcess
+from flamingofront.process.intent_rows import IntentRows, VersionedRecord
+from flamingofront.process.intent_state import RecordCache, WriteRateLimiter
 from flamingofront.process.services import Services
 from flamingofront.process.tasks import Task
 from flamingofront.process.timers import Timer
@@ -106,7 +106,7 @@
         hub: RequestHost,
         rows: IntentRows,
         services: Services,
-        sender: Sender,
+        sender: SenderProcess,
         member_share: Callable[[], float],
         vanished: Callable[[], Task] | None = None,
     ):
@@ -121,11 +121,11 @@
         self._directory = hub.directory
         now = services.timers.now()
         self._policy = IntentPolicy() if sender.first_start else IntentPolicy(now)
-        self._pace = Pace(
+        self._pace = WriteRateLimiter(
             lambda: min(MAX_WRITES_PER_SECOND, ALL_WRITES_PER_SECOND * member_share()), at=now
         )
-        self._known = KnownRecords()
-        self._former = FormerSends(hub, rows, services, sender, self._known, vanished)
+        self._known = RecordCache()
+        self._former = RecoveredIntents(hub, rows, services, sender, self._known, vanished)
         self._former.on_read = lambda: self._timers.once(
             KEPT_SECONDS, self._drop_former, relaxed=True
         )
@@ -271,7 +271,7 @@
         if self._known.answered:
             self._remove_soon()
 
-    def write_again(self) -> None:
+    def rewrite_intents(self) -> None:
         """Record what is under way again: the store may have lost it with its return from a copy.
 
         Notes
@@ -307,7 +307,7 @@
                 yield from self._write_batch(batch)
             except PlatformError as exc:
                 self._not_written(batch, exc, tries)
-                yield Sleep(_BACKOFF.delay(tries, self._rng))
+                yield Sleep(_BACKOFF.compute_delay(tries, self._rng))
                 tries += 1
             else:
                 tries = 0
@@ -358,7 +358,7 @@
     def _write_batch(self, batch: dict[str, list[_Claim]]) -> Task:
         """Write the records of some requests, all or none."""
         kept = tuple(
-            KeptIntents(self._next_record(name, claims), self._known.version(name))
+            VersionedRecord(self._next_record(name, claims), self._known.version(name))
             for name, claims in batch.items()
         )
         for claim in (claim for claims in batch.values() for claim in claims):
@@ -369,7 +369,7 @@
             return
         self._store_is_back()
         for each in kept:
-            self._known.take(KeptIntents(each.record, version))
+            self._known.take(VersionedRecord(each.record, version))
         for claim in (claim for claims in batch.values() for claim in claims):
             claim.decide(RecordOutcome.STORED)
             if claim.gone:
@@ -451,7 +451,9 @@
             self._known.changed.clear()
             return
         kept = tuple(
-            KeptIntents(self._without_ended(self._known.record(name)), self._known.version(name))
+            VersionedRecord(
+                self._without_ended(self._known.record(name)), self._known.version(name)
+            )
             for name in names
         )
         version = yield from self._rows.write(kept)
@@ -461,7 +463,7 @@
             return
         for name, each in zip(names, kept, strict=True):
             self._known.changed.pop(name, None)
-            self._known.take(KeptIntents(each.record, version))
+            self._known.take(VersionedRecord(each.record, version))
 
     def _without_ended(self, record: IntentRecord) -> IntentRecord:
         """Return a record without the sends of this VM that are over."""
--- a/flamingofront/process/leases.py
+++ b/flamingofront/process/leases.py
@@ -28,7 +28,7 @@
     name: str
     holder: str
     fencing: int
-    held_here: bool
+    is_holder: bool
 
 
 @dataclass(frozen=True)
@@ -82,19 +82,19 @@
         """Seconds between two renewals."""
         return self._duration / RENEWALS_PER_DURATION
 
-    def current(self) -> Lease | None:
+    def valid_lease(self) -> Lease | None:
         """Return the lease if it is valid now; to be called right before each order."""
         lease = self._lease
         if lease is None or self._now() >= lease.valid_until:
             return None
         return lease
 
-    def view(self) -> LeaseView:
+    def get_view(self) -> LeaseView:
         """Return what is known of the lease."""
         value = self._seen.value if self._seen is not None else None
         holder = value["holder"] if value else ""
         fencing = value["fencing"] if value else 0
-        return LeaseView(self.name, holder, fencing, self.current() is not None)
+        return LeaseView(self.name, holder, fencing, self.valid_lease() is not None)
 
     def run(self) -> Task:
         """Keep the lease, or watch it until it is free; never returns."""
--- a/flamingofront/process/limits.py
+++ b/flamingofront/process/limits.py
@@ -20,7 +20,7 @@
         self._timers = timers
 
     def _heard_peers(self) -> list[StatusRecord]:
-        heard = self._gossip.statuses.heard(self._timers.now())
+        heard = self._gossip.statuses.live_records(self._timers.now())
         return [each for each in heard if each.vm_id != self._gossip.own_id]
 
     def _member_count(self) -> int:
@@ -53,7 +53,7 @@
 
     def share_of(self, name: str) -> WorkspaceShare:
         """Return the admission share of a workspace; a deleted one keeps the defaults."""
-        workspace = self._gossip.configuration.workspace(name)
+        workspace = self._gossip.configuration.find_workspace(name)
         if workspace is None:
             return WorkspaceShare(name)
         limit = self.workspace_limit(workspace)
--- a/flamingofront/process/logs.py
+++ b/flamingofront/process/logs.py
@@ -14,7 +14,7 @@
 # Lines a second beyond which further ones are counted and dropped: several times the requests that
 # one entry VM answers in a second at its peak.
 MAX_LINES_PER_SECOND = 400
-MAX_HELD_BYTES = 256 * 1024
+MAX_BUFFERED_BYTES = 256 * 1024
 # Fields that each line sets itself. One of an event that overwrote the severity hid a refusal from
 # everybody who filters by it.
 RESERVED_FIELDS = frozenset({"time", "level", "part", "event", "exception"})
@@ -60,7 +60,7 @@
         if second != self._second:
             self._second, self._lines = second, 0
         self._lines += 1
-        return self._lines <= MAX_LINES_PER_SECOND and len(self._held) < MAX_HELD_BYTES
+        return self._lines <= MAX_LINES_PER_SECOND and len(self._held) < MAX_BUFFERED_BYTES
 
     def flush(self) -> None:
         """Give the descriptor as much as it takes at once."""
--- a/flamingofront/process/node.py
+++ b/flamingofront/process/node.py
@@ -15,8 +15,8 @@
 from flamingofront.process.documents import DocumentStore
 from flamingofront.process.drain import DrainController, DrainState
 from flamingofront.process.expiry import Sweeper
-from flamingofront.process.former_sends import Sender
-from flamingofront.process.holds import DocumentHolds, HoldKeeper
+from flamingofront.process.former_sends import SenderProcess
+from flamingofront.process.holds import DocumentQuarantine, QuarantineStore
 from flamingofront.process.intent_rows import DocumentIntents
 from flamingofront.process.intents import IntentRecorder
 from flamingofront.process.leases import LeaseKeeper
@@ -39,7 +39,7 @@
 from flamingofront.request.directory import EndpointDirectory
 from flamingofront.request.gateway import Gateway
 from flamingofront.request.hub import HubSettings, RequestHub
-from flamingofront.request.inheritance import Inheritance
+from flamingofront.request.inheritance import RequestAdopter
 from flamingofront.request.keyed import KeyedRequests
 from flamingofront.request.migration import StreamMigrator
 from flamingofront.request.reattach import Reattachment
@@ -95,7 +95,7 @@
         self._exchanges = 0
         self.documents = documents
         self.tasks = TaskRunner(transport, timers, self._fault)
-        documents.on_return(lambda: self.tasks.start(self._write_again()))
+        documents.add_restore_listener(lambda: self.tasks.start(self._write_again()))
         self._headers = _peer_headers(settings.control_token)
         self._build_membership(incarnation)
         self._build_requests(transport, incarnation)
@@ -178,7 +178,7 @@
             self.limits.workspace_limit,
             self._refusal,
         )
-        self.inheritance = Inheritance(
+        self.inheritance = RequestAdopter(
             settings.vm_id, self.hub, self.documents, self.tasks, self.keyed, self.limits.share_of
         )
         self.migrations = StreamMigrator(self.hub, self.tasks, self.members.address_of)
@@ -199,7 +199,7 @@
         """Write what the store has lost by coming back from a copy, until that is done."""
         while True:
             try:
-                count = yield from self.documents.write_again()
+                count = yield from self.documents.rewrite_recent()
             except PlatformError as exc:
                 self.metrics.count("platform_errors_total", operation="write_again")
                 self.log.info("lost documents not written yet", detail=str(exc))
@@ -211,21 +211,23 @@
     def _guard_endpoints(self, incarnation: int) -> None:
         """Tell the others what crashes endpoints, and keep it in the store."""
         guard = self.hub.guard
-        self.gossip.word = guard.build_update
-        self.gossip.on_word = guard.merge_update
+        self.gossip.build_quarantine_update = guard.build_update
+        self.gossip.on_quarantine_update = guard.merge_update
         guard.on_update = lambda: self.links.push(Push(quarantine=guard.build_update()))
         guard.entry_start_times = self._starts
-        self._hold_rows = DocumentHolds(self.documents)
+        self._hold_rows = DocumentQuarantine(self.documents)
         services = Services(self.tasks, self.timers, self._rng, self.metrics, self.log)
-        self.holds = HoldKeeper(guard, self._hold_rows, services, HOLDS_SECONDS + SLACK_SECONDS)
+        self.holds = QuarantineStore(
+            guard, self._hold_rows, services, HOLDS_SECONDS + SLACK_SECONDS
+        )
         self._recorder = IntentRecorder(
             self.hub,
             DocumentIntents(self.documents),
             services,
-            Sender(self.settings.vm_id, incarnation),
+            SenderProcess(self.settings.vm_id, incarnation),
             lambda: self.limits.capacity_share(),
         )
-        self.documents.on_return(self._recorder.write_again)
+        self.documents.add_restore_listener(self._recorder.rewrite_intents)
 
     def _starts(self) -> list[float]:
         """Return when the entry processes that are known began, on the wall clock."""
@@ -237,10 +239,10 @@
         while True:
             try:
                 for each in (yield from self._hold_rows.read_all()):
-                    self.holds.take(each)
+                    self.holds.merge_entry(each)
                 kept = yield from self._hold_rows.read_evidence()
                 for fingerprint, ends in kept.items():
-                    self.holds.take_evidence(fingerprint, ends)
+                    self.holds.merge_evidence(fingerprint, ends)
             except PlatformError as exc:
                 self.metrics.count("platform_errors_total", operation="holds")
                 self.log.info("holds not read", detail=str(exc))
@@ -259,7 +261,7 @@
             settings.zone,
             settings.list_period,
             self._notice,
-            self.put_in_force,
+            self.activate_configuration,
             self._listed,
             self._vanished,
         )
@@ -289,8 +291,8 @@
             self.timers,
             self.links,
             self._rng,
-            self.rows.of,
-            self.put_in_force,
+            self.rows.build_rows,
+            self.activate_configuration,
         )
         self.control = ControlInterface(
             self.settings.control_token,
@@ -319,7 +321,7 @@
         self.sweeper = Sweeper(
             self.documents,
             self.timers.wall,
-            lambda: self.lease.current() is not None,
+            lambda: self.lease.valid_lease() is not None,
             self._rng,
         )
 
@@ -330,7 +332,7 @@
     def start(self) -> None:
         """Begin all periodic work."""
         self.watch.start()
-        self.inheritance.reclaim_own()
+        self.inheritance.adopt_own_jobs()
         self.timers.every(self.settings.gossip_period, self._gossip_round)
         self.timers.every(self.settings.load_period, self.endpoint_watch.poll)
         self.tasks.start(self.lease.run())
@@ -380,7 +382,7 @@
             self._leave()
 
     def _tell_leaving(self) -> None:
-        facts = self.gossip.facts.mark(self.settings.vm_id, VmState.LEAVING)
+        facts = self.gossip.facts.advance_state(self.settings.vm_id, VmState.LEAVING)
         if facts:
             self.links.push(Push(facts=facts))
 
@@ -414,7 +416,7 @@
     def _gossip_round(self) -> None:
         self.links.exchange()
         now = self.timers.now()
-        for record in self.gossip.statuses.heard(now):
+        for record in self.gossip.statuses.live_records(now):
             if record.vm_id != self.settings.vm_id:
                 self.directory.apply_load_reports(record.loads, now)
         self._set_gauges()
@@ -436,7 +438,7 @@
         self._exchanges += 1
 
     def _listed(self, facts: list[Fact]) -> None:
-        self.links.push(self.gossip.take_facts(facts))
+        self.links.push(self.gossip.merge_facts(facts))
 
     def _vanished(self, vm_id: str) -> None:
         if vm_id != self.settings.vm_id:
@@ -446,7 +448,7 @@
         """Take note that a VM leaves or is gone, and tell the peers."""
         fact = self.gossip.facts.get(vm_id)
         if fact is not None:
-            self.links.push(self.gossip.take_facts([replace(fact, state=state)]))
+            self.links.push(self.gossip.merge_facts([replace(fact, state=state)]))
 
     def _notice(self, vm_id: str, seconds: float) -> None:
         """Take a reclaim notice."""
@@ -469,7 +471,7 @@
             if fact.role is Role.ENDPOINT:
                 self._endpoint_changed(fact)
             elif fact.state is VmState.GONE and fact.vm_id != self.settings.vm_id:
-                self.inheritance.member_gone(fact.vm_id, self.gossip.peers())
+                self.inheritance.adopt_jobs_of(fact.vm_id, self.gossip.peers())
 
     def _endpoint_changed(self, fact: Fact) -> None:
         if fact.state is VmState.LEAVING and self.directory.in_flight_at(fact.vm_id):
@@ -489,9 +491,9 @@
 
     # Configuration
 
-    def put_in_force(self, cfg: Configuration) -> None:
+    def activate_configuration(self, cfg: Configuration) -> None:
         """Put a configuration in force here and push it to the peers."""
-        self.links.push(self.gossip.take_configuration(cfg))
+        self.links.push(self.gossip.apply_configuration(cfg))
 
     def _configuration_changed(self, cfg: Configuration) -> None:
         self.metrics.count("configurations_total")
@@ -501,9 +503,9 @@
         self._follow_drains(cfg)
 
     def _follow_drains(self, cfg: Configuration) -> None:
-        drained = self.settings.vm_id in cfg.drained(
+        drained = self.settings.vm_id in cfg.drained_targets(
             DrainKind.VM
-        ) or self.settings.zone in cfg.drained(DrainKind.ZONE)
+        ) or self.settings.zone in cfg.drained_targets(DrainKind.ZONE)
         if drained and self.drain.is_open:
             self.drain.begin(self.settings.drain_timeout)
         elif not drained and not self._exiting:
--- a/flamingofront/process/operators.py
+++ b/flamingofront/process/operators.py
@@ -13,14 +13,14 @@
 from flamingofront.messages import InboundRequest
 from flamingofront.process.dissemination import Dissemination
 from flamingofront.process.documents import DocumentStore
-from flamingofront.process.expiry import KEPT_SECONDS
-from flamingofront.process.held_rows import HELD_COLUMNS
+from flamingofront.process.expiry import RETENTION_SECONDS
+from flamingofront.process.held_rows import QUARANTINE_COLUMNS
 from flamingofront.process.peers import PeerLinks
 from flamingofront.process.tasks import TaskRunner
 from flamingofront.process.timers import TimerService
-from flamingofront.version.commit import CommitOutcome, CommitState, commit, settle
+from flamingofront.version.commit import CommitOutcome, CommitState, commit, settle_operation
 from flamingofront.version.edits import Edit
-from flamingofront.version.language import Change, Query, Settle, parse
+from flamingofront.version.language import EditStatement, Query, Settle, parse
 from flamingofront.version.model import Configuration, ObjectKind
 from flamingofront.version.query import run_query
 
@@ -71,7 +71,7 @@
     ),
     "leases": ("lease", "vm", "holder", "fencing", "held"),
     "configuration": ("zone", "vm", "revision", "ready", "heard"),
-    "held": HELD_COLUMNS,
+    "held": QUARANTINE_COLUMNS,
     "counters": ("vm", "counter", "labels", "value"),
 }
 # Subjects of which each process knows only its own part.
@@ -133,7 +133,7 @@
             raise RequestError(ErrorKind.INVALID_COMMAND, str(exc)) from exc
 
     def _carry_out(self, statements: list, data: dict, exchange: Exchange) -> None:
-        if all(isinstance(each, Change) for each in statements):
+        if all(isinstance(each, EditStatement) for each in statements):
             edits = tuple(edit for each in statements for edit in each.edits)
             self._change(edits, data, exchange)
         elif len(statements) > 1:
@@ -156,7 +156,7 @@
             operation,
             self._timers.now,
             self._rng,
-            until=self._timers.wall() + KEPT_SECONDS,
+            until=self._timers.wall() + RETENTION_SECONDS,
         )
         self._tasks.start(task, lambda outcome: self._committed(outcome, exchange))
 
@@ -166,7 +166,7 @@
         _respond_outcome(outcome, exchange)
 
     def _settle(self, statement: Settle, operator: str, exchange: Exchange) -> None:
-        task = settle(self._documents, statement.operation, operator, self._rng)
+        task = settle_operation(self._documents, statement.operation, operator, self._rng)
         self._tasks.start(task, lambda outcome: _respond_outcome(outcome, exchange))
 
     def _query(self, query: Query, exchange: Exchange) -> None:
@@ -199,7 +199,7 @@
     def _known_rows(self, subject: str) -> list[dict[str, Any]]:
         kind = _OBJECT_SUBJECTS.get(subject)
         if kind is not None:
-            objects = self._gossip.configuration.of(kind).values()
+            objects = self._gossip.configuration.objects_of(kind).values()
             return [asdict(each) for each in objects]
         return self._local_rows(subject)
 
--- a/flamingofront/process/orders.py
+++ b/flamingofront/process/orders.py
@@ -39,11 +39,11 @@
 
     def step(self) -> None:
         """Check each engine of the zone, if this process holds the lease."""
-        if self._lease.current() is None:
+        if self._lease.valid_lease() is None:
             return
         zone = self._gossip.facts.get(self._gossip.own_id).zone
         for fact in self._gossip.facts.select(Role.ENDPOINT):
-            service = self._gossip.configuration.service(fact.service)
+            service = self._gossip.configuration.find_service(fact.service)
             is_engine = service is not None and service.kind is ServiceKind.MODEL
             if fact.zone == zone and is_engine and fact.vm_id not in self._busy:
                 self._busy.add(fact.vm_id)
@@ -60,7 +60,7 @@
         if orjson.loads(reply.body)["model"] == model:
             return
         # The lease may have lapsed during the question; it counts at the moment of the order.
-        lease = self._lease.current()
+        lease = self._lease.valid_lease()
         if lease is None:
             self._metrics.count("orders_total", kind="load", result="lease_lapsed")
             return
--- a/flamingofront/process/peers.py
+++ b/flamingofront/process/peers.py
@@ -20,7 +20,7 @@
 from flamingofront.process.rendezvous import rank
 from flamingofront.process.tasks import Task, TaskRunner
 from flamingofront.process.timers import TimerService
-from flamingofront.request.reattach import origin_of
+from flamingofront.request.reattach import parse_origin_vm
 
 __all__ = ["PeerLinks"]
 
@@ -82,7 +82,7 @@
             return
         self._metrics.count("gossip_total", kind="digest", result="ok")
         answer = DigestReply.from_json(orjson.loads(reply.body))
-        to_peer, onward = self._gossip.take_reply(answer, self._timers.now())
+        to_peer, onward = self._gossip.apply_reply(answer, self._timers.now())
         if onward is not None:
             self.push(onward)
         self._on_exchange()
@@ -101,14 +101,14 @@
         failed = isinstance(reply, CallFailed) or reply.status != 200
         self._metrics.count("gossip_total", kind="push", result="failed" if failed else "ok")
 
-    def take_digest(self, data: dict) -> dict:
+    def handle_digest(self, data: dict) -> dict:
         """Answer a peer's digest."""
         reply = self._gossip.answer_digest(Digest.from_json(data), self._timers.now())
         return reply.to_json()
 
-    def take_push(self, data: dict) -> None:
+    def handle_push(self, data: dict) -> None:
         """Take a peer's news and pass on what was new."""
-        self.push(self._gossip.take_push(Push.from_json(data)))
+        self.push(self._gossip.apply_push(Push.from_json(data)))
 
     def holders(self, request_id: str) -> list[str]:
         """Return the addresses of the peers that may hold a request, the likeliest first.
@@ -121,7 +121,7 @@
         peers = {each.vm_id: each for each in self._gossip.peers()}
         ordered = rank(request_id, peers)
         ordered.sort(key=lambda vm_id: peers[vm_id].state is not VmState.LIVE)
-        origin = origin_of(request_id)
+        origin = parse_origin_vm(request_id)
         if origin in peers:
             ordered.remove(origin)
             at = 0 if peers[origin].state is VmState.LIVE else 2
--- a/flamingofront/process/quarantine_codec.py
+++ b/flamingofront/process/quarantine_codec.py
@@ -14,15 +14,15 @@
 
 __all__ = [
     "decode_evidence",
-    "decode_hold",
-    "decode_word",
+    "decode_quarantine_entry",
+    "decode_quarantine_update",
     "encode_evidence",
-    "encode_hold",
-    "encode_word",
+    "encode_quarantine_entry",
+    "encode_quarantine_update",
 ]
 
 
-def encode_word(word: QuarantineUpdate | None) -> list | None:
+def encode_quarantine_update(word: QuarantineUpdate | None) -> list | None:
     """Return the JSON values of what is told; lists without names, as it is told often."""
     if word is None:
         return None
@@ -36,7 +36,7 @@
     ]
 
 
-def decode_word(value: Any) -> QuarantineUpdate | None:
+def decode_quarantine_update(value: Any) -> QuarantineUpdate | None:
     """Return what was told.
 
     Raises
@@ -85,7 +85,7 @@
     )
 
 
-def encode_hold(hold: QuarantineEntry) -> dict[str, Any]:
+def encode_quarantine_entry(hold: QuarantineEntry) -> dict[str, Any]:
     """Return a hold as it is kept in the store, with names for whoever reads it there."""
     return {
         "fingerprint": hold.fingerprint,
@@ -97,7 +97,7 @@
     }
 
 
-def decode_hold(key: str, value: Any) -> QuarantineEntry:
+def decode_quarantine_entry(key: str, value: Any) -> QuarantineEntry:
     """Return a hold as it was kept.
 
     Raises
--- a/flamingofront/process/recent_documents.py
+++ b/flamingofront/process/recent_documents.py
@@ -12,7 +12,7 @@
 
 from flamingofront.process.store import position
 
-__all__ = ["Mark", "RecentDocuments", "WrittenDocument", "is_newer"]
+__all__ = ["WriteStamp", "RecentDocuments", "WrittenDocument", "is_newer"]
 
 # Age of a copy that is reckoned with: several times the some seconds that the platform names.
 COPY_SECONDS = 30.0
@@ -21,7 +21,7 @@
 
 
 @dataclass(frozen=True)
-class Mark:
+class WriteStamp:
     """Where a document's value stands among all writes.
 
     Parameters
@@ -59,7 +59,7 @@
         self._now = now
         self._writes: deque[WrittenDocument] = deque(maxlen=MAX_WRITES)
 
-    def wrote(self, key: str, value: Any, position: int) -> None:
+    def record_write(self, key: str, value: Any, position: int) -> None:
         """Remember a write that the store has acknowledged."""
         self._writes.append(WrittenDocument(key, value, position, self._now()))
 
@@ -70,7 +70,7 @@
         return tuple(sorted(by_key.values(), key=lambda each: each.position))
 
 
-def is_newer(write: WrittenDocument, mark: Mark, version: int, era: int) -> bool:
+def is_newer(write: WrittenDocument, mark: WriteStamp, version: int, era: int) -> bool:
     """Tell whether a write is newer than what the store has now.
 
     Parameters
--- a/flamingofront/process/rows.py
+++ b/flamingofront/process/rows.py
@@ -138,7 +138,7 @@
                     for request in self._state.hub.active.values()
                 ),
             }
-            for drain in cfg.of(ObjectKind.DRAIN).values()
+            for drain in cfg.objects_of(ObjectKind.DRAIN).values()
         ]
 
     def _is_on(self, request: ActiveRequest, kind: DrainKind, target: str) -> bool:
@@ -176,7 +176,7 @@
             for request in self._state.hub.active.values()
         )
         rows = []
-        for move in self._state.gossip.configuration.of(ObjectKind.MOVE).values():
+        for move in self._state.gossip.configuration.objects_of(ObjectKind.MOVE).values():
             for side, share in ((move.old_side, 100 - move.share), (move.new_side, move.share)):
                 requests = running[(move.service, side)]
                 row = {"service": move.service, "side": side, "share": share}
@@ -184,14 +184,14 @@
         return rows
 
     def _leases(self) -> Rows:
-        views = [self._state.lease.view()]
+        views = [self._state.lease.get_view()]
         return [
             {
                 "lease": view.name,
                 "vm": self._vm_id,
                 "holder": view.holder,
                 "fencing": view.fencing,
-                "held": view.held_here,
+                "held": view.is_holder,
             }
             for view in views
         ]
--- a/flamingofront/process/store.py
+++ b/flamingofront/process/store.py
@@ -13,7 +13,7 @@
 
 __all__ = [
     "Cloud",
-    "EndpointOrder",
+    "ScalingRequest",
     "HistoryLostError",
     "ObjectStore",
     "RowChanges",
@@ -24,16 +24,16 @@
     "TableStore",
     "TransactionOutcome",
     "UsageReport",
-    "era_of",
-    "position",
-    "version_of",
+    "get_era",
+    "make_revision",
+    "get_era_version",
 ]
 
 # Versions of one era: a counter of transactions, at 1,200 a second for 464 years.
 VERSION_BITS = 44
 
 
-def position(era: int, version: int) -> int:
+def make_revision(era: int, version: int) -> int:
     """Return a number that grows with each change of the store, also across its eras.
 
     Notes
@@ -44,14 +44,14 @@
     return era << VERSION_BITS | version
 
 
-def era_of(position: int) -> int:
+def get_era(make_revision: int) -> int:
     """Return the era of the store in which a change was made."""
-    return position >> VERSION_BITS
+    return make_revision >> VERSION_BITS
 
 
-def version_of(position: int) -> int:
+def get_era_version(make_revision: int) -> int:
     """Return the store's own number of a change within its era."""
-    return position & ((1 << VERSION_BITS) - 1)
+    return make_revision & ((1 << VERSION_BITS) - 1)
 
 
 class HistoryLostError(PlatformError):
@@ -60,7 +60,7 @@
 
 @dataclass(frozen=True)
 class StoredRow:
-    """One row; `value` is None if it was deleted, `version` the `position` of its last write."""
+    """One row; `value` is None if it was deleted, `version` the `make_revision` of its last write."""
 
     table: str
     part: str
@@ -131,7 +131,7 @@
         """
 
     @abstractmethod
-    def changes(self, table: str, after: int, wait: float) -> Task:
+    def read_changes(self, table: str, after: int, wait: float) -> Task:
         """Return the `RowChanges` after a version, waiting some seconds for the first.
 
         Raises
@@ -172,7 +172,7 @@
 
 
 @dataclass(frozen=True)
-class EndpointOrder:
+class ScalingRequest:
     """Order for a number of endpoints of one service in one zone."""
 
     service: str
@@ -189,5 +189,5 @@
         """Send a usage report; raises `PlatformError` if it was not accepted."""
 
     @abstractmethod
-    def order(self, holder: str, fencing: int, order: EndpointOrder) -> Task:
+    def request_endpoints(self, holder: str, fencing: int, order: ScalingRequest) -> Task:
         """Send an order; return False if there are no such endpoints to be had now."""
--- a/flamingofront/process/store_eras.py
+++ b/flamingofront/process/store_eras.py
@@ -26,7 +26,7 @@
     StoredRow,
     TableStore,
     TransactionOutcome,
-    era_of,
+    get_era,
 )
 from flamingofront.process.tasks import Task
 
@@ -60,7 +60,7 @@
         self._is_known = False
         self.era = 0
 
-    def on_return(self, listener: Callable[[], None]) -> None:
+    def add_restore_listener(self, listener: Callable[[], None]) -> None:
         """Call `listener` each time the store has come back from an older copy."""
         self._listeners.append(listener)
 
@@ -72,7 +72,7 @@
         PlatformError
             If the answer is of an earlier era than the latest.
         """
-        era = era_of(version)
+        era = get_era(version)
         if era < self.era:
             raise PlatformError(f"the answer is of era {era}, the store is in era {self.era}")
         if era == self.era:
@@ -94,7 +94,7 @@
         self._told(found.version)
         return found
 
-    def changes(self, table: str, after: int, wait: float) -> Task:
+    def read_changes(self, table: str, after: int, wait: float) -> Task:
         """Return the `RowChanges` after a version.
 
         Raises
@@ -102,11 +102,11 @@
         HistoryLostError
             Also if the version is of an earlier era.
         """
-        if era_of(after) < self.era:
+        if get_era(after) < self.era:
             raise HistoryLostError(f"version {after} is of an era before {self.era}")
-        found = yield from self._store.changes(table, after, wait)
+        found = yield from self._store.read_changes(table, after, wait)
         self._told(found.version)
-        if era_of(found.version) != era_of(after):
+        if get_era(found.version) != get_era(after):
             raise HistoryLostError(f"the store is in era {self.era}, version {after} is not")
         return found
 
@@ -119,7 +119,7 @@
             self._told(outcome.version)
             return outcome
         for _ in range(MAX_TRIES):
-            if any(each.version and era_of(each.version) < self.era for each in conditions):
+            if any(each.version and get_era(each.version) < self.era for each in conditions):
                 return (yield from self._refused(part, conditions))
             outcome = yield from self._transact_marked(part, conditions, writes)
             if outcome is not None:
--- a/flamingofront/process/tasks.py
+++ b/flamingofront/process/tasks.py
@@ -1,6 +1,6 @@
 """Run generators that yield calls and sleeps.
 
-A task is a generator: it yields an `OutboundCall` and is sent a `WholeResponse` or `CallFailed`, or
+A task is a generator: it yields an `OutboundCall` and is sent a `BufferedResponse` or `CallFailed`, or
 yields a `Sleep` and is sent None. The decision in it needs neither a socket nor a clock, and a test
 can drive it step by step.
 """
@@ -10,19 +10,19 @@
 
 from flamingofront.connection.interfaces import CallEvent, CallHandle, Transport
 from flamingofront.messages import (
+    BufferedResponse,
     CallFailed,
     OutboundCall,
     ResponseData,
     ResponseEnd,
     ResponseHead,
     Sleep,
-    WholeResponse,
 )
 from flamingofront.process.timers import Timer, TimerService
 
 __all__ = ["Reply", "ReplyCollector", "Task", "TaskRunner", "call_whole"]
 
-Reply = WholeResponse | CallFailed
+Reply = BufferedResponse | CallFailed
 Task = Generator[OutboundCall | Sleep, Reply | None, Any]
 
 
@@ -43,7 +43,7 @@
         elif isinstance(event, ResponseEnd):
             assert self._head is not None
             body = b"".join(self._parts)
-            self._on_reply(WholeResponse(self._head.status, self._head.headers, body))
+            self._on_reply(BufferedResponse(self._head.status, self._head.headers, body))
         else:
             self._on_reply(event)
 
--- a/flamingofront/process/tests/test_configuration.py
+++ b/flamingofront/process/tests/test_configuration.py
@@ -21,7 +21,7 @@
     }
 
 
-def seconds_until_in_force(world, revision, names=None):
+def seconds_until_active(world, revision, names=None):
     names = names or list(world.nodes)
     return world.run_until(lambda: all(revisions(world)[each] >= revision for each in names), 60.0)
 
@@ -31,7 +31,7 @@
         world = demo_world(ZONES, entries_per_zone=2)
         outcome = world.operate("change workspace desk weight=2", "entry-a1")
         # A round of digests takes a second; only pushes are faster.
-        assert seconds_until_in_force(world, outcome["revision"]) < 0.2
+        assert seconds_until_active(world, outcome["revision"]) < 0.2
 
     @pytest.mark.parametrize("mode", [FaultMode.DOWN, FaultMode.SILENT])
     def test_everywhere_although_the_store_is_out_right_after_acceptance(self, mode):
@@ -39,31 +39,31 @@
         caller = world.start_operation(["change workspace desk weight=2"], "entry-a1")
         world.run_until(lambda: caller.done)
         for service in ("table", "vms", "cloud"):
-            world.platform.fail(service, mode)
-        assert seconds_until_in_force(world, caller.data["revision"]) < SECONDS
+            world.platform.inject_fault(service, mode)
+        assert seconds_until_active(world, caller.data["revision"]) < SECONDS
 
     def test_everywhere_although_the_answer_of_the_write_was_lost(self):
         world = demo_world(ZONES)
-        world.platform.fail("table", FaultMode.LOSE_ANSWER, count=1, writes_only=True)
+        world.platform.inject_fault("table", FaultMode.LOSE_ANSWER, count=1, writes_only=True)
         outcome = world.operate("change workspace desk weight=2", "entry-a1")
         assert outcome["state"] == "accepted"
-        assert seconds_until_in_force(world, outcome["revision"]) < SECONDS
+        assert seconds_until_active(world, outcome["revision"]) < SECONDS
 
     def test_everywhere_although_the_accepting_process_dies(self):
         world = demo_world(ZONES)
-        world.platform.fail("table", FaultMode.LOSE_ANSWER, count=1, writes_only=True)
+        world.platform.inject_fault("table", FaultMode.LOSE_ANSWER, count=1, writes_only=True)
         world.start_operation(["change workspace desk weight=2"], "entry-a1")
         world.run_until(lambda: world.platform.rows["config/head"][0]["revision"] == 2)
         world.kill("entry-a1")
         assert set(revisions(world).values()) == {1}
-        assert seconds_until_in_force(world, 2, ["entry-b1", "entry-c1", "entry-d1"]) < SECONDS
+        assert seconds_until_active(world, 2, ["entry-b1", "entry-c1", "entry-d1"]) < SECONDS
 
     def test_new_process_during_an_outage_has_the_revision_before_it_is_ready(self):
         world = demo_world(ZONES)
         outcome = world.operate("change workspace desk weight=2", "entry-a1")
-        seconds_until_in_force(world, outcome["revision"])
+        seconds_until_active(world, outcome["revision"])
         for service in ("table", "vms", "cloud"):
-            world.platform.fail(service, FaultMode.DOWN)
+            world.platform.inject_fault(service, FaultMode.DOWN)
         world.kill("entry-b1")
         node = world.entry("entry-b1", "zone-b")
         assert not node.ready
@@ -93,7 +93,7 @@
         world.finish(caller)
         assert caller.status == 200
         world.heal()
-        assert seconds_until_in_force(world, outcome["revision"]) < SECONDS
+        assert seconds_until_active(world, outcome["revision"]) < SECONDS
 
     def test_cut_off_zone_tells_its_operator_that_nothing_was_changed(self):
         world = demo_world(ZONES)
@@ -123,14 +123,14 @@
 
     def test_unknown_outcome_is_settled_later(self):
         world = demo_world(ZONES)
-        world.platform.fail("table", FaultMode.LOSE_ANSWER, count=1, writes_only=True)
+        world.platform.inject_fault("table", FaultMode.LOSE_ANSWER, count=1, writes_only=True)
         caller = world.start_operation(["change workspace desk weight=2"], "entry-a1")
         world.run_until(lambda: world.platform.rows["config/head"][0]["revision"] == 2)
-        world.platform.fail("table", FaultMode.DOWN)
+        world.platform.inject_fault("table", FaultMode.DOWN)
         world.run_until(lambda: caller.done)
         outcome = caller.data
         assert outcome["state"] == "unknown"
-        world.platform.fail("table", FaultMode.UP)
+        world.platform.inject_fault("table", FaultMode.UP)
         settled = world.operate(f"settle {outcome['operation']}", "entry-b1")
         assert (settled["state"], settled["revision"]) == ("accepted", 2)
 
@@ -141,7 +141,7 @@
         gossip = world.nodes["entry-a1"].gossip
         old = gossip.configuration
         world.operate("change workspace desk weight=2")
-        assert gossip.take_push(Push(configuration=old)) is None
+        assert gossip.apply_push(Push(configuration=old)) is None
         assert gossip.configuration.revision == old.revision + 1
 
 
@@ -180,7 +180,7 @@
     @rule(mode=st.sampled_from(list(FaultMode)))
     def platform_changes(self, mode):
         for service in ("table", "vms", "cloud"):
-            self.world.platform.fail(service, mode, 0.5)
+            self.world.platform.inject_fault(service, mode, 0.5)
 
     @rule(name=st.sampled_from(["entry-a1", "entry-b1", "entry-c1"]))
     def process_is_replaced(self, name):
@@ -202,7 +202,7 @@
             return
         self.world.heal()
         for service in ("table", "vms", "cloud"):
-            self.world.platform.fail(service, FaultMode.UP)
+            self.world.platform.inject_fault(service, FaultMode.UP)
         self.world.run(15.0)
         head = self.world.platform.rows["config/head"][0]["revision"]
         assert set(revisions(self.world).values()) == {head}
--- a/flamingofront/process/tests/test_documents.py
+++ b/flamingofront/process/tests/test_documents.py
@@ -2,20 +2,20 @@
 
 import pytest
 
-from flamingofront.daemon import documents_at
+from flamingofront.daemon import open_document_store
 from flamingofront.errors import PlatformError
 from flamingofront.process.documents import DOCUMENT_TABLE, ROW_BYTES, Condition, Write
 from flamingofront.process.logs import Log
 from flamingofront.process.recent_documents import (
-    Mark,
     RecentDocuments,
+    WriteStamp,
     WrittenDocument,
     is_newer,
 )
-from flamingofront.process.store import position
+from flamingofront.process.store import make_revision
 from flamingofront.process.tasks import TaskRunner
 from flamingofront.standins.platform import FaultMode
-from flamingofront.standins.table_store import RANGE_ROWS
+from flamingofront.standins.table_store import MAX_RANGE_ROWS
 from flamingofront.tests.network import FakeTransport
 from flamingofront.tests.world import World
 
@@ -28,7 +28,7 @@
     def __init__(self):
         self.world = World()
         host = self.world._host("process", "zone-a")
-        self.documents = documents_at(
+        self.documents = open_document_store(
             self.world.host("platform").address, 1.0, self.world.clock.now, Log("test")
         )
         self.tasks = TaskRunner(FakeTransport(self.world, host), host.timers, self.fail)
@@ -91,9 +91,9 @@
         assert [each.key for each in store.run(store.documents.scan("a/"))] == ["a/", "a/1", "a/~"]
 
     def test_scan_goes_on_where_the_store_stops(self, store):
-        for number in range(RANGE_ROWS + 3):
+        for number in range(MAX_RANGE_ROWS + 3):
             store.platform.rows.put(f"many/{number:04d}", {})
-        assert len(store.run(store.documents.scan("many/"))) == RANGE_ROWS + 3
+        assert len(store.run(store.documents.scan("many/"))) == MAX_RANGE_ROWS + 3
 
 
 class TestLargeDocuments:
@@ -104,15 +104,16 @@
         assert list(store.platform.store.objects) == [large.object_name]
         assert not small.object_name
         assert all(
-            len(row[0]) <= ROW_BYTES for row in store.platform.store.rows(DOCUMENT_TABLE).values()
+            len(row[0]) <= ROW_BYTES
+            for row in store.platform.store.get_rows(DOCUMENT_TABLE).values()
         )
 
     def test_object_store_that_is_down_writes_nothing(self, store):
-        store.platform.fail("objects", FaultMode.LOSE_ANSWER)
+        store.platform.inject_fault("objects", FaultMode.LOSE_ANSWER)
         with pytest.raises(PlatformError) as caught:
             store.write(Write("large", LARGE))
-        assert not caught.value.maybe_done
-        store.platform.fail("objects", FaultMode.UP)
+        assert not caught.value.maybe_applied
+        store.platform.inject_fault("objects", FaultMode.UP)
         assert store.read("large")[0].revision == 0
 
     def test_object_of_a_removed_document_can_be_dropped(self, store):
@@ -159,28 +160,30 @@
     @pytest.mark.parametrize(
         "mark, version, newer",
         [
-            (Mark(0), 10, True),
-            (Mark(0), 20, False),
-            (Mark(0), 30, False),
-            (Mark(0, position(0, 10)), 99, True),
-            (Mark(0, position(0, 30)), 1, False),
-            (Mark(1), 5, False),
+            (WriteStamp(0), 10, True),
+            (WriteStamp(0), 20, False),
+            (WriteStamp(0), 30, False),
+            (WriteStamp(0, make_revision(0, 10)), 99, True),
+            (WriteStamp(0, make_revision(0, 30)), 1, False),
+            (WriteStamp(1), 5, False),
         ],
     )
     def test_it_is_written_again_only_over_what_is_older(self, mark, version, newer):
-        write = WrittenDocument("key", "value", position(0, 20), 0.0)
+        write = WrittenDocument("key", "value", make_revision(0, 20), 0.0)
         assert is_newer(write, mark, version, 1) is newer
 
     def test_row_of_a_later_era_is_newer_whatever_its_number(self):
-        write = WrittenDocument("key", "value", position(0, 2000), 0.0)
-        assert not is_newer(write, Mark(1), 100, 2)
-        assert is_newer(WrittenDocument("key", "value", position(1, 3), 0.0), Mark(0), 900, 2)
+        write = WrittenDocument("key", "value", make_revision(0, 2000), 0.0)
+        assert not is_newer(write, WriteStamp(1), 100, 2)
+        assert is_newer(
+            WrittenDocument("key", "value", make_revision(1, 3), 0.0), WriteStamp(0), 900, 2
+        )
 
     def test_old_writes_are_not_kept(self):
         now = [0.0]
         recent = RecentDocuments(lambda: now[0])
-        recent.wrote("old", 1, 1)
+        recent.record_write("old", 1, 1)
         now[0] = 40.0
-        recent.wrote("key", 1, 2)
-        recent.wrote("key", 2, 3)
+        recent.record_write("key", 1, 2)
+        recent.record_write("key", 2, 3)
         assert [each.value for each in recent.last_writes()] == [2]
--- a/flamingofront/process/tests/test_expiry.py
+++ b/flamingofront/process/tests/test_expiry.py
@@ -1,10 +1,10 @@
 """Rows that are kept for a stated time are removed after it, and not before."""
 
-from flamingofront.process.expiry import KEPT_SECONDS, SWEEP_PERIOD_SECONDS
+from flamingofront.process.expiry import RETENTION_SECONDS, SWEEP_PERIOD_SECONDS
 from flamingofront.standins.platform import FaultMode
 from flamingofront.tests.world import demo_world
 
-DAY_AND_MORE = KEPT_SECONDS + 2 * 3600.0
+DAY_AND_MORE = RETENTION_SECONDS + 2 * 3600.0
 
 
 def rows(world, prefix):
@@ -31,7 +31,7 @@
     def test_nothing_is_removed_before_its_time(self):
         world = self.world()
         before = {key: value for key, value in world.platform.rows.items() if "lease" not in key}
-        later(world, KEPT_SECONDS / 2)
+        later(world, RETENTION_SECONDS / 2)
         after = {key: value for key, value in world.platform.rows.items() if "lease" not in key}
         assert after == before
 
@@ -47,14 +47,14 @@
         world = self.world()
         (key,) = rows(world, "claim/")
         value, _ = world.platform.rows[key]
-        world.platform.rows.put(key, {**value, "until": value["until"] + 10 * KEPT_SECONDS})
+        world.platform.rows.put(key, {**value, "until": value["until"] + 10 * RETENTION_SECONDS})
         later(world, DAY_AND_MORE)
         assert rows(world, "claim/") == [key]
 
     def test_outage_only_delays_it(self):
         world = self.world()
-        world.platform.fail("table", FaultMode.LOSE_ANSWER)
+        world.platform.inject_fault("table", FaultMode.LOSE_ANSWER)
         later(world, DAY_AND_MORE)
-        world.platform.fail("table", FaultMode.UP)
+        world.platform.inject_fault("table", FaultMode.UP)
         world.run(3 * SWEEP_PERIOD_SECONDS)
         assert rows(world, "claim/") == rows(world, "expiry/") == []
--- a/flamingofront/process/tests/test_graceful_stop.py
+++ b/flamingofront/process/tests/test_graceful_stop.py
@@ -2,10 +2,14 @@
 
 import pytest
 
-from flamingofront.request.tests.test_reclaims import expected_text, follow, prompt_tokens
+from flamingofront.request.tests.test_reclaims import (
+    expected_text,
+    prompt_tokens,
+    read_with_reattachment,
+)
 from flamingofront.tests.world import DEMO, demo_world
 from flamingofront.version.model import Move
-from flamingofront.version.routing import side_of_move
+from flamingofront.version.routing import select_move_side
 
 ZONES = ("zone-a", "zone-b")
 
@@ -39,7 +43,7 @@
             if caller.done and caller.status == 503:
                 refused.append(caller.error["ran"])
                 continue
-            text = follow(world, caller, caller.prompt, nodes)
+            text = read_with_reattachment(world, caller, caller.prompt, nodes)
             assert text == expected_text(prompt_tokens(caller.prompt), tokens)
         assert set(refused) <= {"no"}
         assert len(refused) < len(callers)
@@ -92,7 +96,7 @@
         taken = set()
         for share in range(0, 101, 5):
             move = Move("m", "s", "old", "new", float(share))
-            now = {key for key in keys if side_of_move(move, key, "r") == "new"}
+            now = {key for key in keys if select_move_side(move, key, "r") == "new"}
             assert taken <= now
             assert abs(len(now) / len(keys) - share / 100) < 0.08
             taken = now
