--- a/flamingofront/process/tests/test_holds.py
+++ b/flamingofront/process/tests/test_holds.py
@@ -17,14 +17,14 @@
     Release,
 )
 from flamingofront.errors import PlatformError
-from flamingofront.process.holds import EVIDENCE_PREFIX, HOLD_TABLE
+from flamingofront.process.holds import EVIDENCE_PREFIX, QUARANTINE_TABLE
 from flamingofront.process.quarantine_codec import (
     decode_evidence,
-    decode_hold,
-    decode_word,
+    decode_quarantine_entry,
+    decode_quarantine_update,
     encode_evidence,
-    encode_hold,
-    encode_word,
+    encode_quarantine_entry,
+    encode_quarantine_update,
 )
 from flamingofront.standins.table_store import StoreFault
 from flamingofront.tests.forwarding_world import ready_world
@@ -47,13 +47,16 @@
 
 class TestWord:
     def test_it_is_told_whole(self):
-        assert decode_word(orjson.loads(orjson.dumps(encode_word(WORD)))) == WORD
-        assert decode_word(encode_word(None)) is None
+        assert (
+            decode_quarantine_update(orjson.loads(orjson.dumps(encode_quarantine_update(WORD))))
+            == WORD
+        )
+        assert decode_quarantine_update(encode_quarantine_update(None)) is None
 
     @given(JSON)
     def test_malformed_word_is_named_as_such(self, value):
         try:
-            found = decode_word(value)
+            found = decode_quarantine_update(value)
         except ValueError as exc:
             assert "malformed" in str(exc)
         else:
@@ -62,13 +65,13 @@
     @given(JSON)
     def test_malformed_hold_is_refused(self, value):
         try:
-            assert isinstance(decode_hold("f-1", value), QuarantineEntry)
+            assert isinstance(decode_quarantine_entry("f-1", value), QuarantineEntry)
         except PlatformError as exc:
             assert "f-1" in str(exc)
 
     def test_hold_is_kept_whole(self):
         (hold,) = WORD.entries
-        assert decode_hold("f-1", orjson.dumps(encode_hold(hold))) == hold
+        assert decode_quarantine_entry("f-1", orjson.dumps(encode_quarantine_entry(hold))) == hold
 
 
 class TestKeeping:
@@ -78,7 +81,10 @@
         return QuarantineEntry(fingerprint, **values)
 
     def kept(self, world):
-        return {key: decode_hold(key, row[0]) for key, row in world.store.rows(HOLD_TABLE).items()}
+        return {
+            key: decode_quarantine_entry(key, row[0])
+            for key, row in world.store.get_rows(QUARANTINE_TABLE).items()
+        }
 
     def test_hold_outlasts_an_outage_of_the_store(self):
         world = ready_world(fronts=3)
@@ -120,7 +126,7 @@
 
     def test_row_of_another_writer_is_left_out_and_told(self):
         world = ready_world()
-        world.store.put(HOLD_TABLE, "f-1", {"fingerprint": 3})
+        world.store.put(QUARANTINE_TABLE, "f-1", {"fingerprint": 3})
         world.run(1.0)
         node = world.fronts["front-1"]
         assert not node.hub.guard.quarantine
@@ -130,11 +136,11 @@
         world = ready_world()
         old = world.clock.now() - EVIDENCE_LIFETIME_SECONDS - 1
         ends = (EndpointCrash("e-1", "zone-a", old, ("f-2",), 1),)
-        world.store.put(HOLD_TABLE, EVIDENCE_PREFIX + "f-2", encode_evidence(ends))
+        world.store.put(QUARANTINE_TABLE, EVIDENCE_PREFIX + "f-2", encode_evidence(ends))
         hold = self.hold(world, since=world.clock.now() - ENTRY_LIFETIME_SECONDS - 1)
-        world.store.put(HOLD_TABLE, "f-1", encode_hold(hold))
+        world.store.put(QUARANTINE_TABLE, "f-1", encode_quarantine_entry(hold))
         world.run(1.0)
-        assert not world.store.rows(HOLD_TABLE)
+        assert not world.store.get_rows(QUARANTINE_TABLE)
         assert not world.fronts["front-1"].hub.guard.quarantine
 
     def test_kept_ends_of_a_request_count_with_the_next_one(self):
@@ -142,7 +148,7 @@
         guard = world.fronts["front-1"].hub.guard
         now = world.clock.now()
         ends = [EndpointCrash(f"e-{each}", f"zone-{each}", now, ("f-2",), 1) for each in range(2)]
-        world.store.put(HOLD_TABLE, EVIDENCE_PREFIX + "f-2", encode_evidence(tuple(ends)))
+        world.store.put(QUARANTINE_TABLE, EVIDENCE_PREFIX + "f-2", encode_evidence(tuple(ends)))
         world.run(5.0)
         assert guard.quarantine_status("f-2") is QuarantineStatus.SUSPECTED
         guard.load_evidence((EndpointCrash("e-9", "zone-9", now + 5.0, ("f-2",)),))
--- a/flamingofront/process/tests/test_intents.py
+++ b/flamingofront/process/tests/test_intents.py
@@ -8,7 +8,7 @@
 from flamingofront.errors import PlatformError
 from flamingofront.process.forwarding.duty import LEADER_TABLE
 from flamingofront.process.intent_rows import INTENT_TABLE, decode_record, encode_record
-from flamingofront.process.intent_state import WRITES_AT_ONCE
+from flamingofront.process.intent_state import WRITE_BURST
 from flamingofront.process.intents import ALL_WRITES_PER_SECOND
 from flamingofront.process.tests.test_holds import JSON
 from flamingofront.tests.crashing_world import CONTACT_SECONDS, crashing_world
@@ -19,7 +19,7 @@
 
 def recorded(world):
     """Return the records in the store, by request."""
-    rows = world.store.rows(INTENT_TABLE)
+    rows = world.store.get_rows(INTENT_TABLE)
     return {key: decode_record(key, value) for key, (value, _) in rows.items()}
 
 
@@ -117,7 +117,7 @@
         before = recorded(world)
         for lost in world.store.restore(0.2):
             if lost.table != INTENT_TABLE:
-                world.store.put_back(lost)
+                world.store.rewrite_row(lost)
         assert not recorded(world)
         world.run_until(lambda: recorded(world) == before, limit=1.0)
 
@@ -130,7 +130,7 @@
             world.run(0.005)
         seconds = 400 * 0.005
         duties = 10 * seconds
-        bound = seconds * ALL_WRITES_PER_SECOND + 3 * (WRITES_AT_ONCE + 2 * seconds) + duties
+        bound = seconds * ALL_WRITES_PER_SECOND + 3 * (WRITE_BURST + 2 * seconds) + duties
         assert world.store.version - before <= bound
         world.run(8.0)
         assert all(each.done for each in callers)
@@ -158,14 +158,14 @@
     def test_history_that_is_lost_is_told_and_harms_nothing(self):
         world = crashing_world(fronts=1)
         world.kill("front-0")
-        world.store.forget_history()
+        world.store.discard_history()
         world.run(1.0)
         world.front("front-0", first_start=False)
         world.run(1.0)
         caller = world.ask("front-0", "/stream/once/x", body=BODY)
         world.finish(caller)
         assert caller.status == 200
-        assert world.store.rows(LEADER_TABLE, LEADER_TABLE)
+        assert world.store.get_rows(LEADER_TABLE, LEADER_TABLE)
 
 
 class TestWaryProcesses:
--- a/flamingofront/process/tests/test_leases.py
+++ b/flamingofront/process/tests/test_leases.py
@@ -6,7 +6,7 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 
-from flamingofront.daemon import documents_at
+from flamingofront.daemon import open_document_store
 from flamingofront.messages import Sleep
 from flamingofront.process.leases import LeaseKeeper
 from flamingofront.process.logs import Log
@@ -36,7 +36,7 @@
             raise exc
 
         runner = TaskRunner(FakeTransport(self.world, host), host.timers, fault)
-        documents = documents_at(
+        documents = open_document_store(
             self.world.host("platform").address, 1.0, self.world.clock.now, Log("test")
         )
         keeper = LeaseKeeper(
@@ -52,7 +52,7 @@
         self.keepers.append(keeper)
 
     def holders(self):
-        return [each for each in self.keepers if each.current() is not None]
+        return [each for each in self.keepers if each.valid_lease() is not None]
 
 
 class TestLease:
@@ -66,14 +66,14 @@
         pair.world.run(5.0)
         (first,) = pair.holders()
         name = f"keeper-{pair.keepers.index(first)}"
-        old = first.current().fencing
+        old = first.valid_lease().fencing
         pair.world.pause(name)
         pair.world.run(DURATION + WAIT_EXTRA + 6.0)
         # The clock went on while the holder slept; it must know at the moment it looks.
-        assert first.current() is None
+        assert first.valid_lease() is None
         (second,) = pair.holders()
         assert second is not first
-        assert second.current().fencing > old
+        assert second.valid_lease().fencing > old
         pair.world.resume(name)
         pair.world.run(10.0)
         assert pair.holders() == [second]
@@ -82,10 +82,10 @@
     def test_lease_lapses_while_the_platform_is_out_and_comes_back_to_one(self, mode):
         pair = Keepers()
         pair.world.run(5.0)
-        pair.world.platform.fail("table", mode)
+        pair.world.platform.inject_fault("table", mode)
         pair.world.run(DURATION + 3.0)
         assert pair.holders() == []
-        pair.world.platform.fail("table", FaultMode.UP)
+        pair.world.platform.inject_fault("table", FaultMode.UP)
         pair.world.run(20.0)
         assert len(pair.holders()) == 1
 
@@ -130,14 +130,14 @@
 
     @rule(mode=st.sampled_from(list(FaultMode)), delay=st.floats(0.1, 3.0))
     def platform_changes(self, mode, delay):
-        self.group.world.platform.fail("table", mode, delay)
+        self.group.world.platform.inject_fault("table", mode, delay)
 
     @invariant()
     def check(self):
         holders = self.group.holders()
         assert len(holders) <= 1
         for holder in holders:
-            fencing = holder.current().fencing
+            fencing = holder.valid_lease().fencing
             assert fencing >= self.highest
             self.highest = fencing
 
@@ -174,8 +174,8 @@
 
         world = demo_world(entries_per_zone=2, check_fencing=check_fencing)
         world.run(10.0)
-        holder = next(n for n, each in world.nodes.items() if each.lease.current())
-        old = world.nodes[holder].lease.current().fencing
+        holder = next(n for n, each in world.nodes.items() if each.lease.valid_lease())
+        old = world.nodes[holder].lease.valid_lease().fencing
         world.pause(holder)
         self.put_wrong_model(world, "engine-a1")
         world.run_until(lambda: world.engines["engine-a1"].model == "demo", 40.0)
@@ -189,7 +189,7 @@
     def test_order_is_not_given_once_the_lease_has_lapsed(self):
         world = demo_world(entries_per_zone=1)
         world.run(10.0)
-        world.platform.fail("table", FaultMode.DOWN)
+        world.platform.inject_fault("table", FaultMode.DOWN)
         world.run(15.0)
         before = list(world.engines["engine-a1"].orders)
         self.put_wrong_model(world, "engine-a1")
@@ -201,7 +201,7 @@
 
     def test_generator_waits_between_renewals(self):
         keeper = LeaseKeeper(
-            documents_at("127.0.0.1:1", 1.0, lambda: 0.0, Log("test")),
+            open_document_store("127.0.0.1:1", 1.0, lambda: 0.0, Log("test")),
             "d/z",
             "h/1",
             lambda: 0.0,
--- a/flamingofront/process/tests/test_leaving.py
+++ b/flamingofront/process/tests/test_leaving.py
@@ -11,7 +11,7 @@
 FEW_SECONDS = 5.0
 
 
-def last_new_work(world, engine_name, seconds):
+def measure_last_request(world, engine_name, seconds):
     """Send requests from all entry VMs all the time; return when the engine last got one."""
     engine = world.engines[engine_name]
     start = world.clock.now()
@@ -32,18 +32,18 @@
     def test_notice_seen_in_one_zone(self):
         world = demo_world(ZONES, list_lag=20.0)
         world.platform.reclaim("engine-a1", 60.0)
-        assert last_new_work(world, "engine-a1", 15.0) < FEW_SECONDS
+        assert measure_last_request(world, "engine-a1", 15.0) < FEW_SECONDS
 
     def test_sign_in_the_vm_list(self):
         world = demo_world(ZONES)
         world.platform.vms["engine-a1"]["state"] = "leaving"
-        world.platform._show("engine-a1", 0.0)
-        assert last_new_work(world, "engine-a1", 15.0) < FEW_SECONDS
+        world.platform._update_list("engine-a1", 0.0)
+        assert measure_last_request(world, "engine-a1", 15.0) < FEW_SECONDS
 
     def test_order_to_drain(self):
         world = demo_world(ZONES)
         world.start_operation(["drain endpoint engine-a1"], "entry-b1")
-        assert last_new_work(world, "engine-a1", 15.0) < FEW_SECONDS
+        assert measure_last_request(world, "engine-a1", 15.0) < FEW_SECONDS
 
     def test_peers_told_although_messages_are_lost_and_a_zone_is_cut_off(self):
         """Zone c hears neither the platform nor zone a, only zone b."""
@@ -51,14 +51,14 @@
         world.cut("zone-c", "platform")
         world.cut("zone-c", "entry-a1")
         world.platform.reclaim("engine-a1", 60.0)
-        assert last_new_work(world, "engine-a1", 15.0) < FEW_SECONDS
+        assert measure_last_request(world, "engine-a1", 15.0) < FEW_SECONDS
 
     @pytest.mark.parametrize("seed", range(5))
     def test_delays_and_reordering(self, seed):
         world = demo_world(ZONES, list_lag=20.0, seed=seed)
         world.max_extra_delay = 0.5
         world.platform.reclaim("engine-b1", 60.0)
-        assert last_new_work(world, "engine-b1", 15.0) < FEW_SECONDS
+        assert measure_last_request(world, "engine-b1", 15.0) < FEW_SECONDS
 
     def test_cut_off_zone_learns_of_its_own_endpoints_when_the_platform_is_back(self):
         world = demo_world(ZONES)
@@ -69,7 +69,7 @@
         world.finish(caller)
         assert caller.status == 200
         world.heal()
-        assert last_new_work(world, "engine-c1", 15.0) < FEW_SECONDS
+        assert measure_last_request(world, "engine-c1", 15.0) < FEW_SECONDS
 
     def test_draining_a_side_sends_its_work_to_the_other(self):
         from flamingofront.tests.world import DEMO
@@ -87,7 +87,7 @@
         world.run(0.5)
         world.operate("drain side old")
         for engine in ("old-a", "old-b", "old-c"):
-            assert last_new_work(world, engine, 6.0) < FEW_SECONDS
+            assert measure_last_request(world, engine, 6.0) < FEW_SECONDS
         world.finish(*callers)
         assert all(each.body.endswith(b"[DONE]\n\n") for each in callers)
 
@@ -136,22 +136,22 @@
 class TestStaleList:
     def test_a_stale_list_does_not_revive_a_vm(self):
         world = demo_world(ZONES)
-        before = {name: dict(each) for name, each in world.platform.shown.items()}
+        before = {name: dict(each) for name, each in world.platform.listed_vms.items()}
         world.platform.reclaim("engine-a1", 1.0)
         world.run(4.0)
         world.kill("engine-a1")
         world.platform.remove_vm("engine-a1")
         world.run(10.0)
-        world.platform.shown = before
+        world.platform.listed_vms = before
         world.run(10.0)
         for node in world.nodes.values():
             assert node.gossip.facts.get("engine-a1").state is VmState.GONE
-        assert last_new_work(world, "engine-a1", 2.0) == 0.0
+        assert measure_last_request(world, "engine-a1", 2.0) == 0.0
 
     def test_vm_missing_from_one_list_is_not_gone(self):
         world = demo_world(ZONES)
-        record = world.platform.shown.pop("engine-a1")
+        record = world.platform.listed_vms.pop("engine-a1")
         world.run(2.5)
-        world.platform.shown["engine-a1"] = record
+        world.platform.listed_vms["engine-a1"] = record
         world.run(10.0)
         assert world.nodes["entry-a1"].gossip.facts.get("engine-a1").state is VmState.LIVE
--- a/flamingofront/process/vm_list.py
+++ b/flamingofront/process/vm_list.py
@@ -9,7 +9,7 @@
 import orjson
 
 from flamingofront.messages import OutboundCall
-from flamingofront.process.calls import ask
+from flamingofront.process.calls import send_call
 from flamingofront.process.tasks import Task
 
 __all__ = ["VmList", "VmRecord"]
@@ -71,7 +71,7 @@
         """
         headers = (("If-None-Match", self._list_tag),) if self._list_tag else ()
         call = self._get("/vms", headers)
-        reply = yield from ask(call, False, (STATUS_OK, STATUS_NOT_MODIFIED))
+        reply = yield from send_call(call, False, (STATUS_OK, STATUS_NOT_MODIFIED))
         if reply.status == STATUS_OK:
             self._list = tuple(VmRecord(**each) for each in orjson.loads(reply.body)["vms"])
             self._list_tag = reply.headers.get("etag", "")
@@ -80,7 +80,7 @@
     def notices(self, zone: str) -> Task:
         """Return the reclaim notices of a zone as a mapping from VM id to seconds left."""
         call = self._get(f"/cloud/notices?zone={quote(zone)}")
-        reply = yield from ask(call, False, (STATUS_OK,))
+        reply = yield from send_call(call, False, (STATUS_OK,))
         return dict(orjson.loads(reply.body)["notices"])
 
     def _get(self, path: str, headers: tuple[tuple[str, str], ...] = ()) -> OutboundCall:
--- a/flamingofront/process/watch.py
+++ b/flamingofront/process/watch.py
@@ -76,7 +76,7 @@
 
     def members(self, zone: str) -> list[str]:
         """Return the processes of a zone that were heard lately, this one included if it is."""
-        heard = self._gossip.statuses.heard(self._timers.now())
+        heard = self._gossip.statuses.live_records(self._timers.now())
         members = {each.vm_id for each in heard if each.zone == zone}
         own = self._gossip.facts.get(self._gossip.own_id)
         if own.zone == zone:
@@ -85,7 +85,7 @@
 
     def heard_ids(self) -> tuple[str, ...]:
         """Return the ids of all processes that were heard lately."""
-        heard = self._gossip.statuses.heard(self._timers.now())
+        heard = self._gossip.statuses.live_records(self._timers.now())
         return tuple(sorted(each.vm_id for each in heard))
 
     def is_mine(self, key: str, zone: str, count: int) -> bool:
@@ -186,7 +186,7 @@
 
     def read_notices(self, zone: str) -> Task:
         """Read the reclaim notices of a zone."""
-        notices = yield from self._vm_list.notices(zone)
+        notices = yield from self._vm_list.fetch_notices(zone)
         for vm_id, seconds in notices.items():
             self._on_notice(vm_id, seconds)
 
--- a/flamingofront/request/active.py
+++ b/flamingofront/request/active.py
@@ -9,7 +9,7 @@
 from flamingofront.decisions.choice import Candidate
 from flamingofront.decisions.quarantine_facts import QuarantineStatus
 from flamingofront.decisions.rollout import VersionRule
-from flamingofront.errors import ErrorKind, Ran, RequestError
+from flamingofront.errors import ErrorKind, Executed, RequestError
 from flamingofront.messages import (
     CallFailed,
     CancelAttempt,
@@ -22,7 +22,7 @@
 )
 from flamingofront.process.timers import Timer
 from flamingofront.request.attachments import Attachment
-from flamingofront.request.attempts import Order, Phase, RequestFacts, RequestMachine
+from flamingofront.request.attempts import Action, Phase, RequestFacts, RequestMachine
 from flamingofront.request.directory import SharedPrefix
 from flamingofront.request.fingerprint import compute_fingerprint
 from flamingofront.request.guard import quarantine_error
@@ -67,7 +67,7 @@
         self.endpoint_address = ""
         self._launched_at = 0.0
         self.fingerprint = compute_fingerprint(record)
-        self.on_settled: Callable[[StoredAnswer | None, RequestError | None], None] | None = None
+        self.on_finished: Callable[[StoredAnswer | None, RequestError | None], None] | None = None
         self.log = hub.log.bind(
             request=record.request_id, workspace=record.workspace, work=self.fingerprint
         )
@@ -107,12 +107,12 @@
         return self.machine.phase in (Phase.DONE, Phase.FROZEN)
 
     @property
-    def is_sent(self) -> bool:
+    def has_attempt_in_flight(self) -> bool:
         """True while an endpoint works on it, as far as is known here."""
         return self._handle is not None
 
     @property
-    def can_move(self) -> bool:
+    def can_hand_over(self) -> bool:
         """True if the request may be handed over now."""
         return not self.done and not self._held_back
 
@@ -124,7 +124,7 @@
         return self.hub.guard.quarantine_status(self.fingerprint) is not QuarantineStatus.CLEAR
 
     @abstractmethod
-    def _call(self, order: StartAttempt, chosen: Candidate) -> OutboundCall:
+    def _call(self, action: StartAttempt, chosen: Candidate) -> OutboundCall:
         """Return the call that starts an attempt."""
 
     @abstractmethod
@@ -132,7 +132,7 @@
         """Return what takes the events of an attempt."""
 
     @abstractmethod
-    def hashes(self) -> tuple[str, ...]:
+    def prefix_blocks(self) -> tuple[str, ...]:
         """Return the prefix blocks of the request."""
 
     def shared_prefix(self) -> SharedPrefix | None:
@@ -143,7 +143,7 @@
         """Return which versions the next attempt may go to; None if that makes no difference."""
         return None
 
-    def hold_back(self) -> None:
+    def defer_start(self) -> None:
         """Don't start before `allow_start`: something must be written first."""
         self._held_back = True
 
@@ -151,13 +151,13 @@
         """Start now if admission has let the request through meanwhile."""
         self._held_back = False
         if self._is_due:
-            self.carry(self.machine.start())
+            self.execute(self.machine.start())
 
-    def begin(self) -> None:
+    def start_first_attempt(self) -> None:
         """Start the first attempt, unless it is held back."""
         self._is_due = True
         if not self._held_back:
-            self.carry(self.machine.start())
+            self.execute(self.machine.start())
 
     def attach(self, attachment: Attachment) -> None:
         """Add a reader."""
@@ -167,7 +167,7 @@
         attachment.on_gone = self._reader_gone
         self.attachments.append(attachment)
 
-    def expect_reader(self, seconds: float) -> None:
+    def start_reattach_timer(self, seconds: float) -> None:
         """End the request if no reader comes within some seconds."""
         if self.record.job or self.attachments:
             return
@@ -178,7 +178,7 @@
         if self.attachments or self.record.job or self.record.key or self.done:
             return
         if attachment.wants_tokens:
-            self.expect_reader(self.hub.settings.reattach_grace)
+            self.start_reattach_timer(self.hub.settings.reattach_grace)
         else:
             self._nobody_waits()
 
@@ -187,81 +187,81 @@
             return
         self.hub.metrics.count("refusals_total", kind="caller_gone")
         self._sync_wrote()
-        self.carry(self.machine.caller_gone())
+        self.execute(self.machine.end_without_answer())
         self._end()
         self.hub.remove_request(self)
 
     def _on_deadline(self) -> None:
         self._sync_wrote()
-        self.carry(self.machine.deadline())
+        self.execute(self.machine.expire())
 
-    def refuse(self, exc: RequestError) -> None:
+    def reject_unstarted(self, exc: RequestError) -> None:
         """End a request that never started with an error."""
-        self.machine.caller_gone()
+        self.machine.end_without_answer()
         self._settle(None, exc)
 
-    def resolve(self, answer: StoredAnswer) -> None:
+    def replay_answer(self, answer: StoredAnswer) -> None:
         """End a request that never started with the answer of an earlier one."""
-        self.machine.caller_gone()
+        self.machine.end_without_answer()
         readers, self.attachments = self.attachments, []
         for each in readers:
             each.detach()
             each.repeat(answer)
-        self.drop()
+        self.cancel_unstarted()
 
-    def drop(self) -> None:
+    def cancel_unstarted(self) -> None:
         """End a request that never started; its reader is answered elsewhere."""
-        self.machine.caller_gone()
+        self.machine.end_without_answer()
         self._end()
         self.hub.remove_request(self)
 
     def _sync_wrote(self) -> None:
         if self._handle is not None and self._handle.wrote and self.machine.attempt_id:
-            self.machine.wrote(self.machine.attempt_id)
+            self.machine.record_write(self.machine.attempt_id)
 
-    def carry(self, orders: list[Order]) -> None:
+    def execute(self, actions: list[Action]) -> None:
         """Carry out the orders of the machine."""
-        for order in orders:
-            if isinstance(order, StartAttempt):
-                self._start_attempt(order)
-            elif isinstance(order, Emit):
-                self._emit(order)
-            elif isinstance(order, ScheduleRetry):
-                self._retry_timer = self.hub.timers.once(order.delay, self._retry)
-            elif isinstance(order, CancelAttempt):
+        for action in actions:
+            if isinstance(action, StartAttempt):
+                self._start_attempt(action)
+            elif isinstance(action, Emit):
+                self._emit(action)
+            elif isinstance(action, ScheduleRetry):
+                self._retry_timer = self.hub.timers.once(action.delay, self._retry)
+            elif isinstance(action, CancelAttempt):
                 self._release()
-            elif isinstance(order, Complete):
+            elif isinstance(action, Complete):
                 self._complete()
-            elif isinstance(order, Fail):
-                self._fail(order)
+            elif isinstance(action, Fail):
+                self._fail(action)
 
     def _retry(self) -> None:
         self._retry_timer = None
-        self.carry(self.machine.start())
+        self.execute(self.machine.start())
 
-    def _start_attempt(self, order: StartAttempt) -> None:
+    def _start_attempt(self, action: StartAttempt) -> None:
         """Start an attempt, unless the request has crashed the endpoints that ran it."""
         standing = self.hub.guard.quarantine_status(self.fingerprint)
         if standing is QuarantineStatus.QUARANTINED:
-            self.held_back()
+            self.fail_quarantined()
         elif standing is QuarantineStatus.TRIAL_DUE:
             self.hub.guard.claim_trial(
-                self.fingerprint, lambda granted: self._trial_claimed(order, granted)
+                self.fingerprint, lambda granted: self._trial_claimed(action, granted)
             )
         else:
-            self.place(order)
+            self.dispatch_attempt(action)
 
-    def _trial_claimed(self, order: StartAttempt, granted: bool) -> None:
-        if self.done or self.machine.attempt_id != order.attempt_id:
+    def _trial_claimed(self, action: StartAttempt, granted: bool) -> None:
+        if self.done or self.machine.attempt_id != action.attempt_id:
             return
         if granted:
             self.is_trial = True
-            self.place(order)
+            self.dispatch_attempt(action)
         else:
-            self.held_back()
+            self.fail_quarantined()
 
     @property
-    def is_held(self) -> bool:
+    def is_quarantined(self) -> bool:
         """True if it is not run any more; its own trial is."""
         standing = self.hub.guard.quarantine_status(self.fingerprint)
         return not self.is_trial and standing in (
@@ -269,58 +269,58 @@
             QuarantineStatus.TRIAL_DUE,
         )
 
-    def held_back(self) -> None:
+    def fail_quarantined(self) -> None:
         """End the request at once, also while an endpoint has it: it crashes what runs it."""
         hold = self.hub.guard.quarantine_entry(self.fingerprint)
         if hold is not None:
             exc = quarantine_error(hold, self.hub.guard.wall())
-            self.carry(self.machine.give_up(exc.kind, exc.detail))
+            self.execute(self.machine.fail(exc.kind, exc.detail))
 
-    def place(self, order: StartAttempt) -> None:
+    def dispatch_attempt(self, action: StartAttempt) -> None:
         """Choose an endpoint for an attempt and send it there."""
         chosen = self.hub.choose_endpoint(
-            self, order.exclude, self._permit_claims.is_exhausted(order)
+            self, action.exclude, self._permit_claims.is_exhausted(action)
         )
         if chosen is None:
-            self._no_endpoint(order)
+            self._no_endpoint(action)
             return
         delay = self._postponement(chosen)
         if delay > 0:
             self.hub.metrics.count("retries_total", reason="postponed")
-            self.carry(self.machine.postponed(order.attempt_id, self.hub.now(), delay))
+            self.execute(self.machine.postpone(action.attempt_id, self.hub.now(), delay))
         elif self.hub.permits.is_required(chosen.endpoint_id):
-            self._permit_claims.claim_permit(order, chosen)
+            self._permit_claims.claim_permit(action, chosen)
         else:
-            self.launch(order, chosen)
+            self.record_and_send(action, chosen)
 
-    def _no_endpoint(self, order: StartAttempt) -> None:
+    def _no_endpoint(self, action: StartAttempt) -> None:
         """Wait for an endpoint, or refuse the request if that takes too long."""
         delay = self.hub.choice_retry_delay(self.record.service.name, self.ticket.share.priority)
         self.hub.metrics.count("retries_total", reason="no_endpoint")
-        self.carry(self.machine.no_endpoint(order.attempt_id, self.hub.now(), delay))
+        self.execute(self.machine.defer_without_endpoint(action.attempt_id, self.hub.now(), delay))
 
     def _postponement(self, chosen: Candidate) -> float:
         """Return the seconds for which an attempt stands back for more urgent work; 0 for none."""
         return 0.0
 
-    def launch(self, order: StartAttempt, chosen: Candidate) -> None:
+    def record_and_send(self, action: StartAttempt, chosen: Candidate) -> None:
         """Send an attempt to an endpoint, after a record of it where one is needed."""
         if self._attempt_intents.requires_record():
-            self._attempt_intents.record_attempt(order, chosen)
+            self._attempt_intents.record_attempt(action, chosen)
         else:
-            self.send(order, chosen)
+            self.send_attempt(action, chosen)
 
-    def send(self, order: StartAttempt, chosen: Candidate) -> None:
+    def send_attempt(self, action: StartAttempt, chosen: Candidate) -> None:
         """Send an attempt to an endpoint."""
         self.hub.metrics.count("attempts_total", service=self.record.service.name)
-        self.log.debug("attempt", attempt=order.attempt_id, endpoint=chosen.endpoint_id)
+        self.log.debug("attempt", attempt=action.attempt_id, endpoint=chosen.endpoint_id)
         self.endpoint_id = chosen.endpoint_id
         self.endpoint_address = chosen.address
         self._launched_at = self.hub.now()
         self.hub.backoffs.record_send(chosen.endpoint_id)
         self.hub.directory.record_attempt_start(chosen.endpoint_id)
-        listener = self._listener(order.attempt_id, chosen)
-        self._handle = self.hub.transport.start(self._call(order, chosen), listener)
+        listener = self._listener(action.attempt_id, chosen)
+        self._handle = self.hub.transport.start(self._call(action, chosen), listener)
 
     def _release(self, cancel: bool = True) -> None:
         """Note that the endpoint is free of the call in flight; give the call up if told so."""
@@ -332,12 +332,14 @@
             handle.cancel()
         self.hub.directory.record_attempt_end(self.endpoint_id)
 
-    def lost(self, attempt_id: str, executed: Ran, reason: str, sent: bool = True) -> None:
+    def fail_attempt(
+        self, attempt_id: str, executed: Executed, reason: str, sent: bool = True
+    ) -> None:
         """An attempt ended without its answer; `sent` is False if nothing can have arrived."""
         if self.done or attempt_id != self.machine.attempt_id:
             return
         now = self.hub.now()
-        if not sent or executed is Ran.NO:
+        if not sent or executed is Executed.NO:
             self._attempt_intents.withdraw()
         self._release()
         self.hub.record_attempt_loss(self.record.service, self.endpoint_id, executed, reason, now)
@@ -348,32 +350,36 @@
             reason=reason,
             ran=executed.value,
         )
-        self.carry(self.machine.lost(attempt_id, self.endpoint_id, executed, now, reason, sent))
+        self.execute(
+            self.machine.handle_attempt_failure(
+                attempt_id, self.endpoint_id, executed, now, reason, sent
+            )
+        )
 
-    def call_failed(self, attempt_id: str, event: CallFailed) -> None:
+    def handle_call_failure(self, attempt_id: str, event: CallFailed) -> None:
         """Judge a call that ended without a response."""
         if event.reason in NOT_CONNECTED:
             refused = event.reason == "refused"
             self.hub.directory.record_connect_failure(self.endpoint_id, self.hub.now(), refused)
         elif event.reason == "reset" and event.wrote and not self._was_stale(event):
-            self.connection_broke(attempt_id)
-        executed = Ran.UNKNOWN if event.wrote else Ran.NO
-        self.lost(attempt_id, executed, event.reason, sent=event.wrote)
+            self.report_connection_loss(attempt_id)
+        executed = Executed.UNKNOWN if event.wrote else Executed.NO
+        self.fail_attempt(attempt_id, executed, event.reason, sent=event.wrote)
 
     def _was_stale(self, event: CallFailed) -> bool:
         """Tell whether an attempt went out on a connection whose endpoint had ended before."""
         return event.reused and self.hub.now() - self._launched_at < STALE_SECONDS
 
-    def connection_broke(self, attempt_id: str) -> None:
+    def report_connection_loss(self, attempt_id: str) -> None:
         """Take note that the current attempt's connection ended before its answer did."""
         if not self.done and attempt_id == self.machine.attempt_id:
             self.hub.guard.crash_detector.record_connection_loss(
                 self.endpoint_id, self.endpoint_address, self.fingerprint
             )
 
-    def _emit(self, order: Emit) -> None:
+    def _emit(self, action: Emit) -> None:
         for each in list(self.attachments):
-            if each.wants_tokens and not each.tokens(order.offset, order.tokens):
+            if each.wants_tokens and not each.tokens(action.offset, action.tokens):
                 self._drop_slow(each)
 
     def _drop_slow(self, attachment: Attachment) -> None:
@@ -386,23 +392,23 @@
     def _complete(self) -> None:
         """Make the final answer."""
 
-    def _fail(self, order: Fail) -> None:
-        ran = Ran.YES if order.kind is ErrorKind.CRASHES_ENDPOINTS else order.ran
-        exc = RequestError(order.kind, order.detail, ran, self._retry_after(order))
+    def _fail(self, action: Fail) -> None:
+        ran = Executed.YES if action.kind is ErrorKind.CRASHES_ENDPOINTS else action.ran
+        exc = RequestError(action.kind, action.detail, ran, self._retry_after(action))
         self.log.info(
             "request failed",
-            kind=order.kind.value,
-            ran=order.ran.value,
+            kind=action.kind.value,
+            ran=action.ran.value,
             retry_after=exc.retry_after,
         )
         self._settle(None, exc)
 
-    def _retry_after(self, order: Fail) -> float | None:
+    def _retry_after(self, action: Fail) -> float | None:
         """Return when to come back: not before an endpoint takes the request, if none does now."""
         service, priority = self.record.service.name, self.ticket.share.priority
         if self.hub.seconds_until_open(service, priority) <= 0:
-            return order.retry_after
-        return max(order.retry_after or 0.0, self.hub.choice_retry_delay(service, priority))
+            return action.retry_after
+        return max(action.retry_after or 0.0, self.hub.choice_retry_delay(service, priority))
 
     def _settle(self, answer: StoredAnswer | None, exc: RequestError | None) -> None:
         """Give the final answer to all readers, once."""
@@ -417,8 +423,8 @@
                 each.complete(answer)
             else:
                 each.failed(exc)
-        if self.on_settled is not None:
-            self.on_settled(answer, exc)
+        if self.on_finished is not None:
+            self.on_finished(answer, exc)
         self.hub.remove_request(self)
 
     def _end(self) -> None:
@@ -430,14 +436,14 @@
     def freeze(self) -> RequestRecord:
         """Stop the text for good and return the record to hand over."""
         self._sync_wrote()
-        self.carry(self.machine.freeze())
+        self.execute(self.machine.freeze())
         self._end()
         return self.to_record()
 
-    def take_over(self, frozen: "ActiveRequest") -> None:
+    def adopt_attachments(self, frozen: "ActiveRequest") -> None:
         """Take the readers of the frozen request that this one continues."""
         self.accepted_at = frozen.accepted_at
-        self.on_settled = frozen.on_settled
+        self.on_finished = frozen.on_finished
         readers, frozen.attachments = frozen.attachments, []
         for each in readers:
             self.attach(each)
--- a/flamingofront/request/answer_reader.py
+++ b/flamingofront/request/answer_reader.py
@@ -3,9 +3,9 @@
 from typing import TYPE_CHECKING
 
 from flamingofront.connection.interfaces import CallEvent
-from flamingofront.errors import Ran
+from flamingofront.errors import Executed
 from flamingofront.messages import CallFailed, ResponseData, ResponseEnd, ResponseHead
-from flamingofront.request.forward_work import EndpointAnswer, RelayedAnswer
+from flamingofront.request.forward_work import EndpointResponse, EndpointResponseHead
 
 if TYPE_CHECKING:
     from flamingofront.request.forwarded_request import ForwardedRequest
@@ -24,7 +24,7 @@
         self._attempt_id = attempt_id
         self._endpoint_id = request.endpoint_id
         self._sent_at = request.hub.now()
-        self._response: EndpointAnswer | None = None
+        self._response: EndpointResponseHead | None = None
         self._chunks: list[bytes] = []
         self._received_bytes = 0
         request.relay.discard_partial_event()
@@ -40,46 +40,48 @@
         else:
             self._on_failure(event)
 
-    def _fail_attempt(self, ran: Ran, reason: str) -> None:
-        self._request.lost(self._attempt_id, ran, reason)
+    def _fail_attempt(self, ran: Executed, reason: str) -> None:
+        self._request.fail_attempt(self._attempt_id, ran, reason)
 
     def _on_head(self, head: ResponseHead) -> None:
-        response = self._request.protocol.judge(self._request.work.caller_id, head)
-        if not response.crossed and not response.wrong_endpoint:
+        response = self._request.protocol.decode_response_head(self._request.work.caller_id, head)
+        if not response.is_mismatched and not response.wrong_endpoint:
             # Applied before the attempt ends, because the next choice of an endpoint depends on it.
             self._apply_rate_limit(response)
             self._apply_availability(response)
-        if response.crossed:
-            self._fail_attempt(Ran.UNKNOWN, "crossed answer")
+        if response.is_mismatched:
+            self._fail_attempt(Executed.UNKNOWN, "crossed answer")
         elif response.wrong_endpoint:
             self._request.hub.directory.mark_address_reused(self._request.endpoint_id)
-            self._fail_attempt(Ran.NO, "another endpoint has the address")
+            self._fail_attempt(Executed.NO, "another endpoint has the address")
         elif response.not_run:
-            self._fail_attempt(Ran.NO, f"refused with status {response.status}")
+            self._fail_attempt(Executed.NO, f"refused with status {response.status}")
         else:
             self._response = response
-        if not response.crossed:
+        if not response.is_mismatched:
             directory = self._request.hub.directory
             directory.record_contact(self._request.endpoint_id, self._request.hub.now())
 
-    def _apply_rate_limit(self, response: EndpointAnswer) -> None:
+    def _apply_rate_limit(self, response: EndpointResponseHead) -> None:
         """Store the rate limit that the response advertises, whatever its status.
 
         A malformed limit is ignored; a response without one ends the stored limit.
         """
-        if response.names_limit and response.rate_limit is None:
+        if response.has_rate_limit_header and response.rate_limit is None:
             return
         self._request.hub.limits.record_response(
             self._endpoint_id, response.rate_limit, self._sent_at, self._request.request_id
         )
 
-    def _apply_availability(self, response: EndpointAnswer) -> None:
+    def _apply_availability(self, response: EndpointResponseHead) -> None:
         """Record that the endpoint is leaving, or that it asks for or ends a back-off."""
         request = self._request
         if response.leaving:
             request.hub.on_endpoint_leaving(self._endpoint_id, request.request_id)
-        if response.pause is not None:
-            request.hub.backoffs.start(self._endpoint_id, response.pause, request.request_id)
+        if response.backoff_seconds is not None:
+            request.hub.backoffs.start(
+                self._endpoint_id, response.backoff_seconds, request.request_id
+            )
         else:
             request.hub.backoffs.record_response(self._endpoint_id, self._sent_at)
 
@@ -94,32 +96,34 @@
         self._chunks.append(data)
         self._received_bytes += len(data)
         if self._received_bytes > MAX_RESPONSE_BYTES:
-            self._fail_attempt(Ran.UNKNOWN, "the answer is too large")
+            self._fail_attempt(Executed.UNKNOWN, "the answer is too large")
 
     def _relay_events(self, data: bytes) -> None:
         try:
             events = self._request.relay.feed(data)
         except ValueError as exc:
-            self._fail_attempt(Ran.UNKNOWN, str(exc))
+            self._fail_attempt(Executed.UNKNOWN, str(exc))
             return
         if events:
-            self._request.pass_events(self._attempt_id, self._response, events)
+            self._request.forward_events(self._attempt_id, self._response, events)
 
     def _on_end(self) -> None:
         response = self._response
         body = b"".join(self._chunks)
-        complete = RelayedAnswer(response.status, response.fields, body)
+        complete = EndpointResponse(response.status, response.fields, body)
         if self._is_stream and (
             self._request.relay.has_partial_event or not self._request.relay.count
         ):
-            self._request.connection_broke(self._attempt_id)
-            self._fail_attempt(Ran.UNKNOWN, "the stream ended within an event")
-        elif self._request.begun and not self._is_stream:
-            self._fail_attempt(Ran.UNKNOWN, f"the stream went on with status {response.status}")
+            self._request.report_connection_loss(self._attempt_id)
+            self._fail_attempt(Executed.UNKNOWN, "the stream ended within an event")
+        elif self._request.has_sent_events and not self._is_stream:
+            self._fail_attempt(
+                Executed.UNKNOWN, f"the stream went on with status {response.status}"
+            )
         elif response.status >= FIRST_ERROR_STATUS:
-            self._request.endpoint_error(self._attempt_id, complete)
+            self._request.handle_endpoint_error(self._attempt_id, complete)
         else:
-            self._request.answered(self._attempt_id, complete)
+            self._request.complete_response(self._attempt_id, complete)
 
     def _on_failure(self, event: CallFailed) -> None:
-        self._request.call_failed(self._attempt_id, event)
+        self._request.handle_call_failure(self._attempt_id, event)
--- a/flamingofront/request/attachments.py
+++ b/flamingofront/request/attachments.py
@@ -7,14 +7,14 @@
 
 from flamingofront.connection.events import (
     DONE_EVENT,
-    chunk_event,
-    error_event,
-    reattach_event,
-    whole_answer,
+    encode_chunk_event,
+    encode_completion,
+    encode_error_event,
+    encode_reattach_event,
 )
 from flamingofront.connection.interfaces import Exchange
-from flamingofront.connection.server import JSON_HEADERS, error_body, error_headers
-from flamingofront.errors import ANSWERS, ErrorKind, RequestError
+from flamingofront.connection.server import JSON_HEADERS, build_error_headers, encode_error
+from flamingofront.errors import ERROR_RESPONSES, ErrorKind, RequestError
 from flamingofront.request.records import ModelWork
 from flamingofront.request.stored_answer import StoredAnswer
 
@@ -35,12 +35,12 @@
 
 def respond_error(exchange: Exchange, exc: RequestError, request_id: str = "") -> None:
     """Send the table's answer for an error."""
-    headers = error_headers(exc)
+    headers = build_error_headers(exc)
     if request_id:
         headers += (("X-Request-Id", request_id),)
     if exc.kind is ErrorKind.HANDED_OVER:
         headers += (("Location", f"/v1/requests/{request_id}"),)
-    exchange.respond(ANSWERS[exc.kind].status, headers, error_body(exc, request_id))
+    exchange.respond(ERROR_RESPONSES[exc.kind].status, headers, encode_error(exc, request_id))
 
 
 def respond_accepted(exchange: Exchange, request_id: str) -> None:
@@ -66,7 +66,7 @@
         self._exchange = exchange
         self._request_id = request_id
         self.on_gone: Callable[[Attachment], None] | None = None
-        exchange.on_gone = self._gone
+        exchange.on_disconnect = self._gone
 
     def _gone(self) -> None:
         if self.on_gone is not None:
@@ -80,7 +80,7 @@
     def detach(self) -> None:
         """Stop listening for the reader's departure."""
         self.on_gone = None
-        self._exchange.on_gone = None
+        self._exchange.on_disconnect = None
 
     def tokens(self, start: int, tokens: tuple[str, ...]) -> bool:
         """Pass on tokens that begin at offset `start`; False if the reader cannot keep up."""
@@ -144,14 +144,16 @@
         self._offset += len(lacking)
         work = self._work
         return self._exchange.send(
-            chunk_event(self._request_id, work.model, work.chat, self._offset, "".join(lacking))
+            encode_chunk_event(
+                self._request_id, work.model, work.chat, self._offset, "".join(lacking)
+            )
         )
 
     def complete(self, answer: StoredAnswer) -> None:
         """Send the last events."""
         self._begin()
         work = self._work
-        last = chunk_event(self._request_id, work.model, work.chat, self._offset, "", "stop")
+        last = encode_chunk_event(self._request_id, work.model, work.chat, self._offset, "", "stop")
         self._exchange.send(last + DONE_EVENT)
         self._exchange.finish()
 
@@ -160,13 +162,13 @@
         if not self._begun:
             super().failed(exc)
             return
-        self._exchange.send(error_event(error_body(exc, self._request_id)))
+        self._exchange.send(encode_error_event(encode_error(exc, self._request_id)))
         self._exchange.finish()
 
     def moved(self, offset: int) -> None:
         """Ask the caller to come back for the rest."""
         self._begin()
-        self._exchange.send(reattach_event(self._request_id, self._offset))
+        self._exchange.send(encode_reattach_event(self._request_id, self._offset))
         self._exchange.finish()
 
 
@@ -215,7 +217,7 @@
     request_id: str, work: ModelWork, tokens: tuple[str, ...] | list[str]
 ) -> StoredAnswer:
     """Return the whole answer of a completion."""
-    body = whole_answer(
+    body = encode_completion(
         request_id, work.model, work.chat, "".join(tokens), len(work.prompt), len(tokens)
     )
     return StoredAnswer(200, "application/json", body)
--- a/flamingofront/request/attempts.py
+++ b/flamingofront/request/attempts.py
@@ -11,7 +11,7 @@
 from enum import StrEnum
 
 from flamingofront.decisions.retry import RetryBudget
-from flamingofront.errors import ErrorKind, Ran
+from flamingofront.errors import ErrorKind, Executed
 from flamingofront.messages import (
     CancelAttempt,
     Complete,
@@ -24,9 +24,9 @@
 from flamingofront.process.backoff import Backoff
 from flamingofront.request.assembly import Assembler
 
-__all__ = ["Order", "Phase", "RequestFacts", "RequestMachine"]
+__all__ = ["Action", "Phase", "RequestFacts", "RequestMachine"]
 
-Order = StartAttempt | CancelAttempt | ScheduleRetry | Emit | Complete | Fail
+Action = StartAttempt | CancelAttempt | ScheduleRetry | Emit | Complete | Fail
 
 MAX_FAILURES_WITHOUT_PROGRESS = 12
 DEFAULT_BACKOFF = Backoff(0.05, 2.0)
@@ -53,7 +53,7 @@
         Time at which the caller no longer waits.
     max_attempts : int or None
         Endpoints that the request may be sent to; None if only the budget bounds them.
-    choose_until : float
+    choice_deadline : float
         Time after which a request is refused for which there is no endpoint.
     """
 
@@ -61,7 +61,7 @@
     repeatable: bool
     deadline: float
     max_attempts: int | None = None
-    choose_until: float = math.inf
+    choice_deadline: float = math.inf
 
 
 class RequestMachine:
@@ -86,7 +86,7 @@
         rng: random.Random,
         backoff: Backoff = DEFAULT_BACKOFF,
         tokens: tuple[str, ...] = (),
-        ran: Ran = Ran.NO,
+        ran: Executed = Executed.NO,
     ):
         self.facts = facts
         self.assembler = Assembler(facts.request_id, tokens)
@@ -102,7 +102,7 @@
         self._failed_endpoints: set[str] = set()
         self._ids = itertools.count(1)
 
-    def start(self) -> list[Order]:
+    def start(self) -> list[Action]:
         """Begin the first attempt, or the next one when a scheduled retry is due."""
         if self.phase is not Phase.WAITING:
             return []
@@ -118,44 +118,44 @@
 
     def wrote(self, attempt_id: str) -> None:
         """Note that bytes of an attempt may have reached its endpoint."""
-        if attempt_id == self.attempt_id and self.ran is Ran.NO:
-            self.ran = Ran.UNKNOWN
+        if attempt_id == self.attempt_id and self.ran is Executed.NO:
+            self.ran = Executed.UNKNOWN
 
-    def frame(self, frame: Frame) -> list[Order]:
+    def frame(self, frame: Frame) -> list[Action]:
         """Take tokens from an endpoint."""
         added = self.assembler.accept(frame)
         if self.phase is not Phase.RUNNING:
             return []
-        orders: list[Order] = []
+        actions: list[Action] = []
         if added:
-            self.ran = Ran.YES
+            self.ran = Executed.YES
             self._failures = 0
-            orders.append(Emit(self.assembler.offset - len(added), added))
+            actions.append(Emit(self.assembler.offset - len(added), added))
         if self.assembler.complete:
-            self.ran = Ran.YES
+            self.ran = Executed.YES
             self._end()
-            orders.append(Complete(self.assembler.offset))
-        return orders
+            actions.append(Complete(self.assembler.offset))
+        return actions
 
     def answered(self, attempt_id: str) -> bool:
         """Take a whole answer of a plain service; False if it is not the current attempt's."""
         if self.phase is not Phase.RUNNING or attempt_id != self.attempt_id:
             return False
-        self.ran = Ran.YES
+        self.ran = Executed.YES
         self._end()
         return True
 
-    def no_endpoint(self, attempt_id: str, now: float, retry_after: float) -> list[Order]:
+    def no_endpoint(self, attempt_id: str, now: float, retry_after: float) -> list[Action]:
         """No endpoint could be chosen: wait if the caller does, else refuse."""
         if attempt_id != self.attempt_id or self.phase is not Phase.RUNNING:
             return []
         self._failed_endpoints.clear()
         self.attempts -= 1
-        if now + retry_after >= self.facts.choose_until:
+        if now + retry_after >= self.facts.choice_deadline:
             return self._fail(ErrorKind.NO_ENDPOINT, retry_after=retry_after)
         return self._wait_or_fail(now, retry_after, ErrorKind.NO_ENDPOINT)
 
-    def postponed(self, attempt_id: str, now: float, delay: float) -> list[Order]:
+    def postponed(self, attempt_id: str, now: float, delay: float) -> list[Action]:
         """The attempt was not sent: other work goes first."""
         if attempt_id != self.attempt_id or self.phase is not Phase.RUNNING:
             return []
@@ -165,18 +165,18 @@
     def progressed(self, attempt_id: str) -> None:
         """Note that an endpoint has sent a part of the answer that was passed on."""
         if attempt_id == self.attempt_id:
-            self.ran = Ran.YES
+            self.ran = Executed.YES
             self._failures = 0
 
     def lost(
         self,
         attempt_id: str,
         endpoint_id: str,
-        executed: Ran,
+        executed: Executed,
         now: float,
         detail: str = "",
         sent: bool = True,
-    ) -> list[Order]:
+    ) -> list[Action]:
         """Take the loss of an attempt.
 
         Parameters
@@ -193,10 +193,10 @@
         self._settle_ran(executed)
         if now >= self.facts.deadline:
             return self._fail(ErrorKind.DEADLINE_EXCEEDED, detail)
-        if not self.facts.repeatable and executed is not Ran.NO:
+        if not self.facts.repeatable and executed is not Executed.NO:
             return self._fail(ErrorKind.OUTCOME_UNKNOWN, detail)
         if self._failures >= MAX_FAILURES_WITHOUT_PROGRESS:
-            return self._fail(ErrorKind.ENDPOINT_FAILED, detail, self._backoff.longest)
+            return self._fail(ErrorKind.ENDPOINT_FAILED, detail, self._backoff.max_seconds)
         if not sent and self.facts.max_attempts is not None:
             self.attempts -= 1
             return self._wait_or_fail(now, 0.0, ErrorKind.ENDPOINT_FAILED)
@@ -204,21 +204,21 @@
             return self._fail(self._last_kind(), detail)
         delay = self._budget.reserve(now)
         if self._failures > 1:
-            delay = max(delay, self._backoff.delay(self._failures - 2, self._rng))
+            delay = max(delay, self._backoff.compute_delay(self._failures - 2, self._rng))
         return self._wait_or_fail(now, delay, ErrorKind.RETRY_BUDGET_EXHAUSTED)
 
-    def _settle_ran(self, executed: Ran) -> None:
+    def _settle_ran(self, executed: Executed) -> None:
         """Keep the strongest evidence; a refused attempt proves nothing about earlier ones."""
-        if executed is Ran.NO and self.ran is not Ran.YES:
+        if executed is Executed.NO and self.ran is not Executed.YES:
             self.ran = self._ran_before_attempt
-        elif executed is not Ran.NO and self.ran is Ran.NO:
-            self.ran = Ran.UNKNOWN
+        elif executed is not Executed.NO and self.ran is Executed.NO:
+            self.ran = Executed.UNKNOWN
 
     def _last_kind(self) -> ErrorKind:
         """Return the error of a request whose attempts are used up."""
-        return ErrorKind.OVERLOADED if self.ran is Ran.NO else ErrorKind.ENDPOINT_FAILED
+        return ErrorKind.OVERLOADED if self.ran is Executed.NO else ErrorKind.ENDPOINT_FAILED
 
-    def _wait_or_fail(self, now: float, delay: float, kind: ErrorKind) -> list[Order]:
+    def _wait_or_fail(self, now: float, delay: float, kind: ErrorKind) -> list[Action]:
         if now + delay >= self.facts.deadline:
             return self._fail(kind, retry_after=delay if delay < math.inf else None)
         self.phase = Phase.WAITING
@@ -226,7 +226,7 @@
         self.assembler.assign(None)
         return [ScheduleRetry(delay)]
 
-    def replace(self, attempt_id: str) -> list[Order]:
+    def replace(self, attempt_id: str) -> list[Action]:
         """Stop the current attempt in favour of a new one elsewhere (planned migration)."""
         if attempt_id != self.attempt_id or self.phase is not Phase.RUNNING:
             return []
@@ -235,42 +235,42 @@
 
     def give_up(
         self, kind: ErrorKind, detail: str, retry_after: float | None = None
-    ) -> list[Order]:
+    ) -> list[Action]:
         """End the request with an error: no further attempt may be made."""
         if self.phase in (Phase.DONE, Phase.FROZEN):
             return []
         return self._stop_attempt() + self._fail(kind, detail, retry_after)
 
-    def deadline(self) -> list[Order]:
+    def deadline(self) -> list[Action]:
         """Give up because the caller's time is over."""
         if self.phase in (Phase.DONE, Phase.FROZEN):
             return []
         return self._stop_attempt() + self._fail(ErrorKind.DEADLINE_EXCEEDED)
 
-    def caller_gone(self) -> list[Order]:
+    def caller_gone(self) -> list[Action]:
         """Give up because nobody waits for the answer."""
         if self.phase in (Phase.DONE, Phase.FROZEN):
             return []
-        orders = self._stop_attempt()
+        actions = self._stop_attempt()
         self._end()
-        return orders
+        return actions
 
-    def freeze(self) -> list[Order]:
+    def freeze(self) -> list[Action]:
         """Stop the text for good, before its record is offered to another process."""
         if self.phase is Phase.DONE:
             return []
-        orders = self._stop_attempt()
+        actions = self._stop_attempt()
         self.phase = Phase.FROZEN
         self.assembler.freeze()
-        return orders
+        return actions
 
-    def _stop_attempt(self) -> list[Order]:
+    def _stop_attempt(self) -> list[Action]:
         running = self.phase is Phase.RUNNING and self.attempt_id is not None
         return [CancelAttempt(self.attempt_id)] if running else []
 
     def _fail(
         self, kind: ErrorKind, detail: str = "", retry_after: float | None = None
-    ) -> list[Order]:
+    ) -> list[Action]:
         self._end()
         return [Fail(kind, self.ran, detail, retry_after)]
 
--- a/flamingofront/request/claims.py
+++ b/flamingofront/request/claims.py
@@ -15,7 +15,7 @@
 from flamingofront.messages import Sleep
 from flamingofront.process.backoff import Backoff
 from flamingofront.process.documents import Document, DocumentStore
-from flamingofront.process.expiry import expiry_write
+from flamingofront.process.expiry import build_expiry_write
 from flamingofront.process.tasks import Task
 from flamingofront.request.stored_answer import StoredAnswer, answer_from_json, answer_to_json
 
@@ -185,10 +185,10 @@
             if (yield from documents.replace(row, value)):
                 return ClaimOutcome(ClaimDecision.GRANTED, owner, request_id)
         except PlatformError as exc:
-            maybe_left = maybe_left or exc.maybe_done
+            maybe_left = maybe_left or exc.maybe_applied
         if now() >= deadline:
             return ClaimOutcome(ClaimDecision.UNAVAILABLE, maybe_left=maybe_left)
-        yield Sleep(backoff.delay(tries, rng))
+        yield Sleep(backoff.compute_delay(tries, rng))
         tries += 1
 
 
@@ -203,7 +203,7 @@
             done = False
         if done:
             return
-        yield Sleep(backoff.delay(tries, rng))
+        yield Sleep(backoff.compute_delay(tries, rng))
         tries += 1
 
 
@@ -230,7 +230,7 @@
         state = ClaimState.DONE if answer is not None else ClaimState.UNKNOWN
         stored = answer_to_json(answer) if answer is not None else None
         value = {**row.value, "state": state.value, "answer": stored, "until": until}
-        return (yield from documents.replace(row, value, expiry_write(row.key, until)))
+        return (yield from documents.replace(row, value, build_expiry_write(row.key, until)))
 
     yield from repeat_until_done(step, rng)
 
--- a/flamingofront/request/directory.py
+++ b/flamingofront/request/directory.py
@@ -36,10 +36,10 @@
 def is_drained(fact: Fact, cfg: Configuration) -> bool:
     """Return True if an operator has drained an endpoint, its VM, its side or its zone."""
     return (
-        fact.vm_id in cfg.drained(DrainKind.ENDPOINT)
-        or fact.vm_id in cfg.drained(DrainKind.VM)
-        or fact.side in cfg.drained(DrainKind.SIDE)
-        or fact.zone in cfg.drained(DrainKind.ZONE)
+        fact.vm_id in cfg.drained_targets(DrainKind.ENDPOINT)
+        or fact.vm_id in cfg.drained_targets(DrainKind.VM)
+        or fact.side in cfg.drained_targets(DrainKind.SIDE)
+        or fact.zone in cfg.drained_targets(DrainKind.ZONE)
     )
 
 
@@ -366,7 +366,7 @@
 
     def mark_address_reused(self, endpoint_id: str) -> None:
         """Mark an endpoint as gone because another endpoint now has its address."""
-        self._facts.mark(endpoint_id, VmState.GONE)
+        self._facts.advance_state(endpoint_id, VmState.GONE)
 
     def record_attempt_start(self, endpoint_id: str) -> None:
         """Count an attempt of this process that starts at an endpoint."""
--- a/flamingofront/request/endpoint_ends.py
+++ b/flamingofront/request/endpoint_ends.py
@@ -9,7 +9,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from flamingofront.connection.interfaces import Reach, Transport
+from flamingofront.connection.interfaces import ConnectResult, Transport
 from flamingofront.decisions.quarantine_facts import EndpointCrash
 from flamingofront.process.logs import Log
 from flamingofront.process.metrics import Metrics
@@ -139,9 +139,9 @@
         )
 
     def _on_confirmation_probe(
-        self, endpoint_id: str, reach: Reach, on_confirmed: Callable[[], None]
+        self, endpoint_id: str, reach: ConnectResult, on_confirmed: Callable[[], None]
     ) -> None:
-        if reach is Reach.CONNECTED and not self._directory.is_replaced(endpoint_id):
+        if reach is ConnectResult.CONNECTED and not self._directory.is_replaced(endpoint_id):
             self._log.info("endpoint still listens after its row was deleted", endpoint=endpoint_id)
         else:
             on_confirmed()
@@ -181,14 +181,14 @@
             lambda reach: self._on_probe_result(endpoint_id, check, reach),
         )
 
-    def _on_probe_result(self, endpoint_id: str, check: _CrashCheck, reach: Reach) -> None:
+    def _on_probe_result(self, endpoint_id: str, check: _CrashCheck, reach: ConnectResult) -> None:
         if self._checks.get(endpoint_id) is not check or check.is_crashed:
             return
-        if reach is Reach.REFUSED:
+        if reach is ConnectResult.REFUSED:
             self._timers.once(
                 SETTLE_DELAY_SECONDS, lambda: self._conclude_check(endpoint_id, check)
             )
-        elif reach is Reach.UNANSWERED and check.probe_count < MAX_PROBES:
+        elif reach is ConnectResult.UNANSWERED and check.probe_count < MAX_PROBES:
             self._timers.once(PROBE_RETRY_SECONDS, lambda: self._send_probe(endpoint_id, check))
         else:
             del self._checks[endpoint_id]
--- a/flamingofront/request/forward_attachment.py
+++ b/flamingofront/request/forward_attachment.py
@@ -3,7 +3,7 @@
 from flamingofront.connection.interfaces import Exchange
 from flamingofront.errors import RequestError
 from flamingofront.request.attachments import Attachment
-from flamingofront.request.forward_work import Fields, ForwardProtocol, RelayedAnswer
+from flamingofront.request.forward_work import EndpointResponse, Fields, ForwardProtocol
 
 __all__ = ["ForwardAttachment"]
 
@@ -26,7 +26,7 @@
         """Send whole events; False if the caller cannot keep up."""
         return self._exchange.send(data)
 
-    def complete(self, answer: RelayedAnswer) -> None:
+    def complete(self, answer: EndpointResponse) -> None:
         """Send the answer, or end the stream."""
         if self.begun:
             self._exchange.finish()
--- a/flamingofront/request/forward_gateway.py
+++ b/flamingofront/request/forward_gateway.py
@@ -17,7 +17,7 @@
 from flamingofront.request.hub import RequestHub
 from flamingofront.request.quota_gate import LocalQuotaGate, QuotaDecision, QuotaGate
 from flamingofront.request.records import RequestRecord
-from flamingofront.request.stop_refusal import refusal_for_stop
+from flamingofront.request.stop_refusal import make_shutdown_rejection
 from flamingofront.request.unknown_gate import AssumedFreshness, ConfigFreshness
 from flamingofront.version.forwarding import (
     ForwardedRoute,
@@ -116,7 +116,7 @@
         self._protocol = protocol
         self._quota = quota
         self.quota_gate: QuotaGate = LocalQuotaGate(quota, hub.timers)
-        self.unknown_gate: ConfigFreshness = AssumedFreshness()
+        self.config_freshness: ConfigFreshness = AssumedFreshness()
         self._log = log
         self._on_running = on_running
         self._numbers = itertools.count(1)
@@ -126,7 +126,7 @@
         try:
             self._forward(req, exchange)
         except RequestError as exc:
-            if exc.kind in UNKNOWN_KINDS and not self.unknown_gate.is_current():
+            if exc.kind in UNKNOWN_KINDS and not self.config_freshness.is_current():
                 self._verify(req, exchange)
             else:
                 self._refuse(exc, req, exchange)
@@ -138,8 +138,8 @@
     def _verify(self, req: InboundRequest, exchange: Exchange) -> None:
         """Let a request wait until it is known whether a newer configuration knows its route."""
         waits = _Waits()
-        exchange.on_gone = waits.caller_left
-        self.unknown_gate.verify(
+        exchange.on_disconnect = waits.caller_left
+        self.config_freshness.verify(
             lambda is_current: waits.is_gone or self._verified(req, exchange, is_current)
         )
 
@@ -166,7 +166,7 @@
             status=self._protocol.render_error(exc)[0],
             retry_after=exc.retry_after,
             configuration=self.configuration.version,
-            **exc.inputs,
+            **exc.log_fields,
         )
 
     def _forward(self, req: InboundRequest, exchange: Exchange) -> None:
@@ -174,7 +174,7 @@
         if not cfg.version:
             raise RequestError(ErrorKind.NOT_READY, retry_after=NOT_READY_RETRY_SECONDS)
         caller = self._protocol.decode(req)
-        route = cfg.route_for(caller.host, caller.path)
+        route = cfg.find_route(caller.host, caller.path)
         if route is None:
             raise RequestError(ErrorKind.UNKNOWN_SERVICE, f"no route for {caller.path[:80]!r}")
         workspace = self._workspace(caller, route)
@@ -189,7 +189,7 @@
         # Before the question: its reply could come after the end of this process.
         self._check_stop(record)
         asked_at = self._hub.now()
-        exchange.on_gone = offer.caller_left
+        exchange.on_disconnect = offer.caller_left
         self.quota_gate.decide(
             workspace, units, lambda decision: self._decided(offer, decision, asked_at)
         )
@@ -214,8 +214,8 @@
         request = self._hub.accept(offer.record, _share(offer.route, offer.workspace))
         if offer.workspace is not None:
             self._quota.consume(offer.workspace, offer.units, self._hub.now())
-        request.on_running = self._on_running
-        request.rule_of = self._version_rule
+        request.on_response_start = self._on_running
+        request.version_rule_of = self._version_rule
         request.on_end = lambda ended: self._ended(ended, offer)
         caller_id = offer.record.work.caller_id
         request.attach(ForwardAttachment(offer.exchange, caller_id, self._protocol))
@@ -226,7 +226,7 @@
 
     def _workspace(self, caller: CallerRequest, route: ForwardedRoute) -> ForwardedWorkspace | None:
         cfg = self.configuration
-        workspace = cfg.workspace_of(caller.key) if caller.key else None
+        workspace = cfg.find_workspace_by_key(caller.key) if caller.key else None
         if workspace is None and route.needs_key and cfg.workspaces:
             raise RequestError(ErrorKind.UNKNOWN_WORKSPACE, "the API key is not known")
         return workspace
@@ -236,7 +236,7 @@
             return
         workspace = offer.workspace
         state = decision.state or self._quota.get_state(workspace, self._hub.now())
-        inputs = {
+        log_fields = {
             "workspace": workspace.name,
             "units": offer.units,
             "rate": workspace.rate,
@@ -248,12 +248,12 @@
             ErrorKind.LIMIT_EXCEEDED,
             f"workspace {workspace.name} is over its quota of {workspace.rate:g} a second",
             retry_after=decision.wait,
-            inputs=inputs,
+            log_fields=log_fields,
         )
 
     def _check_stop(self, record: RequestRecord) -> None:
         """Refuse what would be broken off by the end of this process; another one can serve it."""
-        refusal = refusal_for_stop(self._hub, record, record.deadline_left)
+        refusal = make_shutdown_rejection(self._hub, record, record.deadline_left)
         if refusal is not None:
             raise refusal
 
@@ -264,13 +264,13 @@
         route: ForwardedRoute,
         workspace: ForwardedWorkspace | None,
     ) -> RequestRecord:
-        spent = self._hub.now() - req.began_at
+        spent = self._hub.now() - req.head_received_at
         left = route.timeout - spent
         if caller.deadline is not None:
             left = min(left, caller.deadline - spent)
         if left <= 0:
             raise RequestError(ErrorKind.DEADLINE_EXCEEDED, "no time is left of the deadline")
-        name = route.backend_for(caller.request_id)
+        name = route.select_backend(caller.request_id)
         slots = self._hub.directory.advertised_slots(name)
         work = ForwardWork(
             method=req.method,
@@ -279,7 +279,7 @@
             fields=caller.fields,
             body=req.body,
             stream=route.kind is RequestKind.STREAM,
-            repeatable=route.may_repeat,
+            repeatable=route.can_repeat,
             resumable=route.resumable,
             max_attempts=route.max_attempts,
             caller_id=caller.request_id,
@@ -292,16 +292,16 @@
             request_id=f"{caller.request_id}#{next(self._numbers)}",
             workspace=work.workspace,
             route=route.name,
-            service=self.configuration.service_for(route, name, slots),
+            service=self.configuration.build_service(route, name, slots),
             work=work,
             deadline_left=left,
         )
 
     def _ended(self, request: ForwardedRequest, offer: "_Offer") -> None:
         now = self._hub.now()
-        if offer.workspace is not None and request.first_at is None:
+        if offer.workspace is not None and request.first_response_at is None:
             self._quota.refund(offer.workspace, offer.units, now)
-        first = request.first_at
+        first = request.first_response_at
         self._log.info(
             "request ended",
             request=request.request_id,
--- a/flamingofront/request/forward_work.py
+++ b/flamingofront/request/forward_work.py
@@ -11,11 +11,11 @@
 __all__ = [
     "AttemptFacts",
     "CallerRequest",
-    "EndpointAnswer",
+    "EndpointResponseHead",
     "ForwardProtocol",
     "ForwardWork",
     "PromptPart",
-    "RelayedAnswer",
+    "EndpointResponse",
 ]
 
 Fields = tuple[tuple[str, str], ...]
@@ -118,7 +118,7 @@
 
 
 @dataclass(frozen=True)
-class EndpointAnswer:
+class EndpointResponseHead:
     """What the head of an endpoint's answer says.
 
     Parameters
@@ -129,7 +129,7 @@
         True if the answer belongs to another request.
     wrong_endpoint : bool
         True if another endpoint has the address now.
-    names_limit : bool
+    has_rate_limit_header : bool
         True if the endpoint speaks of a limit, be it readable or not.
     rate_limit : float or None
         Requests a second that it takes from all entry processes together; None if it names none
@@ -145,18 +145,18 @@
 
     status: int
     not_run: bool
-    crossed: bool
+    is_mismatched: bool
     wrong_endpoint: bool
     stream: bool
     fields: Fields
-    names_limit: bool = False
+    has_rate_limit_header: bool = False
     rate_limit: float | None = None
     leaving: bool = False
-    pause: float | None = None
+    backoff_seconds: float | None = None
 
 
 @dataclass(frozen=True)
-class RelayedAnswer:
+class EndpointResponse:
     """A complete answer of an endpoint."""
 
     status: int
@@ -176,11 +176,11 @@
         """Return what a caller's headers say; raises `RequestError` if they are malformed."""
 
     @abstractmethod
-    def attempt_fields(self, work: ForwardWork, facts: AttemptFacts) -> Fields:
+    def encode_attempt_headers(self, work: ForwardWork, facts: AttemptFacts) -> Fields:
         """Return the headers of an attempt."""
 
     @abstractmethod
-    def judge(self, request_id: str, head: ResponseHead) -> EndpointAnswer:
+    def decode_response_head(self, request_id: str, head: ResponseHead) -> EndpointResponseHead:
         """Return what the head of an endpoint's answer says."""
 
     @abstractmethod
--- a/flamingofront/request/forwarded_request.py
+++ b/flamingofront/request/forwarded_request.py
@@ -9,7 +9,7 @@
 from flamingofront.decisions.lateness import LatencyEstimate, classify_urgency, compute_yield_delay
 from flamingofront.decisions.rollout import VersionRule
 from flamingofront.decisions.stopping import StreamTimes
-from flamingofront.errors import ErrorKind, Ran, RequestError
+from flamingofront.errors import ErrorKind, Executed, RequestError
 from flamingofront.messages import (
     CallFailed,
     Fail,
@@ -23,14 +23,14 @@
 from flamingofront.request.event_stream import EventRelay
 from flamingofront.request.forward_work import (
     AttemptFacts,
-    EndpointAnswer,
+    EndpointResponse,
+    EndpointResponseHead,
     ForwardProtocol,
     ForwardWork,
-    RelayedAnswer,
 )
 from flamingofront.request.host import RequestHost
 from flamingofront.request.records import RequestRecord
-from flamingofront.request.stop_refusal import refusal_for_stop
+from flamingofront.request.stop_refusal import make_shutdown_rejection
 
 __all__ = ["ForwardedRequest"]
 
@@ -55,14 +55,16 @@
         self.status = 0
         self.endpoints: list[str] = []
         self.sent_at = 0.0
-        self.first_at: float | None = None
+        self.first_response_at: float | None = None
         self.failure = ""
-        self.rule_of: Callable[[ForwardedRequest], VersionRule | None] = lambda request: None
+        self.version_rule_of: Callable[[ForwardedRequest], VersionRule | None] = (
+            lambda request: None
+        )
         self._pace = AttemptLatency()
         self._passed_before = 0
-        self.on_running: Callable[[ForwardedRequest], None] = lambda request: None
+        self.on_response_start: Callable[[ForwardedRequest], None] = lambda request: None
         self.on_end: Callable[[ForwardedRequest], None] = lambda request: None
-        self._fallback: RelayedAnswer | None = None
+        self._fallback: EndpointResponse | None = None
         self._unread = 0
         self._unread_at = ""
         self._ahead = 0
@@ -88,9 +90,9 @@
 
     def version_rule(self) -> VersionRule | None:
         """Return which versions the next attempt may go to; None if that makes no difference."""
-        return self.rule_of(self)
+        return self.version_rule_of(self)
 
-    def hashes(self) -> tuple[str, ...]:
+    def prefix_blocks(self) -> tuple[str, ...]:
         """Return the ids of the prompt's parts."""
         return tuple(each.part_id for each in self.work.prompt)
 
@@ -112,7 +114,7 @@
         first = self._rates.estimate().first_event_seconds(self._ahead) * chosen.slowness
         objective = self.record.service.first_token_target
         left = objective - (self.hub.now() - self.accepted_at)
-        return LatencyEstimate(first, left, self.begun)
+        return LatencyEstimate(first, left, self.has_sent_events)
 
     def _postponement(self, chosen: Candidate) -> float:
         """Stand back while the request will be late in any case and others wait to be read."""
@@ -154,14 +156,16 @@
         """Note the prompt's parts as held by the endpoint that has read them."""
         sizes = tuple(each.tokens for each in self.work.prompt)
         capacity = self.hub.cache_tokens(self.record.service.name)
-        self.hub.directory.prefixes.add_blocks(self.endpoint_id, self.hashes(), sizes, capacity)
+        self.hub.directory.prefixes.add_blocks(
+            self.endpoint_id, self.prefix_blocks(), sizes, capacity
+        )
 
-    def _log_choice(self, order: StartAttempt, chosen: Candidate) -> None:
+    def _log_choice(self, action: StartAttempt, chosen: Candidate) -> None:
         """Tell which endpoint was chosen, and by what."""
         directory = self.hub.directory
         self.log.info(
             "attempt",
-            attempt=order.attempt_id,
+            attempt=action.attempt_id,
             service=self.record.service.name,
             endpoint=chosen.endpoint_id,
             zone_of_endpoint=chosen.zone,
@@ -173,12 +177,12 @@
             slowness=round(chosen.slowness, 2),
             loads_age=directory.load_report_age(self.hub.now()),
             rate_limit=self.hub.limits.rate_of(chosen.endpoint_id),
-            excluded=sorted(order.exclude),
+            excluded=sorted(action.exclude),
             left_ms=round((self.machine.facts.deadline - self.hub.now()) * 1000),
         )
 
-    def _call(self, order: StartAttempt, chosen: Candidate) -> OutboundCall:
-        self._log_choice(order, chosen)
+    def _call(self, action: StartAttempt, chosen: Candidate) -> OutboundCall:
+        self._log_choice(action, chosen)
         self._queue(chosen)
         left = self.machine.facts.deadline - self.hub.now()
         facts = AttemptFacts(
@@ -195,11 +199,11 @@
             work.method,
             work.target,
             work.body,
-            self.protocol.attempt_fields(work, facts),
+            self.protocol.encode_attempt_headers(work, facts),
             timeout=left + CALL_MARGIN_SECONDS,
             stream=True,
             # A reset on a kept connection leaves open whether the request ran.
-            fresh=self.needs_fresh_connection,
+            new_connection=self.needs_fresh_connection,
             host=work.host,
             connect_timeout=CONNECT_SECONDS,
         )
@@ -207,16 +211,16 @@
     def _listener(self, attempt_id: str, chosen: Candidate) -> Callable[[CallEvent], None]:
         return ResponseReader(self, attempt_id)
 
-    def began_at(self) -> float:
+    def estimate_execution_start(self) -> float:
         """Return when an endpoint began to run the request, as far as can be told from here.
 
         Notes
         -----
         A stream begins with its first event; any other request at once when it is sent.
         """
-        return self.first_at if self.work.stream else self.sent_at
+        return self.first_response_at if self.work.stream else self.sent_at
 
-    def running(self) -> None:
+    def record_response_start(self) -> None:
         """Note that an endpoint has begun to answer."""
         self._pace.record_start(self.hub.now())
         if self._unread:
@@ -224,19 +228,21 @@
                 self._rates.record_first_event(self._ahead, self.hub.now() - self.sent_at)
             self._dequeue()
             self._note_cached()
-        if self.first_at is None:
-            self.first_at = self.hub.now()
-            self.hub.metrics.observe("first_token_seconds", self.first_at - self.accepted_at)
-            self.on_running(self)
+        if self.first_response_at is None:
+            self.first_response_at = self.hub.now()
+            self.hub.metrics.observe(
+                "first_token_seconds", self.first_response_at - self.accepted_at
+            )
+            self.on_response_start(self)
 
-    def pass_events(self, attempt_id: str, answer: EndpointAnswer, data: bytes) -> None:
+    def forward_events(self, attempt_id: str, answer: EndpointResponseHead, data: bytes) -> None:
         """Pass whole events on to the caller."""
         if self.machine.attempt_id != attempt_id:
             return
         self.hub.directory.record_contact(self.endpoint_id, self.hub.now())
         self._observe_events()
-        self.running()
-        self.machine.progressed(attempt_id)
+        self.record_response_start()
+        self.machine.record_progress(attempt_id)
         self.status = answer.status
         for each in list(self.attachments):
             each.begin(answer.status, answer.fields)
@@ -247,7 +253,7 @@
         """Note the pause before events, so that a slow endpoint shows."""
         now = self.hub.now()
         count = self.relay.count - self._events_seen
-        if self.first_at is not None and count > 0:
+        if self.first_response_at is not None and count > 0:
             pause = (now - self._event_at) / count
             self.hub.directory.record_token_time(self.endpoint_id, pause)
             self._rates.record_pause(pause)
@@ -256,14 +262,16 @@
     def _tell_outcome(self, is_bad: bool) -> None:
         self.hub.on_outcome(self.record.service.name, self.endpoint_id, is_bad)
 
-    def lost(self, attempt_id: str, executed: Ran, reason: str, sent: bool = True) -> None:
+    def fail_attempt(
+        self, attempt_id: str, executed: Executed, reason: str, sent: bool = True
+    ) -> None:
         """Take note of an attempt that ended without its answer."""
         is_current = not self.done and attempt_id == self.machine.attempt_id
-        if is_current and sent and executed is not Ran.NO:
+        if is_current and sent and executed is not Executed.NO:
             self._tell_outcome(is_bad=True)
-        super().lost(attempt_id, executed, reason, sent)
+        super().fail_attempt(attempt_id, executed, reason, sent)
 
-    def _judge_endpoint(self, answer: RelayedAnswer) -> None:
+    def _judge_endpoint(self, answer: EndpointResponse) -> None:
         """Tell the directory how the endpoint did."""
         directory, now = self.hub.directory, self.hub.now()
         events = self.relay.count - self._passed_before
@@ -283,41 +291,43 @@
     def _observe_times(self, now: float) -> None:
         """Note how long a stream has taken, for what a process that stops still begins."""
         times = StreamTimes(
-            self.first_at - self.accepted_at, now - self.first_at, self.work.output_tokens
+            self.first_response_at - self.accepted_at,
+            now - self.first_response_at,
+            self.work.output_tokens,
         )
         self.hub.completion.for_service(self.record.service.name).observe(times)
 
-    def answered(self, attempt_id: str, answer: RelayedAnswer) -> None:
+    def complete_response(self, attempt_id: str, answer: EndpointResponse) -> None:
         """Give the endpoint's complete answer to the caller."""
-        if not self.machine.answered(attempt_id):
+        if not self.machine.accept_response(attempt_id):
             return
         self.status = answer.status
         self.hub.guard.record_response(self.fingerprint)
-        self.running()
+        self.record_response_start()
         self._judge_endpoint(answer)
         self._release(cancel=False)
         self._settle(answer, None)
 
-    def endpoint_error(self, attempt_id: str, answer: RelayedAnswer) -> None:
+    def handle_endpoint_error(self, attempt_id: str, answer: EndpointResponse) -> None:
         """Try again after an endpoint's own error; if that is not possible, pass the error on."""
         if self.work.repeatable and self.machine.attempt_id == attempt_id:
             self._fallback = answer
-            self.running()
-            self.lost(attempt_id, Ran.UNKNOWN, f"status {answer.status}")
+            self.record_response_start()
+            self.fail_attempt(attempt_id, Executed.UNKNOWN, f"status {answer.status}")
         else:
-            self.answered(attempt_id, answer)
+            self.complete_response(attempt_id, answer)
 
-    def silent_since(self) -> float:
+    def compute_last_activity(self) -> float:
         """Return when the endpoint last sent something, or else when it was asked."""
         return max(self.sent_at, self._event_at)
 
-    def zone_cut_off(self) -> None:
+    def fail_over(self) -> None:
         """Go on at another endpoint, if that is allowed: this one cannot be heard any more."""
         if self.work.repeatable and self.machine.attempt_id and self._may_try_again():
             # Nothing is known of the answer: it says nothing of the endpoint's version.
-            super().lost(self.machine.attempt_id, Ran.UNKNOWN, "zone cut off")
+            super().fail_attempt(self.machine.attempt_id, Executed.UNKNOWN, "zone cut off")
 
-    def endpoint_restarted(self, at: float) -> None:
+    def fail_if_restarted(self, at: float) -> None:
         """Give an attempt up that its endpoint has lost by starting again.
 
         Notes
@@ -325,11 +335,11 @@
         Without this it would be waited for until the connection is reset, two seconds for a silent
         one. Clocks of VMs differ, so an attempt that was sent close to the start is left alone.
         """
-        if self.is_sent and self.sent_at < at - CLOCK_MARGIN_SECONDS:
+        if self.has_attempt_in_flight and self.sent_at < at - CLOCK_MARGIN_SECONDS:
             self.hub.guard.crash_detector.record_restart(
                 self.endpoint_id, frozenset((self.fingerprint,))
             )
-            self.lost(self.machine.attempt_id, Ran.UNKNOWN, "endpoint started again")
+            self.fail_attempt(self.machine.attempt_id, Executed.UNKNOWN, "endpoint started again")
 
     def _may_try_again(self) -> bool:
         most = self.machine.facts.max_attempts
@@ -338,50 +348,50 @@
     def _complete(self) -> None:
         raise AssertionError("a forwarded request is completed by its answer")
 
-    def call_failed(self, attempt_id: str, event: CallFailed) -> None:
+    def handle_call_failure(self, attempt_id: str, event: CallFailed) -> None:
         """Judge a call that ended without an answer; what was sent has most likely run."""
         if event.wrote and event.reason not in NOT_CONNECTED and not self.work.stream:
-            self.running()
-        super().call_failed(attempt_id, event)
+            self.record_response_start()
+        super().handle_call_failure(attempt_id, event)
 
-    def _start_attempt(self, order: StartAttempt) -> None:
+    def _start_attempt(self, action: StartAttempt) -> None:
         """Start an attempt, unless it has waited so long that it may outlast this process."""
         left = self.machine.facts.deadline - self.hub.now()
-        refusal = refusal_for_stop(self.hub, self.record, left)
-        if refusal is None or self.machine.ran is not Ran.NO:
-            super()._start_attempt(order)
+        refusal = make_shutdown_rejection(self.hub, self.record, left)
+        if refusal is None or self.machine.ran is not Executed.NO:
+            super()._start_attempt(action)
             return
-        self.log.info("refused for the stop", **refusal.inputs)
-        self.carry(self.machine.give_up(refusal.kind, refusal.detail, refusal.retry_after))
+        self.log.info("refused for the stop", **refusal.log_fields)
+        self.execute(self.machine.fail(refusal.kind, refusal.detail, refusal.retry_after))
 
-    def process_ends(self) -> None:
+    def fail_for_shutdown(self) -> None:
         """Tell the caller that this process ends, unless a part of a stream was sent already."""
-        if self.done or self.begun:
+        if self.done or self.has_sent_events:
             return
         self._sync_wrote()
         kind = ErrorKind.DRAINING
-        if self.machine.ran is not Ran.NO:
+        if self.machine.ran is not Executed.NO:
             # No 503: that would state that the request has not run.
             repeatable = self.work.repeatable
             kind = ErrorKind.ENDPOINT_FAILED if repeatable else ErrorKind.OUTCOME_UNKNOWN
-        self.carry(self.machine.give_up(kind, "the process that held the request stops"))
+        self.execute(self.machine.fail(kind, "the process that held the request stops"))
 
     @property
-    def begun(self) -> bool:
+    def has_sent_events(self) -> bool:
         """True once a part of a stream was sent to the caller."""
         return self.relay.count > 0
 
-    def _fail(self, order: Fail) -> None:
-        if self._fallback is not None and not self.begun:
+    def _fail(self, action: Fail) -> None:
+        if self._fallback is not None and not self.has_sent_events:
             self.status = self._fallback.status
             self._settle(self._fallback, None)
             return
-        super()._fail(order)
+        super()._fail(action)
 
     def _settle(self, answer, exc: RequestError | None) -> None:
         if exc is not None:
             self.failure = exc.kind.value
-            self.status = 0 if self.begun else self.protocol.render_error(exc)[0]
+            self.status = 0 if self.has_sent_events else self.protocol.render_error(exc)[0]
         super()._settle(answer, exc)
 
     def _end(self) -> None:
--- a/flamingofront/request/gateway.py
+++ b/flamingofront/request/gateway.py
@@ -15,7 +15,7 @@
 from flamingofront.connection.interfaces import Exchange
 from flamingofront.connection.server import JSON_HEADERS
 from flamingofront.decisions.admission import WorkspaceShare
-from flamingofront.errors import ErrorKind, PlatformError, Ran, RequestError
+from flamingofront.errors import ErrorKind, Executed, PlatformError, RequestError
 from flamingofront.messages import InboundRequest
 from flamingofront.process.documents import DocumentStore
 from flamingofront.process.tasks import Task, TaskRunner
@@ -38,7 +38,7 @@
 from flamingofront.request.reattach import Reattachment
 from flamingofront.request.records import ModelWork, PlainWork, RequestRecord
 from flamingofront.version.model import Configuration, ObjectKind, Service, ServiceKind, Workspace
-from flamingofront.version.routing import side_for
+from flamingofront.version.routing import select_side
 
 __all__ = ["Gateway"]
 
@@ -148,12 +148,12 @@
         authorization = req.header("authorization")
         if authorization.startswith("Bearer "):
             digest = hashlib.sha256(authorization[len("Bearer ") :].strip().encode()).hexdigest()
-            for each in self.configuration.of(ObjectKind.WORKSPACE).values():
+            for each in self.configuration.objects_of(ObjectKind.WORKSPACE).values():
                 if each.credential == digest:
                     return each
             raise RequestError(ErrorKind.UNKNOWN_WORKSPACE, "the credential is not known")
         name = req.header("x-workspace")
-        workspace = self.configuration.workspace(name)
+        workspace = self.configuration.find_workspace(name)
         if workspace is None or workspace.credential:
             raise RequestError(
                 ErrorKind.UNKNOWN_WORKSPACE, f"workspace {name[:80]!r} needs a known credential"
@@ -161,8 +161,8 @@
         return workspace
 
     def _service(self, route_name: str, workspace: Workspace, kind: ServiceKind) -> Service:
-        route = self.configuration.route(route_name)
-        service = self.configuration.service(route.service) if route is not None else None
+        route = self.configuration.find_route(route_name)
+        service = self.configuration.find_service(route.service) if route is not None else None
         known = route is not None and service is not None and route.allows(workspace.name)
         if not known or service.kind is not kind:
             raise RequestError(
@@ -175,8 +175,9 @@
         cfg = self.configuration
         names = [
             route.name
-            for route in cfg.of(ObjectKind.ROUTE).values()
-            if route.allows(workspace.name) and cfg.service(route.service).kind is ServiceKind.MODEL
+            for route in cfg.objects_of(ObjectKind.ROUTE).values()
+            if route.allows(workspace.name)
+            and cfg.find_service(route.service).kind is ServiceKind.MODEL
         ]
         data = {"object": "list", "data": [{"id": name, "object": "model"} for name in names]}
         exchange.respond(200, JSON_HEADERS, orjson.dumps(data))
@@ -228,7 +229,7 @@
             route=route,
             service=service,
             work=work,
-            side=side_for(self.configuration, service.name, workspace.name, request_id),
+            side=select_side(self.configuration, service.name, workspace.name, request_id),
             deadline_left=options.deadline or self._default_deadline,
             job=options.respond_async,
             key=options.key,
@@ -259,7 +260,7 @@
 
     def _accept_job(self, record: RequestRecord, share: WorkspaceShare, exchange: Exchange) -> None:
         request = self._hub.accept(record, share)
-        request.hold_back()
+        request.defer_start()
 
         def created(outcome: PlatformError | None) -> None:
             if outcome is None:
@@ -278,19 +279,19 @@
     def _job_refused(
         self, request: ActiveRequest, fault: PlatformError, exchange: Exchange
     ) -> None:
-        ran = Ran.UNKNOWN if fault.maybe_done else Ran.NO
+        ran = Executed.UNKNOWN if fault.maybe_applied else Executed.NO
         exc = RequestError(
             ErrorKind.STORE_UNAVAILABLE, str(fault), ran, retry_after=STORE_RETRY_SECONDS
         )
         if not request.done:
-            request.refuse(exc)
+            request.reject_unstarted(exc)
         respond_error(exchange, exc, request.request_id)
 
     def _come_back(self, req: InboundRequest, exchange: Exchange) -> None:
         workspace = self._workspace(req)
         request_id = req.path[len(REQUESTS_PREFIX) :]
         offset, stream = _position(req, request_id)
-        self._reattachment.handle(request_id, workspace.name, offset, stream, exchange)
+        self._reattachment.attach_caller(request_id, workspace.name, offset, stream, exchange)
 
 
 def _caught(task: Task) -> Task:
--- a/flamingofront/request/guard.py
+++ b/flamingofront/request/guard.py
@@ -23,7 +23,7 @@
     QuarantineStatus,
     QuarantineUpdate,
 )
-from flamingofront.errors import ErrorKind, Ran, RequestError
+from flamingofront.errors import ErrorKind, Executed, RequestError
 from flamingofront.process.logs import Log
 from flamingofront.process.metrics import Metrics
 from flamingofront.process.timers import TimerService
@@ -58,7 +58,7 @@
         ErrorKind.CRASHES_ENDPOINTS,
         f"{len(entry.endpoints)} endpoints ended while they ran this request, the last one "
         f"{ago:.1f} s ago; do not repeat it",
-        inputs={
+        log_fields={
             "work": entry.fingerprint,
             "endpoints": entry.endpoints,
             "last_end_age": round(ago, 3),
@@ -189,7 +189,9 @@
         return frozenset(
             each.endpoint_id
             for each in self._active()
-            if each is not request and each.is_sent and self._must_separate(request, each)
+            if each is not request
+            and each.has_attempt_in_flight
+            and self._must_separate(request, each)
         )
 
     def _must_separate(self, request: "ActiveRequest", other: "ActiveRequest") -> bool:
@@ -384,9 +386,9 @@
             next_trial_in=round(entry.next_trial - self.wall(), 1),
         )
         for request in self._active():
-            has_started = request.machine.ran is Ran.YES
+            has_started = request.machine.ran is Executed.YES
             if request.fingerprint == entry.fingerprint and not (has_started or request.is_trial):
-                request.held_back()
+                request.fail_quarantined()
 
     def _log_release(self, entry: QuarantineEntry, reason: str) -> None:
         self._metrics.count("requests_released_total", reason=reason)
--- a/flamingofront/request/handover.py
+++ b/flamingofront/request/handover.py
@@ -78,7 +78,13 @@
 
 def _offer_to(target: HandoverTarget, body: bytes, headers: tuple[tuple[str, str], ...]) -> Task:
     call = OutboundCall(
-        target.address, "POST", "/peer/handover", body, headers, OFFER_TIMEOUT_SECONDS, fresh=True
+        target.address,
+        "POST",
+        "/peer/handover",
+        body,
+        headers,
+        OFFER_TIMEOUT_SECONDS,
+        new_connection=True,
     )
     maybe_taken = False
     for _ in range(OFFER_TRIES):
--- a/flamingofront/request/host.py
+++ b/flamingofront/request/host.py
@@ -15,7 +15,7 @@
 from flamingofront.decisions.engine_rates import LearnedRates
 from flamingofront.decisions.retry import RetryBudget
 from flamingofront.decisions.stopping import CompletionBounds
-from flamingofront.errors import Ran
+from flamingofront.errors import Executed
 from flamingofront.process.logs import Log
 from flamingofront.process.metrics import Metrics
 from flamingofront.process.timers import TimerService
@@ -161,7 +161,7 @@
 
     @abstractmethod
     def record_attempt_loss(
-        self, service: Service, endpoint_id: str, ran: Ran, reason: str, now: float
+        self, service: Service, endpoint_id: str, ran: Executed, reason: str, now: float
     ) -> None:
         """Count a failed attempt and record the failure of its endpoint."""
 
--- a/flamingofront/request/hub.py
+++ b/flamingofront/request/hub.py
@@ -18,7 +18,7 @@
 from flamingofront.decisions.engine_rates import LearnedRates
 from flamingofront.decisions.retry import PacedRetryBudget, RetryBudget
 from flamingofront.decisions.stopping import CompletionBounds
-from flamingofront.errors import ErrorKind, Ran, RequestError
+from flamingofront.errors import ErrorKind, Executed, RequestError
 from flamingofront.process.logs import Log
 from flamingofront.process.metrics import Metrics
 from flamingofront.process.timers import Timer, TimerService
@@ -27,7 +27,7 @@
 from flamingofront.request.endpoint_ends import CrashDetector
 from flamingofront.request.endpoint_limits import EndpointLimits
 from flamingofront.request.endpoint_pauses import EndpointBackoffs
-from flamingofront.request.finished import FinishedAnswer, FinishedAnswers
+from flamingofront.request.finished import AnswerCache, RetainedAnswer
 from flamingofront.request.forward_work import ForwardProtocol, ForwardWork
 from flamingofront.request.forwarded_request import ForwardedRequest
 from flamingofront.request.guard import RequestGuard
@@ -91,7 +91,7 @@
         self.log = log
         self.rng = rng
         self.active: dict[str, ActiveRequest] = {}
-        self.finished = FinishedAnswers()
+        self.finished = AnswerCache()
         self.moved_to: OrderedDict[str, str] = OrderedDict()
         self.on_request_end: Callable[[], None] = lambda: None
         self.capacity_share: Callable[[], float] = lambda: 1.0
@@ -200,7 +200,7 @@
                 return
             request = self.active.get(ticket.request_id)
             if request is not None and not request.done:
-                request.begin()
+                request.start_first_attempt()
             else:
                 admission.release(ticket, self.now())
 
@@ -212,8 +212,8 @@
                 request = self.active.get(ticket.request_id)
                 if request is not None and not request.done:
                     retry_after = admission.retry_after(self.now())
-                    request.refuse(
-                        RequestError(ErrorKind.OVERLOADED, ran=Ran.NO, retry_after=retry_after)
+                    request.reject_unstarted(
+                        RequestError(ErrorKind.OVERLOADED, ran=Executed.NO, retry_after=retry_after)
                     )
         self.refresh_capacity()
         self.start_ready_requests()
@@ -245,7 +245,7 @@
         for include_all in (False, True):
             candidates = self.directory.candidates(
                 service,
-                request.hashes(),
+                request.prefix_blocks(),
                 self.now(),
                 self.rng,
                 request.shared_prefix(),
@@ -307,7 +307,7 @@
         )
 
     def record_attempt_loss(
-        self, service: Service, endpoint_id: str, ran: Ran, reason: str, now: float
+        self, service: Service, endpoint_id: str, ran: Executed, reason: str, now: float
     ) -> None:
         """Count a failed attempt and record the failure of its endpoint."""
         self.metrics.count("retries_total", reason=reason)
@@ -339,7 +339,7 @@
             each
             for each in self.active.values()
             if isinstance(each, ForwardedRequest)
-            and each.is_sent
+            and each.has_attempt_in_flight
             and self.directory.zone_of(each.endpoint_id) == zone
         ]
 
@@ -348,12 +348,14 @@
 
         Infinity if no request is sent to the zone.
         """
-        return min((each.silent_since() for each in self._sent_to_zone(zone)), default=math.inf)
+        return min(
+            (each.compute_last_activity() for each in self._sent_to_zone(zone)), default=math.inf
+        )
 
     def fail_over_zone(self, zone: str) -> None:
         """Retry elsewhere the forwarded requests that are sent to a partitioned zone."""
         for request in self._sent_to_zone(zone):
-            request.zone_cut_off()
+            request.fail_over()
 
     def handle_endpoint_restart(self, endpoint_id: str, at: float) -> None:
         """Retry elsewhere, or fail, the requests that ran at an endpoint before its restart.
@@ -365,7 +367,7 @@
         """
         for request in list(self.active.values()):
             if isinstance(request, ForwardedRequest) and request.endpoint_id == endpoint_id:
-                request.endpoint_restarted(at)
+                request.fail_if_restarted(at)
 
     def remove_request(self, request: ActiveRequest) -> None:
         """Remove a request that is complete or handed over, and start requests that wait."""
@@ -393,8 +395,8 @@
         record = request.record
         tokens = tuple(request.machine.assembler.tokens)
         until = now + self.settings.answer_retention
-        finished = FinishedAnswer(record.workspace, request.answer, record, tokens, until)
-        self.finished.put(request.request_id, finished)
+        finished = RetainedAnswer(record.workspace, request.answer, record, tokens, until)
+        self.finished.store_answer(request.request_id, finished)
 
     def resume_frozen(self, frozen_request: ActiveRequest) -> None:
         """Resume a frozen request that no other process can have taken over."""
@@ -402,9 +404,9 @@
             return
         record = frozen_request.to_record()
         request = make_request(self, record, frozen_request.ticket)
-        request.take_over(frozen_request)
+        request.adopt_attachments(frozen_request)
         self.active[record.request_id] = request
-        request.begin()
+        request.start_first_attempt()
 
     def record_move(self, request_id: str, vm_id: str) -> None:
         """Record the VM to which a request was handed over."""
--- a/flamingofront/request/inheritance.py
+++ b/flamingofront/request/inheritance.py
@@ -5,7 +5,7 @@
 from typing import Any
 
 from flamingofront.decisions.admission import WorkspaceShare
-from flamingofront.errors import ErrorKind, PlatformError, Ran, RequestError
+from flamingofront.errors import ErrorKind, Executed, PlatformError, RequestError
 from flamingofront.messages import Sleep
 from flamingofront.process.backoff import Backoff
 from flamingofront.process.documents import DocumentStore
@@ -14,18 +14,24 @@
 from flamingofront.process.tasks import Task, TaskRunner
 from flamingofront.request.active import ActiveRequest
 from flamingofront.request.hub import RequestHub
-from flamingofront.request.jobs import AdoptedJob, is_lost, move_jobs, owned_jobs, take_job
+from flamingofront.request.jobs import (
+    AdoptedJob,
+    is_outcome_unknown,
+    list_owned_jobs,
+    move_job,
+    move_jobs,
+)
 from flamingofront.request.keyed import KeyedRequests
 from flamingofront.request.records import RequestRecord
 
-__all__ = ["Inheritance"]
+__all__ = ["RequestAdopter"]
 
 READER_GRACE_SECONDS = 30.0
 MAX_REMEMBERED = 10_000
 _BACKOFF = Backoff(0.2, 5.0)
 
 
-class Inheritance:
+class RequestAdopter:
     """Makes requests of others requests of this process.
 
     Parameters
@@ -61,7 +67,7 @@
             self._epochs.popitem(last=False)
         request = self._adopt(record)
         if record.job:
-            request.hold_back()
+            request.defer_start()
             self._tasks.start(
                 self._take_job(record.request_id, sender),
                 lambda taken: self._job_taken(request, taken),
@@ -69,7 +75,7 @@
         elif record.key:
             self._keyed.keep_claim_answer(request)
         else:
-            request.expect_reader(READER_GRACE_SECONDS)
+            request.start_reattach_timer(READER_GRACE_SECONDS)
         self._hub.start_ready_requests()
 
     def _adopt(self, record: RequestRecord) -> ActiveRequest:
@@ -81,14 +87,14 @@
         tries = 0
         while True:
             try:
-                return (yield from take_job(self._documents, request_id, sender, self._vm_id))
+                return (yield from move_job(self._documents, request_id, sender, self._vm_id))
             except PlatformError:
-                yield Sleep(_BACKOFF.delay(tries, self._hub.rng))
+                yield Sleep(_BACKOFF.compute_delay(tries, self._hub.rng))
                 tries += 1
 
     def _job_taken(self, request: ActiveRequest, taken: AdoptedJob | None) -> None:
         if taken is None:
-            request.drop()
+            request.cancel_unstarted()
             return
         self._keyed.start_job(request)
 
@@ -115,9 +121,9 @@
             try:
                 if vm_id != self._vm_id:
                     yield from move_jobs(self._documents, vm_id, self._vm_id)
-                return (yield from owned_jobs(self._documents, self._vm_id))
+                return (yield from list_owned_jobs(self._documents, self._vm_id))
             except PlatformError:
-                yield Sleep(_BACKOFF.delay(tries, self._hub.rng))
+                yield Sleep(_BACKOFF.compute_delay(tries, self._hub.rng))
                 tries += 1
 
     def _jobs_adopted(self, jobs: list[AdoptedJob]) -> None:
@@ -125,10 +131,10 @@
             request_id = job.record.request_id
             if request_id in self._hub.active or self._keyed.storing(request_id):
                 continue
-            if is_lost(job):
-                exc = RequestError(ErrorKind.OUTCOME_UNKNOWN, ran=Ran.UNKNOWN)
+            if is_outcome_unknown(job):
+                exc = RequestError(ErrorKind.OUTCOME_UNKNOWN, ran=Executed.UNKNOWN)
                 self._keyed.store_job_answer(request_id, None, exc)
                 continue
             request = self._adopt(job.record)
-            request.hold_back()
+            request.defer_start()
             self._keyed.start_job(request)
--- a/flamingofront/request/intent_gate.py
+++ b/flamingofront/request/intent_gate.py
@@ -167,15 +167,15 @@
             result=outcome.value,
             wait_ms=round((request.hub.now() - asked_at) * 1000, 1),
         )
-        if request.is_held:
+        if request.is_quarantined:
             handle.withdraw()
-            request.held_back()
+            request.fail_quarantined()
         elif request.hub.accepts_requests(chosen.endpoint_id):
             self._sent = handle
-            request.send(action, chosen)
+            request.send_attempt(action, chosen)
         else:
             handle.withdraw()
-            request.place(action)
+            request.dispatch_attempt(action)
 
     def withdraw(self) -> None:
         """Remove the record of the current attempt, which was not received or not run."""
--- a/flamingofront/request/jobs.py
+++ b/flamingofront/request/jobs.py
@@ -12,7 +12,7 @@
 from flamingofront.messages import Sleep
 from flamingofront.process.backoff import Backoff
 from flamingofront.process.documents import Condition, DocumentStore, Write
-from flamingofront.process.expiry import expiry_write
+from flamingofront.process.expiry import build_expiry_write
 from flamingofront.process.tasks import Task
 from flamingofront.request.claims import repeat_until_done
 from flamingofront.request.records import RequestRecord
@@ -25,11 +25,11 @@
     "create_job",
     "fetch_job",
     "finish_job",
-    "is_lost",
+    "is_outcome_unknown",
     "mark_running",
     "move_jobs",
-    "owned_jobs",
-    "take_job",
+    "list_owned_jobs",
+    "move_job",
 ]
 
 JOB_PREFIX = "job/"
@@ -85,24 +85,24 @@
     Raises
     ------
     PlatformError
-        If the job could not be confirmed; `maybe_done` if it may stand nevertheless.
+        If the job could not be confirmed; `maybe_applied` if it may stand nevertheless.
     """
     key = _job_key(record.request_id)
     value = {"record": record.to_json(), "owner": owner, "state": JobState.QUEUED.value}
     writes = (Write(key, value), Write(_owner_key(owner, record.request_id), {}))
-    maybe_done = False
+    maybe_applied = False
     detail = ""
     for tries in range(CREATE_TRIES):
         try:
             result = yield from documents.transact((Condition(key, 0),), writes)
             # A failed condition means that an earlier try, whose answer was lost, took effect.
-            if result.ok or maybe_done:
+            if result.ok or maybe_applied:
                 return
         except PlatformError as exc:
-            maybe_done = maybe_done or exc.maybe_done
+            maybe_applied = maybe_applied or exc.maybe_applied
             detail = str(exc)
-        yield Sleep(_BACKOFF.delay(tries, rng))
-    raise PlatformError(detail, maybe_done)
+        yield Sleep(_BACKOFF.compute_delay(tries, rng))
+    raise PlatformError(detail, maybe_applied)
 
 
 def fetch_job(documents: DocumentStore, request_id: str) -> Task:
@@ -153,13 +153,13 @@
         stored = answer_to_json(answer)
         value = {**row.value, "state": JobState.DONE.value, "answer": stored, "until": until}
         drop_index = Write(_owner_key(owner, request_id), None)
-        end = expiry_write(row.key, until)
+        end = build_expiry_write(row.key, until)
         return (yield from documents.replace(row, value, drop_index, end))
 
     yield from repeat_until_done(step, rng)
 
 
-def take_job(documents: DocumentStore, request_id: str, old_owner: str, new_owner: str) -> Task:
+def move_job(documents: DocumentStore, request_id: str, old_owner: str, new_owner: str) -> Task:
     """Move a job to another owner; return it as `AdoptedJob`, None if it is not the old owner's."""
     (row,) = yield from documents.read([_job_key(request_id)])
     if row.value is None or row.value["owner"] != old_owner:
@@ -182,10 +182,10 @@
     rows = yield from documents.scan(f"{OWNER_PREFIX}{old_owner}/")
     for row in rows:
         request_id = row.key.rsplit("/", 1)[1]
-        yield from take_job(documents, request_id, old_owner, new_owner)
+        yield from move_job(documents, request_id, old_owner, new_owner)
 
 
-def owned_jobs(documents: DocumentStore, owner: str) -> Task:
+def list_owned_jobs(documents: DocumentStore, owner: str) -> Task:
     """Return all unfinished jobs of an owner, those included whose move lost its answer."""
     index = yield from documents.scan(f"{OWNER_PREFIX}{owner}/")
     keys = [_job_key(row.key.rsplit("/", 1)[1]) for row in index]
@@ -200,6 +200,6 @@
     ]
 
 
-def is_lost(job: AdoptedJob) -> bool:
+def is_outcome_unknown(job: AdoptedJob) -> bool:
     """Tell whether an adopted job must not be sent again."""
     return job.maybe_ran and not job.record.may_repeat
--- a/flamingofront/request/keyed.py
+++ b/flamingofront/request/keyed.py
@@ -5,13 +5,13 @@
 from collections.abc import Callable
 
 from flamingofront.connection.interfaces import Exchange
-from flamingofront.connection.server import error_body
+from flamingofront.connection.server import encode_error
 from flamingofront.decisions.admission import WorkspaceShare
-from flamingofront.errors import ANSWERS, ErrorKind, PlatformError, Ran, RequestError
+from flamingofront.errors import ERROR_RESPONSES, ErrorKind, Executed, PlatformError, RequestError
 from flamingofront.messages import InboundRequest, Sleep
 from flamingofront.process.backoff import Backoff
 from flamingofront.process.documents import DocumentStore
-from flamingofront.process.expiry import KEPT_SECONDS
+from flamingofront.process.expiry import RETENTION_SECONDS
 from flamingofront.process.tasks import Task, TaskRunner
 from flamingofront.request.active import ActiveRequest
 from flamingofront.request.attachments import Attachment, respond_accepted, respond_error
@@ -95,7 +95,7 @@
             attachment.detach()
         else:
             request.attach(attachment)
-        request.hold_back()
+        request.defer_start()
         self._claiming[key] = request.request_id
         digest = request_digest(req.method, req.path, req.body)
         task = self._claim(key, record, digest)
@@ -118,7 +118,7 @@
             try:
                 yield from create_job(self._documents, record, self._vm_id, self._rng)
             except PlatformError as exc:
-                if exc.maybe_done:
+                if exc.maybe_applied:
                     return ClaimOutcome(ClaimDecision.JOB_UNCONFIRMED)
                 return ClaimOutcome(ClaimDecision.UNAVAILABLE, maybe_left=True)
         return outcome
@@ -157,13 +157,13 @@
             self._documents, key, request.request_id, None, self._rng, self._until()
         )
         self._tasks.start(task, lambda _: self._claiming.pop(key, None))
-        exc = RequestError(ErrorKind.STORE_UNAVAILABLE, ran=Ran.UNKNOWN)
+        exc = RequestError(ErrorKind.STORE_UNAVAILABLE, ran=Executed.UNKNOWN)
         self._refuse(request, exc, exchange)
 
     def _refuse(self, request: ActiveRequest, exc: RequestError, exchange: Exchange) -> None:
         """Tell the caller; one of a job waits on the exchange, others on the request."""
         if not request.done:
-            request.refuse(exc)
+            request.reject_unstarted(exc)
         if request.record.job:
             respond_error(exchange, exc, request.request_id)
 
@@ -173,10 +173,10 @@
         """Give the answer that the first call with the key got."""
         if not request.record.job:
             if not request.done:
-                request.resolve(outcome.answer)
+                request.replay_answer(outcome.answer)
             return
         if not request.done:
-            request.drop()
+            request.cancel_unstarted()
         answer = outcome.answer
         headers = (("Content-Type", answer.content_type), ("X-Request-Id", outcome.request_id))
         exchange.respond(answer.status, headers, answer.body)
@@ -190,7 +190,7 @@
                 respond_accepted(exchange, request.request_id)
                 self.start_job(request)
             return
-        request.on_settled = lambda answer, exc: self._ended(key, request, answer, exc)
+        request.on_finished = lambda answer, exc: self._ended(key, request, answer, exc)
         if request.record.job:
             respond_accepted(exchange, request.request_id)
             self.start_job(request)
@@ -208,7 +208,7 @@
         """Store what became of the request before its key is free again."""
         if request.record.job:
             self.store_job_answer(request.request_id, answer, exc)
-        if answer is None and exc is not None and exc.ran is Ran.NO:
+        if answer is None and exc is not None and exc.ran is Executed.NO:
             self._release(key, request.request_id, 0.0)
             self._claiming.pop(key, None)
             return
@@ -229,7 +229,7 @@
         self._claiming[key] = request.request_id
         task = move_claim(self._documents, key, request.request_id, self._vm_id, self._rng)
         self._tasks.start(task)
-        request.on_settled = lambda answer, exc: self._ended(key, request, answer, exc)
+        request.on_finished = lambda answer, exc: self._ended(key, request, answer, exc)
 
     def start_job(self, request: ActiveRequest) -> None:
         """Let a job start whose row stands, and store its answer when it is there.
@@ -241,18 +241,18 @@
         """
         if request.done:
             # Its time ended while the row was written; nothing was sent.
-            late = RequestError(ErrorKind.DEADLINE_EXCEEDED, ran=Ran.NO)
+            late = RequestError(ErrorKind.DEADLINE_EXCEEDED, ran=Executed.NO)
             self.store_job_answer(request.request_id, None, late)
             return
-        if request.on_settled is None:
-            request.on_settled = lambda answer, exc: self.store_job_answer(
+        if request.on_finished is None:
+            request.on_finished = lambda answer, exc: self.store_job_answer(
                 request.request_id, answer, exc
             )
         if request.record.may_repeat:
             request.allow_start()
             self._hub.start_ready_requests()
             return
-        request.hold_back()
+        request.defer_start()
         self._tasks.start(
             self._mark_running(request.request_id), lambda ours: self._marked(request, ours)
         )
@@ -263,14 +263,14 @@
             try:
                 return (yield from mark_running(self._documents, request_id, self._vm_id))
             except PlatformError:
-                yield Sleep(_BACKOFF.delay(tries, self._rng))
+                yield Sleep(_BACKOFF.compute_delay(tries, self._rng))
                 tries += 1
 
     def _marked(self, request: ActiveRequest, ours: bool) -> None:
         if request.done:
             return
         if not ours:
-            request.drop()
+            request.cancel_unstarted()
             return
         request.allow_start()
         self._hub.start_ready_requests()
@@ -281,15 +281,15 @@
 
     def _until(self) -> float:
         """Return when an answer that is stored now may be removed."""
-        return self._hub.timers.wall() + KEPT_SECONDS
+        return self._hub.timers.wall() + RETENTION_SECONDS
 
     def store_job_answer(
         self, request_id: str, answer: StoredAnswer | None, exc: RequestError | None
     ) -> None:
         """Store the answer, or the error, of a job."""
         if answer is None:
-            status = ANSWERS[exc.kind].status
-            answer = StoredAnswer(status, "application/json", error_body(exc, request_id))
+            status = ERROR_RESPONSES[exc.kind].status
+            answer = StoredAnswer(status, "application/json", encode_error(exc, request_id))
         self._storing.add(request_id)
         task = finish_job(
             self._documents, request_id, self._vm_id, answer, self._rng, self._until()
--- a/flamingofront/request/migration.py
+++ b/flamingofront/request/migration.py
@@ -92,7 +92,7 @@
         if request.done or request.machine.attempt_id != attempt_id:
             return
         self._hub.metrics.count("migrations_total", way="recompute")
-        request.carry(request.machine.replace(attempt_id))
+        request.execute(request.machine.replace_attempt(attempt_id))
 
     def _transfer(self, request: ModelRequest, attempt_id: str) -> None:
         if request.done or request.machine.attempt_id != attempt_id:
@@ -117,7 +117,7 @@
             return
         self._hub.metrics.count("migrations_total", way="transfer")
         request.use_cache(kv_handle, chosen)
-        request.carry(request.machine.replace(attempt_id))
+        request.execute(request.machine.replace_attempt(attempt_id))
 
 
 def _stream_state(request: ActiveRequest) -> StreamState:
--- a/flamingofront/request/model_request.py
+++ b/flamingofront/request/model_request.py
@@ -7,7 +7,7 @@
 from flamingofront.connection.interfaces import CallEvent
 from flamingofront.decisions.admission import Ticket
 from flamingofront.decisions.choice import Candidate
-from flamingofront.errors import Ran
+from flamingofront.errors import Executed
 from flamingofront.messages import (
     Emit,
     Frame,
@@ -41,7 +41,7 @@
         """What the engine is asked for."""
         return self.record.work
 
-    def hashes(self) -> tuple[str, ...]:
+    def prefix_blocks(self) -> tuple[str, ...]:
         """Return the prefix blocks of the prompt."""
         if self._hashes is None:
             self._hashes = block_hashes(self.work.prompt)
@@ -52,21 +52,21 @@
         self._kv = kv_handle
         self._cache_at = chosen
 
-    def place(self, order: StartAttempt) -> None:
+    def dispatch_attempt(self, action: StartAttempt) -> None:
         """Send an attempt to the endpoint that has the cache, else to a chosen one."""
         chosen, self._cache_at = self._cache_at, None
         if chosen is None or self.hub.directory.is_unavailable(chosen.endpoint_id):
             self._kv = ""
-            super().place(order)
+            super().dispatch_attempt(action)
         else:
-            self.launch(order, chosen)
+            self.record_and_send(action, chosen)
 
-    def _call(self, order: StartAttempt, chosen: Candidate) -> OutboundCall:
+    def _call(self, action: StartAttempt, chosen: Candidate) -> OutboundCall:
         kv_handle, self._kv = self._kv, ""
         self._last_token_at = self.hub.now()
         body = {
             "request": self.request_id,
-            "attempt": order.attempt_id,
+            "attempt": action.attempt_id,
             "model": self.work.model,
             "prompt": self.work.prompt,
             "resume": self.machine.assembler.tokens,
@@ -82,7 +82,7 @@
             (("Content-Type", "application/json"),),
             self.record.service.call_timeout,
             stream=True,
-            fresh=self.needs_fresh_connection,
+            new_connection=self.needs_fresh_connection,
         )
 
     def _listener(self, attempt_id: str, chosen: Candidate) -> Callable[[CallEvent], None]:
@@ -94,13 +94,13 @@
         self._count_recomputed(frame, prefilled)
         before = sum(self.machine.assembler.dropped.values())
         first = self.machine.assembler.offset == 0
-        orders = self.machine.frame(frame)
+        actions = self.machine.accept_frame(frame)
         if sum(self.machine.assembler.dropped.values()) > before:
             self.hub.metrics.count("frames_dropped_total", reason="assembler")
         if first and self.machine.assembler.offset:
             self.hub.metrics.observe("first_token_seconds", self.hub.now() - self.accepted_at)
         self._observe(frame)
-        self.carry(orders)
+        self.execute(actions)
 
     def _observe(self, frame: Frame) -> None:
         now = self.hub.now()
@@ -113,15 +113,15 @@
         if prefilled and self.machine.attempts + self.record.epoch > 1:
             self.hub.metrics.count("tokens_recomputed_total", prefilled, cause="further_attempt")
 
-    def _emit(self, order: Emit) -> None:
+    def _emit(self, action: Emit) -> None:
         service = self.record.service.name
-        self.hub.metrics.count("tokens_sent_total", len(order.tokens), service=service)
-        super()._emit(order)
+        self.hub.metrics.count("tokens_sent_total", len(action.tokens), service=service)
+        super()._emit(action)
 
     def _complete(self) -> None:
         self.hub.directory.health.record_success(self.endpoint_id)
         self.hub.guard.record_response(self.fingerprint)
-        self.hub.directory.prefixes.add_blocks(self.endpoint_id, self.hashes())
+        self.hub.directory.prefixes.add_blocks(self.endpoint_id, self.prefix_blocks())
         # The end of the response is still to come; reading it keeps the connection usable.
         self._release(cancel=False)
         tokens = self.machine.assembler.tokens
@@ -147,7 +147,7 @@
         elif isinstance(event, ResponseEnd):
             self._ended()
         else:
-            self._request.call_failed(self._attempt_id, event)
+            self._request.handle_call_failure(self._attempt_id, event)
 
     def _take_lines(self) -> None:
         *lines, self._buffer = self._buffer.split(b"\n")
@@ -156,7 +156,7 @@
             for data in _coalesced(frames):
                 self._take_frame(data)
         except (orjson.JSONDecodeError, KeyError, TypeError):
-            self._request.lost(self._attempt_id, Ran.UNKNOWN, "malformed frame")
+            self._request.fail_attempt(self._attempt_id, Executed.UNKNOWN, "malformed frame")
 
     def _take_frame(self, data: dict) -> None:
         if self._request.done or self._request.machine.attempt_id != self._attempt_id:
@@ -172,9 +172,9 @@
 
     def _ended(self) -> None:
         refused = self._status != 200 and _says_not_run(self._buffer)
-        executed = Ran.NO if refused else Ran.UNKNOWN
+        executed = Executed.NO if refused else Executed.UNKNOWN
         reason = "refused" if refused else f"ended with status {self._status}"
-        self._request.lost(self._attempt_id, executed, reason)
+        self._request.fail_attempt(self._attempt_id, executed, reason)
 
 
 def _coalesced(frames: list[dict]) -> list[dict]:
--- a/flamingofront/request/permit_claims.py
+++ b/flamingofront/request/permit_claims.py
@@ -39,7 +39,7 @@
         request.hub.permits.claim(
             chosen.endpoint_id,
             request.ticket.share.priority,
-            max(0.0, request.machine.facts.choose_until - request.hub.now()),
+            max(0.0, request.machine.facts.choice_deadline - request.hub.now()),
             lambda permit: self._on_decision(action, chosen, permit),
         )
 
@@ -55,17 +55,17 @@
             self._send_or_return(action, chosen, permit)
         elif self._is_current(action):
             self._log_denial(action, permit)
-            self._request.place(action)
+            self._request.dispatch_attempt(action)
 
     def _send_or_return(self, action: StartAttempt, chosen: Candidate, permit: Permit) -> None:
         """Send the attempt if it is current and the endpoint accepts it, else return the permit."""
         hub = self._request.hub
         if self._is_current(action) and hub.accepts_requests(chosen.endpoint_id):
-            self._request.launch(action, chosen)
+            self._request.record_and_send(action, chosen)
             return
         hub.permits.return_unused(permit)
         if self._is_current(action):
-            self._request.place(action)
+            self._request.dispatch_attempt(action)
 
     def _log_denial(self, action: StartAttempt, permit: Permit) -> None:
         self._request.log.info(
--- a/flamingofront/request/plain_request.py
+++ b/flamingofront/request/plain_request.py
@@ -4,8 +4,8 @@
 
 from flamingofront.connection.interfaces import CallEvent
 from flamingofront.decisions.choice import Candidate
-from flamingofront.errors import Ran
-from flamingofront.messages import CallFailed, OutboundCall, StartAttempt, WholeResponse
+from flamingofront.errors import Executed
+from flamingofront.messages import BufferedResponse, CallFailed, OutboundCall, StartAttempt
 from flamingofront.process.tasks import Reply, ReplyCollector
 from flamingofront.request.active import ActiveRequest
 from flamingofront.request.records import PlainWork
@@ -24,11 +24,11 @@
         """What the service is asked for."""
         return self.record.work
 
-    def hashes(self) -> tuple[str, ...]:
+    def prefix_blocks(self) -> tuple[str, ...]:
         """Return no blocks: plain services have no prefix cache."""
         return ()
 
-    def _call(self, order: StartAttempt, chosen: Candidate) -> OutboundCall:
+    def _call(self, action: StartAttempt, chosen: Candidate) -> OutboundCall:
         headers = (*self.work.headers, ("X-Request-Id", self.request_id))
         return OutboundCall(
             chosen.address,
@@ -37,7 +37,7 @@
             self.work.body,
             headers,
             self.record.service.call_timeout,
-            fresh=self.needs_fresh_connection,
+            new_connection=self.needs_fresh_connection,
         )
 
     def _listener(self, attempt_id: str, chosen: Candidate) -> Callable[[CallEvent], None]:
@@ -46,16 +46,16 @@
     def _replied(self, attempt_id: str, reply: Reply) -> None:
         """Take the complete response of the service, or the failure of the call."""
         if isinstance(reply, CallFailed):
-            self.call_failed(attempt_id, reply)
+            self.handle_call_failure(attempt_id, reply)
         elif reply.headers.get(NOT_RUN_HEADER) == "true":
-            self.lost(attempt_id, Ran.NO, "refused")
+            self.fail_attempt(attempt_id, Executed.NO, "refused")
         elif reply.headers.get("x-request-id", self.request_id) != self.request_id:
-            self.lost(attempt_id, Ran.UNKNOWN, "crossed answer")
+            self.fail_attempt(attempt_id, Executed.UNKNOWN, "crossed answer")
         else:
             self._answered(attempt_id, reply)
 
-    def _answered(self, attempt_id: str, reply: WholeResponse) -> None:
-        if not self.machine.answered(attempt_id):
+    def _answered(self, attempt_id: str, reply: BufferedResponse) -> None:
+        if not self.machine.accept_response(attempt_id):
             return
         self.hub.directory.health.record_success(self.endpoint_id)
         self.hub.guard.record_response(self.fingerprint)
--- a/flamingofront/request/reattach.py
+++ b/flamingofront/request/reattach.py
@@ -11,7 +11,7 @@
 
 from flamingofront.connection.interfaces import CallEvent, CallHandle, Exchange, Transport
 from flamingofront.connection.server import JSON_HEADERS
-from flamingofront.errors import ErrorKind, PlatformError, Ran, RequestError
+from flamingofront.errors import ErrorKind, Executed, PlatformError, RequestError
 from flamingofront.messages import OutboundCall, ResponseData, ResponseEnd, ResponseHead
 from flamingofront.process.documents import DocumentStore
 from flamingofront.process.tasks import Task, TaskRunner
@@ -29,13 +29,13 @@
 from flamingofront.request.records import ModelWork
 from flamingofront.request.stored_answer import StoredAnswer
 
-__all__ = ["Reattachment", "origin_of"]
+__all__ = ["Reattachment", "parse_origin_vm"]
 
 RELAY_SILENCE_SECONDS = 30.0
 RETRY_SECONDS = 1.0
 
 
-def origin_of(request_id: str) -> str:
+def parse_origin_vm(request_id: str) -> str:
     """Return the VM that accepted a request, which its id begins with."""
     return request_id.rpartition("~")[0]
 
@@ -146,7 +146,7 @@
         """Answer from the job's row, the last place to look."""
         if isinstance(status, PlatformError):
             kind = ErrorKind.STORE_UNAVAILABLE
-            exc = RequestError(kind, str(status), Ran.UNKNOWN, RETRY_SECONDS)
+            exc = RequestError(kind, str(status), Executed.UNKNOWN, RETRY_SECONDS)
             self._refuse(exc, request_id, exchange)
         elif status is None or status.workspace != workspace:
             kind = ErrorKind.HOLDER_UNREACHABLE if unreachable else ErrorKind.UNKNOWN_REQUEST
@@ -248,7 +248,7 @@
             self._stream,
             relay,
         )
-        self._exchange.on_gone = handle.cancel
+        self._exchange.on_disconnect = handle.cancel
 
     def not_held(self, reachable: bool) -> None:
         """A peer doesn't hold the request or could not be asked."""
@@ -256,7 +256,7 @@
         self.next_holder()
 
     def _look_for_job(self) -> None:
-        self._exchange.on_gone = None
+        self._exchange.on_disconnect = None
         owner = self._owner
         owner._tasks.start(
             owner.fetch_job(self.request_id),
@@ -314,14 +314,14 @@
     def _take_line(self, data: dict) -> None:
         if "work" in data:
             work = data["work"]
-            gone = self._exchange.on_gone
+            gone = self._exchange.on_disconnect
             self._reader = self._search.reader(
                 ModelWork(work["model"], (), 1, work["chat"], work["stream"])
             )
-            self._exchange.on_gone = gone
+            self._exchange.on_disconnect = gone
         elif "running" in data:
             self._finished = True
-            self._exchange.on_gone = None
+            self._exchange.on_disconnect = None
             _respond_running(self._exchange, self._search.request_id, data["offset"])
         elif "tokens" in data:
             if not self._reader.tokens(data["offset"], tuple(data["tokens"])):
@@ -343,7 +343,7 @@
                 RequestError(
                     ErrorKind(error["kind"]),
                     error["detail"],
-                    Ran(error["ran"]),
+                    Executed(error["ran"]),
                     data.get("retry_after"),
                 )
             )
--- a/flamingofront/request/records.py
+++ b/flamingofront/request/records.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass
 from typing import Any
 
-from flamingofront.errors import Ran
+from flamingofront.errors import Executed
 from flamingofront.request.forward_work import ForwardWork
 from flamingofront.version.model import ObjectKind, Service, make_object
 
@@ -60,7 +60,7 @@
     work: ModelWork | PlainWork | ForwardWork
     side: str | None = None
     tokens: tuple[str, ...] = ()
-    ran: Ran = Ran.NO
+    ran: Executed = Executed.NO
     epoch: int = 0
     deadline_left: float = 60.0
     job: bool = False
@@ -72,7 +72,7 @@
         work = self.work
         if isinstance(work, ForwardWork):
             return work.repeatable
-        return isinstance(work, ModelWork) or self.service.may_repeat(work.method, work.path)
+        return isinstance(work, ModelWork) or self.service.can_repeat(work.method, work.path)
 
     @property
     def max_attempts(self) -> int | None:
@@ -95,7 +95,7 @@
         values["service"] = make_object(ObjectKind.SERVICE, data["service"])
         values["work"] = _work_from_json(data["work"])
         values["tokens"] = tuple(data["tokens"])
-        values["ran"] = Ran(data["ran"])
+        values["ran"] = Executed(data["ran"])
         return cls(**values)
 
 
--- a/flamingofront/request/stop_refusal.py
+++ b/flamingofront/request/stop_refusal.py
@@ -3,18 +3,18 @@
 import math
 
 from flamingofront.decisions.stopping import can_complete
-from flamingofront.errors import ErrorKind, Ran, RequestError
+from flamingofront.errors import ErrorKind, Executed, RequestError
 from flamingofront.request.forward_work import ForwardWork
 from flamingofront.request.host import RequestHost
 from flamingofront.request.records import RequestRecord
 
-__all__ = ["refusal_for_stop"]
+__all__ = ["make_shutdown_rejection"]
 
 # Another process takes the request at once.
 STOPPING_RETRY_SECONDS = 0.05
 
 
-def refusal_for_stop(
+def make_shutdown_rejection(
     hub: RequestHost, record: RequestRecord, deadline_left: float
 ) -> RequestError | None:
     """Return the error for a request that may outlast this process; None if it ends before.
@@ -33,7 +33,7 @@
     return RequestError(
         ErrorKind.DRAINING,
         "this process stops before the request could end",
-        Ran.NO,
+        Executed.NO,
         STOPPING_RETRY_SECONDS,
         {
             "stop_left": round(left, 2),
--- a/flamingofront/request/tests/test_at_most_once.py
+++ b/flamingofront/request/tests/test_at_most_once.py
@@ -26,7 +26,7 @@
     def test_never_two_executions_and_never_a_false_not_run(self, fault, key):
         world = demo_world(plains_per_zone=2)
         for plain in world.plains.values():
-            plain.fail(fault)
+            plain.inject_fault(fault)
         caller = certificate(world, key=key)
         world.finish(caller)
         ran = caller.error["ran"]
@@ -40,7 +40,7 @@
     def test_second_call_with_the_key_elsewhere_does_not_run_again(self, fault):
         world = demo_world(("zone-a", "zone-b"), plains_per_zone=1)
         for plain in world.plains.values():
-            plain.fail(fault, count=1)
+            plain.inject_fault(fault, count=1)
         first = certificate(world, key="k1")
         world.finish(first)
         world.run(1.0)
@@ -59,7 +59,7 @@
 
     def test_crossed_answer_is_not_passed_on(self):
         world = demo_world()
-        world.plains["plain-a1"].fail(PlainFault.CROSSED, count=1)
+        world.plains["plain-a1"].inject_fault(PlainFault.CROSSED, count=1)
         caller = certificate(world)
         world.finish(caller)
         assert caller.error["kind"] == "outcome_unknown"
@@ -67,7 +67,7 @@
 
     def test_final_answer_comes_as_soon_as_the_system_gives_up(self):
         world = demo_world()
-        world.plains["plain-a1"].fail(PlainFault.RESET_AFTER)
+        world.plains["plain-a1"].inject_fault(PlainFault.RESET_AFTER)
         start = world.clock.now()
         caller = certificate(world, deadline="60")
         world.finish(caller)
@@ -111,12 +111,12 @@
     def test_key_of_a_call_that_was_not_run_can_be_used_again(self):
         world = demo_world(("zone-a", "zone-b"))
         for plain in world.plains.values():
-            plain.fail(PlainFault.REFUSE)
+            plain.inject_fault(PlainFault.REFUSE)
         first = certificate(world, key="k1", deadline="1")
         world.finish(first)
         assert first.error["ran"] == "no"
         for plain in world.plains.values():
-            plain.fail(PlainFault.NONE)
+            plain.inject_fault(PlainFault.NONE)
         second = certificate(world, node="entry-b1", key="k1")
         world.finish(second)
         assert second.status == 200
@@ -125,7 +125,7 @@
     def test_owner_that_died_leaves_an_unknown_outcome(self):
         world = demo_world(("zone-a", "zone-b"))
         for plain in world.plains.values():
-            plain.fail(PlainFault.HANG_AFTER)
+            plain.inject_fault(PlainFault.HANG_AFTER)
         certificate(world, key="k1")
         world.run(0.5)
         world.kill("entry-a1")
@@ -141,7 +141,7 @@
     @pytest.mark.parametrize("mode", [FaultMode.DOWN, FaultMode.SILENT])
     def test_keyed_call_is_refused_while_the_table_is_out(self, mode):
         world = demo_world()
-        world.platform.fail("table", mode)
+        world.platform.inject_fault("table", mode)
         caller = certificate(world, key="k1", deadline="30")
         world.finish(caller)
         assert caller.error["kind"] == "store_unavailable"
@@ -150,7 +150,7 @@
 
     def test_call_without_a_key_goes_on_while_the_table_is_out(self):
         world = demo_world()
-        world.platform.fail("table", FaultMode.DOWN)
+        world.platform.inject_fault("table", FaultMode.DOWN)
         caller = certificate(world)
         world.finish(caller)
         assert caller.status == 200
@@ -158,7 +158,7 @@
     @pytest.mark.parametrize(("count", "writes_only"), [(2, False), (1, True), (3, True)])
     def test_claim_whose_answer_was_lost_is_read_back(self, count, writes_only):
         world = demo_world()
-        world.platform.fail("table", FaultMode.LOSE_ANSWER, 0.0, count, writes_only)
+        world.platform.inject_fault("table", FaultMode.LOSE_ANSWER, 0.0, count, writes_only)
         caller = certificate(world, key="k1", deadline="30")
         world.finish(caller)
         assert caller.status == 200
@@ -167,11 +167,11 @@
     def test_claim_left_by_a_refused_call_does_not_block_its_key(self):
         """The claim's write took effect, its answer and all that followed were lost."""
         world = demo_world(("zone-a", "zone-b"))
-        world.platform.fail("table", FaultMode.LOSE_ANSWER)
+        world.platform.inject_fault("table", FaultMode.LOSE_ANSWER)
         first = certificate(world, key="k1", deadline="30")
         world.finish(first)
         assert first.error["ran"] == "no"
-        world.platform.fail("table", FaultMode.UP)
+        world.platform.inject_fault("table", FaultMode.UP)
         for name in ("entry-b1", "entry-a1"):
             caller = certificate(world, node=name, key="k1", deadline="30")
             world.finish(caller)
@@ -181,7 +181,7 @@
 
     def test_slow_table_delays_but_does_not_double(self):
         world = demo_world(("zone-a", "zone-b"))
-        world.platform.fail("table", FaultMode.SLOW, delay=0.7)
+        world.platform.inject_fault("table", FaultMode.SLOW, delay=0.7)
         callers = [certificate(world, node=name, key="k1", deadline="30") for name in world.nodes]
         world.finish(*callers)
         assert executions(world) == 1
@@ -195,12 +195,12 @@
         caller = world.call("entry-a1", "POST", CERTIFICATE, b"deposit 7", headers)
         rows = world.platform.rows
         world.run_until(lambda: any(key.startswith("claim/") for key in rows))
-        world.platform.fail("table", FaultMode.LOSE_ANSWER, count=1, writes_only=True)
+        world.platform.inject_fault("table", FaultMode.LOSE_ANSWER, count=1, writes_only=True)
         world.run_until(lambda: any(key.startswith("job/") for key in rows))
-        world.platform.fail("table", FaultMode.DOWN)
+        world.platform.inject_fault("table", FaultMode.DOWN)
         world.finish(caller)
         assert caller.error["ran"] == "unknown"
-        world.platform.fail("table", FaultMode.UP)
+        world.platform.inject_fault("table", FaultMode.UP)
         world.run(10.0)
         again = certificate(world, node="entry-b1", key="k1")
         world.finish(again)
@@ -213,13 +213,13 @@
     @pytest.mark.parametrize("mode", [FaultMode.SLOW, FaultMode.SILENT])
     def test_job_whose_time_ends_while_it_is_written_leaves_no_caller_without_word(self, key, mode):
         world = demo_world()
-        world.platform.fail("table", mode, 0.6)
+        world.platform.inject_fault("table", mode, 0.6)
         headers = {"x-work": "w1", "prefer": "respond-async", "x-deadline": "0.5"}
         if key:
             headers["idempotency-key"] = key
         caller = world.call("entry-a1", "POST", CERTIFICATE, b"deposit 7", headers)
         world.finish(caller)
-        world.platform.fail("table", FaultMode.UP)
+        world.platform.inject_fault("table", FaultMode.UP)
         world.run(20.0)
         assert executions(world) == 0
         if caller.status == 202:
--- a/flamingofront/request/tests/test_crashing_requests.py
+++ b/flamingofront/request/tests/test_crashing_requests.py
@@ -222,7 +222,7 @@
         world.run(0.5)
         node = world.nodes["entry-a1"]
         engine = node.hub.active[next(iter(node.hub.active))].endpoint_id
-        node.mark(engine, VmState.LEAVING)
+        node.set_vm_state(engine, VmState.LEAVING)
         world.run(0.1)
         world.kill(engine)
         world.finish(caller)
--- a/flamingofront/request/tests/test_endpoint_ends.py
+++ b/flamingofront/request/tests/test_endpoint_ends.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from flamingofront.connection.interfaces import Reach
+from flamingofront.connection.interfaces import ConnectResult
 from flamingofront.process.logs import Log
 from flamingofront.process.membership import Fact, FactTable, Role, VmState
 from flamingofront.process.metrics import Metrics
@@ -18,7 +18,7 @@
 
     def __init__(self, timers):
         self.timers = timers
-        self.reach = Reach.REFUSED
+        self.reach = ConnectResult.REFUSED
         self.count = 0
 
     def probe(self, address, timeout, listener):
@@ -68,7 +68,7 @@
 
     def test_endpoint_that_accepts_probe_has_not_crashed(self):
         world = CrashDetectorHarness()
-        world.transport.reach = Reach.CONNECTED
+        world.transport.reach = ConnectResult.CONNECTED
         world.lose_connections("one")
         world.run(10.0)
         assert not world.crashes and world.transport.count == 1
@@ -91,7 +91,7 @@
 
     def test_unresponsive_endpoint_crashed_once_row_is_removed(self):
         world = CrashDetectorHarness()
-        world.transport.reach = Reach.UNANSWERED
+        world.transport.reach = ConnectResult.UNANSWERED
         world.lose_connections("one")
         world.run(2.5)
         assert not world.crashes
@@ -100,10 +100,10 @@
 
     def test_unresponsive_endpoint_may_recover(self):
         world = CrashDetectorHarness()
-        world.transport.reach = Reach.UNANSWERED
+        world.transport.reach = ConnectResult.UNANSWERED
         world.lose_connections("one")
         world.run(1.5)
-        world.transport.reach = Reach.CONNECTED
+        world.transport.reach = ConnectResult.CONNECTED
         world.run(20.0)
         world.detector.record_row_removal("e-1")
         assert not world.crashes and world.transport.count < MAX_PROBES
--- a/flamingofront/request/tests/test_endpoint_limits.py
+++ b/flamingofront/request/tests/test_endpoint_limits.py
@@ -50,12 +50,12 @@
     )
     def test_only_decimal_numbers_are_limits(self, text, rate):
         head = ResponseHead(200, {"server-limit": text}, (("Server-Limit", text),))
-        response = PlatformProtocol().judge("r", head)
-        assert (response.names_limit, response.rate_limit) == (True, rate)
+        response = PlatformProtocol().decode_response_head("r", head)
+        assert (response.has_rate_limit_header, response.rate_limit) == (True, rate)
 
     def test_missing_header_is_no_limit(self):
-        response = PlatformProtocol().judge("r", ResponseHead(200, {}, ()))
-        assert (response.names_limit, response.rate_limit) == (False, None)
+        response = PlatformProtocol().decode_response_head("r", ResponseHead(200, {}, ()))
+        assert (response.has_rate_limit_header, response.rate_limit) == (False, None)
 
 
 class TestLimitChanges:
@@ -114,7 +114,7 @@
     def test_limit_is_read_from_success_error_and_rejection(self, path, fault):
         world = ready_world(plains=1)
         world.endpoints["plain-1"].rate_limit = "2.5"
-        world.endpoints["plain-1"].fail(fault)
+        world.endpoints["plain-1"].inject_fault(fault)
         world.finish(world.ask("front-1", path))
         assert world.fronts["front-1"].hub.limits.rates_by_endpoint() == {"plain-1": 2.5}
 
@@ -140,7 +140,7 @@
 
     def test_backoff_is_shown(self):
         world = ready_world(plains=1)
-        world.endpoints["plain-1"].fail(ForwardFault.REJECT)
+        world.endpoints["plain-1"].inject_fault(ForwardFault.REJECT)
         world.finish(world.ask("front-1", "/write/x"))
         assert show_limit(world, "plain-1") == (None, "requested a pause")
 
--- a/flamingofront/request/tests/test_endpoint_pauses.py
+++ b/flamingofront/request/tests/test_endpoint_pauses.py
@@ -19,7 +19,7 @@
 def decode_head(status, **headers):
     fields = tuple((name.replace("_", "-"), value) for name, value in headers.items())
     names = {name.lower(): value for name, value in fields}
-    return PlatformProtocol().judge("r", ResponseHead(status, names, fields))
+    return PlatformProtocol().decode_response_head("r", ResponseHead(status, names, fields))
 
 
 class TestDecoding:
@@ -29,11 +29,11 @@
         + [(text, None) for text in ("", "0", "-3", "soon", "1e3", "nan", DATE)],
     )
     def test_only_seconds_are_accepted(self, text, pause):
-        assert decode_head(503, Retry_After=text).pause == pause
+        assert decode_head(503, Retry_After=text).backoff_seconds == pause
 
     @pytest.mark.parametrize("status", [200, 429, 500])
     def test_only_status_503_requests_backoff(self, status):
-        assert decode_head(status, Retry_After="3").pause is None
+        assert decode_head(status, Retry_After="3").backoff_seconds is None
 
     @pytest.mark.parametrize("text, leaving", [("1", True), ("0", False), ("", False)])
     def test_leaving_header_must_be_one(self, text, leaving):
@@ -102,7 +102,7 @@
 class TestCounters:
     def test_backoff_and_leaving_are_counted(self):
         world = ready_world(plains=1)
-        world.endpoints["plain-1"].fail(ForwardFault.REJECT, 1)
+        world.endpoints["plain-1"].inject_fault(ForwardFault.REJECT, 1)
         world.finish(world.ask("front-1", "/write/x"))
         world.run(4.0)
         world.endpoints["plain-1"].leaving = True
--- a/flamingofront/request/tests/test_reclaims.py
+++ b/flamingofront/request/tests/test_reclaims.py
@@ -4,7 +4,7 @@
 
 from flamingofront.process.drain import DrainState
 from flamingofront.request.recovery import ResumeOnLoss
-from flamingofront.standins.engine import expected_token
+from flamingofront.standins.engine import compute_token
 from flamingofront.standins.platform import FaultMode
 from flamingofront.tests.world import demo_world
 
@@ -13,7 +13,7 @@
 
 
 def expected_text(prompt, count, engine=""):
-    return "".join(expected_token(prompt, index, engine) for index in range(count))
+    return "".join(compute_token(prompt, index, engine) for index in range(count))
 
 
 def start_streams(world, count, tokens=TOKENS, node=None):
@@ -82,7 +82,7 @@
 
     def test_no_position_is_made_by_two_engines(self):
         """Each engine says something else, so a spliced or doubled token would show."""
-        world = demo_world(ZONES, distinct=True)
+        world = demo_world(ZONES, distinct_text=True)
         callers = start_streams(world, 8)
         reclaim(world, ["engine-a1", "engine-b1"], 2.0)
         world.finish(*callers)
@@ -224,10 +224,10 @@
             "entry-a1", "q", 800, stream=False, headers={"prefer": "respond-async"}
         )
         world.run(3.0)
-        world.platform.fail("table", FaultMode.DOWN)
+        world.platform.inject_fault("table", FaultMode.DOWN)
         world.nodes["entry-a1"].shut_down()
         world.run(10.0)
-        world.platform.fail("table", FaultMode.UP)
+        world.platform.inject_fault("table", FaultMode.UP)
         world.run(20.0)
         later = world.call("entry-b1", "GET", caller.headers["location"])
         world.finish(later)
@@ -279,9 +279,9 @@
         world.finish(caller)
         world.kill("entry-a1")
         world.platform.remove_vm("entry-a1")
-        world.platform.fail("table", FaultMode.DOWN)
+        world.platform.inject_fault("table", FaultMode.DOWN)
         world.run(20.0)
-        world.platform.fail("table", FaultMode.UP)
+        world.platform.inject_fault("table", FaultMode.UP)
         world.run(20.0)
         later = world.call("entry-b1", "GET", caller.headers["location"])
         world.finish(later)
--- a/flamingofront/request/tests/test_whole_path.py
+++ b/flamingofront/request/tests/test_whole_path.py
@@ -2,12 +2,12 @@
 
 import pytest
 
-from flamingofront.standins.engine import expected_token
+from flamingofront.standins.engine import compute_token
 from flamingofront.tests.world import demo_world
 
 
 def expected_text(prompt_tokens, count):
-    return "".join(expected_token(prompt_tokens, index) for index in range(count))
+    return "".join(compute_token(prompt_tokens, index) for index in range(count))
 
 
 PROMPT = ["a", " b", " c"]
--- a/flamingofront/standins/engine.py
+++ b/flamingofront/standins/engine.py
@@ -1,6 +1,6 @@
 """Stand-in for a model engine: continuous batching, prefix cache, resume, cancel, KV export.
 
-The text it makes depends on the prompt and the offset alone, or with `distinct` also on the
+The text it makes depends on the prompt and the offset alone, or with `distinct_text` also on the
 engine, so that a text spliced from two engines can be told from a whole one.
 """
 
@@ -19,7 +19,7 @@
 from flamingofront.process.timers import TimerService
 from flamingofront.request.prefixes import BLOCK_TOKENS, block_hashes
 
-__all__ = ["EngineOptions", "EngineStandIn", "expected_token"]
+__all__ = ["EngineOptions", "EngineStandIn", "compute_token"]
 
 FRAME_HEADERS = (("Content-Type", "application/x-ndjson"),)
 MAX_EVENTS = 512
@@ -63,10 +63,10 @@
     event_loss: float = 0.05
     transfer_token_seconds: float = 0.0001
     check_fencing: bool = True
-    distinct: bool = False
+    distinct_text: bool = False
 
 
-def expected_token(prompt: Sequence[str], offset: int, engine_id: str = "") -> str:
+def compute_token(prompt: Sequence[str], offset: int, engine_id: str = "") -> str:
     """Return the token that an engine makes at an offset."""
     text = f"{''.join(prompt)}/{offset}/{engine_id}"
     digest = hashlib.blake2b(text.encode(), digest_size=3).hexdigest()
@@ -184,7 +184,7 @@
         stream = self._make_stream(data, exchange)
         counts = self.counts.executions
         counts[stream.request] = counts.get(stream.request, 0) + 1
-        exchange.on_gone = lambda: self._cancel(stream)
+        exchange.on_disconnect = lambda: self._cancel(stream)
         self._waiting.append(stream)
         self._waiting.sort(key=lambda each: (each.priority, each.order))
         self._ensure_step()
@@ -209,7 +209,7 @@
             data.get("priority", 5),
             exchange,
             self._order,
-            seed=self.engine_id if self.options.distinct else "",
+            seed=self.engine_id if self.options.distinct_text else "",
         )
         context = stream.context
         stream.cached = self._cached_tokens(context)
@@ -252,7 +252,7 @@
             if stream.prefill_left > 0:
                 return
         offset = len(stream.tokens)
-        token = expected_token(stream.prompt, offset, stream.seed)
+        token = compute_token(stream.prompt, offset, stream.seed)
         stream.tokens.append(token)
         self.counts.generated += 1
         if 0 <= self.faults.fail_after_tokens <= offset:
@@ -281,7 +281,7 @@
     def _finish(self, stream: _Stream) -> None:
         self._running.remove(stream)
         self._store(stream.context)
-        stream.exchange.on_gone = None
+        stream.exchange.on_disconnect = None
         stream.exchange.finish()
 
     def _cancel(self, stream: _Stream) -> None:
@@ -290,11 +290,11 @@
                 queue.remove(stream)
                 self._store(stream.context)
 
-    def die(self) -> None:
+    def crash(self) -> None:
         """Break all streams at once and answer nothing any more."""
         self.dead = True
         for stream in self._running + self._waiting:
-            stream.exchange.on_gone = None
+            stream.exchange.on_disconnect = None
             stream.exchange.abort()
         self._running.clear()
         self._waiting.clear()
--- a/flamingofront/standins/forward_endpoint.py
+++ b/flamingofront/standins/forward_endpoint.py
@@ -58,7 +58,7 @@
         # Value of the Retry-After header of its rejections.
         self.retry_after = "3"
         # True to answer requests for streams in one piece.
-        self.plain_answers = False
+        self.disable_streaming = False
         # Which requests end the endpoint a moment after they began, and what happens then.
         self.crashes_on: Callable[[InboundRequest], bool] = lambda req: False
         self.on_crash: Callable[[InboundRequest], None] = lambda req: None
@@ -90,7 +90,7 @@
             exchange.respond(503, fields, b"")
             return
         self.runs.append(req)
-        exchange.on_gone = self._gone
+        exchange.on_disconnect = self._gone
         if self.crashes_on(req):
             self._begin_to_crash(req, exchange)
             return
@@ -104,7 +104,7 @@
             if self._timers.now() < begins_at:
                 crash.cancel()
 
-        exchange.on_gone = gone
+        exchange.on_disconnect = gone
 
     def _gone(self) -> None:
         self.abandoned += 1
@@ -131,7 +131,7 @@
             exchange.respond(200, crossed, b"of another request")
         elif fault is ForwardFault.ERROR:
             exchange.respond(500, fields, b"failed")
-        elif req.path.startswith("/stream/") and not self.plain_answers:
+        elif req.path.startswith("/stream/") and not self.disable_streaming:
             exchange.begin(200, (*fields, ("Content-Type", "text/event-stream")))
             cut = self.events // 2 if fault is ForwardFault.CUT else None
             self._stream(exchange, int(req.header("last-event-id") or 0) + 1, cut)
--- a/flamingofront/standins/plain.py
+++ b/flamingofront/standins/plain.py
@@ -107,7 +107,7 @@
         """Return what is counted as one piece of work: the caller's own mark, or the request."""
         return req.header("x-work", request_id)
 
-    def die(self) -> None:
+    def crash(self) -> None:
         """Answer nothing any more."""
         self.dead = True
 
--- a/flamingofront/standins/platform.py
+++ b/flamingofront/standins/platform.py
@@ -82,14 +82,14 @@
         self._store = store
 
     def __getitem__(self, key: str) -> tuple[Any, int]:
-        value, version = self._store.rows(DOCUMENT_TABLE)[key]
+        value, version = self._store.get_rows(DOCUMENT_TABLE)[key]
         return orjson.loads(value).get(VALUE_FIELD), version
 
     def __iter__(self) -> Iterator[str]:
-        return iter(self._store.rows(DOCUMENT_TABLE))
+        return iter(self._store.get_rows(DOCUMENT_TABLE))
 
     def __len__(self) -> int:
-        return len(self._store.rows(DOCUMENT_TABLE))
+        return len(self._store.get_rows(DOCUMENT_TABLE))
 
     def put(self, key: str, value: Any) -> None:
         """Write a document."""
@@ -137,7 +137,7 @@
         self.store = TableStoreStandIn(timers)
         self.rows = DocumentRows(self.store)
         self.vms: dict[str, dict[str, Any]] = {}
-        self.shown: dict[str, dict[str, Any]] = {}
+        self.listed_vms: dict[str, dict[str, Any]] = {}
         self.notices: dict[str, float] = {}
         self.faults = {name: _Fault() for name in SERVICES}
         self._write_bucket = _Bucket(WRITES_PER_SECOND, timers)
@@ -230,9 +230,9 @@
         def update() -> None:
             record = self.vms.get(vm_id)
             if record is None:
-                self.shown.pop(vm_id, None)
+                self.listed_vms.pop(vm_id, None)
             else:
-                self.shown[vm_id] = dict(record)
+                self.listed_vms[vm_id] = dict(record)
 
         if lag <= 0:
             update()
@@ -241,7 +241,7 @@
 
     def _serve_list(self, req: InboundRequest, exchange: Exchange) -> None:
         """Answer with the list, or that it is still the one that the reader has."""
-        body = orjson.dumps({"vms": list(self.shown.values())})
+        body = orjson.dumps({"vms": list(self.listed_vms.values())})
         tag = hashlib.blake2b(body, digest_size=8).hexdigest()
         if req.header("if-none-match") == tag:
             exchange.respond(304, (("ETag", tag),), b"")
--- a/flamingofront/standins/programs.py
+++ b/flamingofront/standins/programs.py
@@ -166,7 +166,7 @@
 
         def handle(req: InboundRequest, exchange: Exchange) -> None:
             refused = rng.random() < reject
-            standin.fail(ForwardFault.REJECT if refused else ForwardFault.NONE)
+            standin.inject_fault(ForwardFault.REJECT if refused else ForwardFault.NONE)
             if log_arrivals:
                 word = "refused" if refused else "taken"
                 print(f"arrival {runtime.timers.now():.3f} {word}", flush=True)
--- a/flamingofront/standins/table_store.py
+++ b/flamingofront/standins/table_store.py
@@ -15,12 +15,12 @@
 from flamingofront.messages import InboundRequest
 from flamingofront.process.timers import TimerService
 
-__all__ = ["DutyCall", "LostWrite", "StoreFault", "TableStoreStandIn"]
+__all__ = ["LeaderCall", "LostWrite", "StoreFault", "TableStoreStandIn"]
 
 HISTORY_ROWS = 10_000
 # Writes that can be undone: a copy is some seconds old.
 KEPT_WRITES = 20_000
-RANGE_ROWS = 500
+MAX_RANGE_ROWS = 500
 OBJECT_PATHS = ("/api/blob-put/", "/api/blob-get/", "/api/blob-drop/")
 Respond = Callable[[int, dict[str, Any]], None]
 
@@ -36,7 +36,7 @@
 
 
 @dataclass(frozen=True)
-class DutyCall:
+class LeaderCall:
     """One accepted call of the holder of a duty."""
 
     at: float
@@ -93,7 +93,7 @@
     cloud_fault: StoreFault = StoreFault.NONE
     refused: set[str] = field(default_factory=set)
     out_of_stock: bool = False
-    duty_calls: list[DutyCall] = field(default_factory=list)
+    leader_calls: list[LeaderCall] = field(default_factory=list)
     calls: int = 0
 
     def __post_init__(self):
@@ -135,7 +135,7 @@
         row = self._rows.get((table, part, key))
         return orjson.loads(row[0]) if row is not None else None
 
-    def forget_history(self) -> None:
+    def discard_history(self) -> None:
         """Drop the history: feeds that begin before now are told so."""
         self._lost_before = self.version
         self._history.clear()
@@ -169,7 +169,7 @@
             each.exchange.abort()
         return tuple(lost.values())
 
-    def put_back(self, lost: LostWrite) -> None:
+    def rewrite_row(self, lost: LostWrite) -> None:
         """Write a row that a copy has taken away again, as the operator and endpoints do."""
         self.version += 1
         self._write(lost.table, lost.part, lost.key, lost.value)
@@ -268,7 +268,7 @@
             for key in self._rows
             if key[:2] == (table, part) and first <= key[2] and (not end or key[2] < end)
         )
-        limit = min(RANGE_ROWS, int(req.query.get("limit", RANGE_ROWS)))
+        limit = min(MAX_RANGE_ROWS, int(req.query.get("limit", MAX_RANGE_ROWS)))
         rows = [self._row(*key) for key in keys[:limit]]
         respond(200, {"rows": rows, "truncated": len(keys) > limit, **self._stamp()})
 
@@ -310,8 +310,8 @@
 
     def _duty(self, req: InboundRequest, respond: Respond) -> None:
         body = orjson.loads(req.body)
-        self.duty_calls.append(
-            DutyCall(
+        self.leader_calls.append(
+            LeaderCall(
                 self.timers.now(),
                 req.header("x-flamingofront-duty-holder"),
                 int(req.header("x-flamingofront-fencing-token")),
--- a/flamingofront/tests/network.py
+++ b/flamingofront/tests/network.py
@@ -6,7 +6,7 @@
 
 import orjson
 
-from flamingofront.connection.interfaces import CallHandle, Exchange, Reach, Transport
+from flamingofront.connection.interfaces import CallHandle, ConnectResult, Exchange, Transport
 from flamingofront.messages import (
     CallFailed,
     InboundRequest,
@@ -139,7 +139,7 @@
 
     def __init__(self, link: _Link):
         self._link = link
-        self.on_gone = None
+        self.on_disconnect = None
         self.gone = False
 
     @property
@@ -149,8 +149,8 @@
 
     def caller_gone(self) -> None:
         self.gone = True
-        if self.on_gone is not None:
-            listener, self.on_gone = self.on_gone, None
+        if self.on_disconnect is not None:
+            listener, self.on_disconnect = self.on_disconnect, None
             listener()
 
     def respond(self, status, headers, body) -> None:
@@ -183,7 +183,7 @@
         self.done = False
         self.answers = 0
         self.broken = False
-        self.on_gone = None
+        self.on_disconnect = None
 
     def respond(self, status, headers, body) -> None:
         self.begin(status, headers)
@@ -208,8 +208,8 @@
 
     def leave(self) -> None:
         """Close the connection."""
-        if self.on_gone is not None:
-            listener, self.on_gone = self.on_gone, None
+        if self.on_disconnect is not None:
+            listener, self.on_disconnect = self.on_disconnect, None
             listener()
 
     @property
@@ -259,9 +259,9 @@
         target = self._world.hosts.get(address)
         timers = self._host.timers
         if target is None or target.paused or target.dark or self._world.is_cut(self._host, target):
-            timers.once(timeout, lambda: listener(Reach.UNANSWERED))
+            timers.once(timeout, lambda: listener(ConnectResult.UNANSWERED))
         else:
-            reach = Reach.REFUSED if target.dead else Reach.CONNECTED
+            reach = ConnectResult.REFUSED if target.dead else ConnectResult.CONNECTED
             timers.once(2 * LATENCY, lambda: listener(reach))
 
     def drop_idle(self, address):
--- a/flamingofront/tests/test_crashing_requests.py
+++ b/flamingofront/tests/test_crashing_requests.py
@@ -22,8 +22,8 @@
 import pytest
 
 from flamingofront.decisions.quarantine_facts import TRIAL_SECONDS
-from flamingofront.process.holds import EVIDENCE_PREFIX, HOLD_TABLE
-from flamingofront.process.quarantine_codec import decode_hold
+from flamingofront.process.holds import EVIDENCE_PREFIX, QUARANTINE_TABLE
+from flamingofront.process.quarantine_codec import decode_quarantine_entry
 from flamingofront.standins.forward_endpoint import ForwardFault
 from flamingofront.standins.table_store import StoreFault
 from flamingofront.tests.crashing_world import CONTACT_SECONDS, ZONES, AnyTrouble, crashing_world
@@ -318,7 +318,7 @@
     def test_endpoints_that_fail_answers_without_ending_are_no_evidence(self, fault):
         world = crashing_world()
         for each in world.endpoints.values():
-            each.fail(fault)
+            each.inject_fault(fault)
         callers = []
         for _ in range(40):
             callers.append(world.ask_one("/stream/again/x", b"the same prompt"))
@@ -402,9 +402,9 @@
             if each.message == "request released from quarantine"
         ]
         assert len(released) == 7 and "answered" in released[0]["reason"]
-        rows = world.store.rows(HOLD_TABLE)
+        rows = world.store.get_rows(QUARANTINE_TABLE)
         assert not [each for each in rows if each.startswith(EVIDENCE_PREFIX)]
-        (kept,) = [decode_hold(key, row[0]) for key, row in rows.items()]
+        (kept,) = [decode_quarantine_entry(key, row[0]) for key, row in rows.items()]
         assert kept.is_released
 
     def test_only_one_of_many_processes_gets_the_trial(self):
--- a/flamingofront/tests/test_endpoint_limits.py
+++ b/flamingofront/tests/test_endpoint_limits.py
@@ -117,7 +117,7 @@
     def test_further_attempts_count(self):
         world = LimitedWorld(8, (1.9, 1.9, 1.9))
         for each in world.endpoints.values():
-            each.fail(ForwardFault.ERROR)
+            each.inject_fault(ForwardFault.ERROR)
         world.offer(40, 8.0)
         assert all(world.most(name) <= allowed(1.9) for name in world.endpoints)
 
--- a/flamingofront/tests/test_everything_at_once.py
+++ b/flamingofront/tests/test_everything_at_once.py
@@ -101,11 +101,11 @@
     @rule(mode=st.sampled_from(list(FaultMode)))
     def platform_changes(self, mode):
         for service in ("table", "vms", "cloud"):
-            self.world.platform.fail(service, mode, 0.4)
+            self.world.platform.inject_fault(service, mode, 0.4)
 
     @rule(fault=st.sampled_from(list(PlainFault)), index=st.integers(0, 1))
     def plain_service_changes(self, fault, index):
-        list(self.world.plains.values())[index].fail(fault, count=3)
+        list(self.world.plains.values())[index].inject_fault(fault, count=3)
 
     @invariant()
     def work_that_must_not_repeat_ran_at_most_once(self):
@@ -128,7 +128,7 @@
             return
         self.world.heal()
         for service in ("table", "vms", "cloud"):
-            self.world.platform.fail(service, FaultMode.UP)
+            self.world.platform.inject_fault(service, FaultMode.UP)
         for name in ENGINES:
             self.world.resume(name)
         self.world.engine("engine-new", "zone-a")
--- a/flamingofront/tests/test_forwarding.py
+++ b/flamingofront/tests/test_forwarding.py
@@ -95,7 +95,7 @@
     def test_requests_with_one_id_are_answered_apart(self):
         world = ready_world()
         for each in world.endpoints.values():
-            each.fail(ForwardFault.CUT, 1)
+            each.inject_fault(ForwardFault.CUT, 1)
         same = {"X_Flamingofront_Request_Id": "r-same"}
         callers = [world.ask("front-1", "/stream/again/x", **same) for _ in range(3)]
         world.finish(*callers)
@@ -110,7 +110,7 @@
     def test_doubtful_call_is_not_sent_again_and_promises_nothing(self, fault):
         world = ready_world()
         for each in world.endpoints.values():
-            each.fail(fault)
+            each.inject_fault(fault)
         caller = world.ask("front-1", "/write/x")
         world.finish(caller)
         assert caller.status == 502
@@ -118,7 +118,7 @@
 
     def test_rejected_call_is_offered_to_another_endpoint(self):
         world = ready_world()
-        world.endpoints["plain-1"].fail(ForwardFault.REFUSE)
+        world.endpoints["plain-1"].inject_fault(ForwardFault.REFUSE)
         callers = [world.ask("front-1", "/write/x") for _ in range(8)]
         world.finish(*callers)
         assert {each.status for each in callers} == {200}
@@ -127,7 +127,7 @@
     def test_call_that_all_reject_is_promised_not_to_have_run(self):
         world = ready_world()
         for each in world.endpoints.values():
-            each.fail(ForwardFault.REFUSE)
+            each.inject_fault(ForwardFault.REFUSE)
         caller = world.ask("front-1", "/write/x")
         world.finish(caller)
         assert caller.status == 503 and "retry-after" in caller.headers
@@ -136,7 +136,7 @@
     def test_endpoints_own_error_passes_with_its_status(self):
         world = ready_world()
         for each in world.endpoints.values():
-            each.fail(ForwardFault.ERROR)
+            each.inject_fault(ForwardFault.ERROR)
         caller = world.ask("front-1", "/write/x")
         world.finish(caller)
         assert (caller.status, caller.body) == (500, b"failed")
@@ -147,7 +147,7 @@
 class TestRepeating:
     def test_idempotent_request_is_tried_elsewhere_after_an_error(self):
         world = ready_world()
-        world.endpoints["plain-1"].fail(ForwardFault.ERROR)
+        world.endpoints["plain-1"].inject_fault(ForwardFault.ERROR)
         callers = [world.ask("front-1", "/read/x", "GET") for _ in range(6)]
         world.finish(*callers)
         assert {each.status for each in callers} == {200}
@@ -155,7 +155,7 @@
     def test_no_more_endpoints_than_the_route_allows(self):
         world = ready_world(plains=4)
         for each in world.endpoints.values():
-            each.fail(ForwardFault.ERROR)
+            each.inject_fault(ForwardFault.ERROR)
         caller = world.ask("front-1", "/read/x", "GET")
         world.finish(caller)
         assert caller.status == 500
@@ -164,7 +164,7 @@
     def test_budget_bounds_further_attempts(self):
         world = ready_world()
         for each in world.endpoints.values():
-            each.fail(ForwardFault.ERROR)
+            each.inject_fault(ForwardFault.ERROR)
         callers = []
         for _ in range(200):
             callers.append(world.ask("front-1", "/read/x", "GET"))
@@ -177,7 +177,7 @@
     def test_silent_endpoint_ends_as_timeout_at_the_deadline(self):
         world = ready_world()
         for each in world.endpoints.values():
-            each.fail(ForwardFault.HANG)
+            each.inject_fault(ForwardFault.HANG)
         caller = world.ask("front-1", "/write/x", X_Flamingofront_Deadline_Ms="900")
         took = world.run_until(lambda: caller.done)
         assert caller.status == 504
@@ -186,7 +186,7 @@
     def test_endpoint_is_freed_when_the_caller_leaves(self):
         world = ready_world()
         for each in world.endpoints.values():
-            each.fail(ForwardFault.HANG)
+            each.inject_fault(ForwardFault.HANG)
         caller = world.ask("front-1", "/read/x")
         world.run(0.2)
         caller.leave()
@@ -205,8 +205,8 @@
     def test_resumable_stream_goes_on_elsewhere_behind_the_last_whole_event(self):
         world = ready_world()
         for each in world.endpoints.values():
-            each.fail(ForwardFault.CUT, 1)
-        world.endpoints["engine-2"].fail(ForwardFault.NONE)
+            each.inject_fault(ForwardFault.CUT, 1)
+        world.endpoints["engine-2"].inject_fault(ForwardFault.NONE)
         callers = [world.ask("front-1", "/stream/again/x") for _ in range(4)]
         world.finish(*callers)
         for caller in callers:
@@ -220,11 +220,11 @@
     def test_stream_that_cannot_go_on_never_looks_complete(self, then):
         world = ready_world()
         for each in world.endpoints.values():
-            each.fail(ForwardFault.CUT, 1)
+            each.inject_fault(ForwardFault.CUT, 1)
         caller = world.ask("front-1", "/stream/again/x")
         world.run_until(lambda: b"id: 1" in caller.body)
         for each in world.endpoints.values():
-            each.fail(then)
+            each.inject_fault(then)
         world.finish(caller)
         assert caller.broken and caller.status == 200
 
@@ -233,7 +233,7 @@
         caller = world.ask("front-1", "/stream/again/x")
         world.run_until(lambda: b"id: 1" in caller.body)
         for each in world.endpoints.values():
-            each.plain_answers = True
+            each.disable_streaming = True
         world.kill(world.fronts["front-1"].hub.active.popitem()[1].endpoint_id)
         world.finish(caller)
         assert caller.broken and b"from" not in caller.body
@@ -241,7 +241,7 @@
     def test_other_stream_is_visibly_broken(self):
         world = ready_world()
         for each in world.endpoints.values():
-            each.fail(ForwardFault.CUT)
+            each.inject_fault(ForwardFault.CUT)
         caller = world.ask("front-1", "/stream/once/x")
         world.finish(caller)
         assert caller.broken
@@ -375,7 +375,7 @@
         world.store.fault = StoreFault.BUSY
         world.run(4.0)
         world.configure_routes(version=2, routes=[])
-        world.store.forget_history()
+        world.store.discard_history()
         world.store.fault = StoreFault.NONE
         world.run(2.0)
         assert world.refusal("front-1", "/read/x", version=2) == 404
--- a/flamingofront/tests/test_operating.py
+++ b/flamingofront/tests/test_operating.py
@@ -10,7 +10,7 @@
 from flamingofront.logview import select_lines
 from flamingofront.messages import InboundRequest
 from flamingofront.process.forwarding.operators import COLUMNS
-from flamingofront.process.logs import MAX_HELD_BYTES, MAX_LINES_PER_SECOND, NonBlockingStream
+from flamingofront.process.logs import MAX_BUFFERED_BYTES, MAX_LINES_PER_SECOND, NonBlockingStream
 from flamingofront.standins.forward_endpoint import ForwardFault
 from flamingofront.tests.forwarding_world import ready_world
 from flamingofront.tests.network import Caller
@@ -42,7 +42,7 @@
         world.front("front-1", first_start=False)
         world.run_until(lambda: world.fronts["front-1"].ready)
         for endpoint in world.endpoints.values():
-            endpoint.fail(ForwardFault.HANG)
+            endpoint.inject_fault(ForwardFault.HANG)
         for _ in range(4):
             world.ask("front-1", "/stream/once/x", body=b"the same")
             world.run(0.02)
@@ -107,7 +107,7 @@
             clock[0] += 1.0
             stream.write("x" * 100 + "\n")
         assert stream.dropped > 0
-        assert len(stream._held) < MAX_HELD_BYTES + 1000
+        assert len(stream._buffer) < MAX_BUFFERED_BYTES + 1000
         os.close(read_end)
         os.close(write_end)
 
--- a/flamingofront/tests/test_pages.py
+++ b/flamingofront/tests/test_pages.py
@@ -5,8 +5,8 @@
 
 import pytest
 
-from flamingofront.connection.server import error_headers
-from flamingofront.errors import ANSWERS, ErrorKind, Ran, RequestError
+from flamingofront.connection.server import build_error_headers
+from flamingofront.errors import ERROR_RESPONSES, ErrorKind, Executed, RequestError
 from flamingofront.process.metrics import COUNTERS, GAUGES, HISTOGRAMS, PREFIX
 from flamingofront.process.operators import COLUMNS
 from flamingofront.process.settings import EntrySettings
@@ -27,22 +27,22 @@
 class TestAnswerTable:
     @pytest.mark.parametrize("kind", list(ErrorKind))
     def test_each_kind_has_a_row_and_is_on_the_callers_page(self, kind):
-        assert 400 <= ANSWERS[kind].status < 600
+        assert 400 <= ERROR_RESPONSES[kind].status < 600
         if kind not in FOR_OPERATORS:
             assert f"`{kind.value}`" in CALLERS
 
     @pytest.mark.parametrize("kind", list(ErrorKind))
     def test_table_decides_whether_a_time_to_come_back_is_told(self, kind):
-        names = [name for name, _ in error_headers(RequestError(kind))]
-        assert ("Retry-After" in names) == ANSWERS[kind].retry
+        names = [name for name, _ in build_error_headers(RequestError(kind))]
+        assert ("Retry-After" in names) == ERROR_RESPONSES[kind].allows_retry
         assert RequestError(kind, retry_after=7.0).retry_after == (
-            7.0 if ANSWERS[kind].retry else None
+            7.0 if ERROR_RESPONSES[kind].allows_retry else None
         )
 
     def test_error_keeps_better_evidence_than_the_table(self):
-        exc = RequestError(ErrorKind.DEADLINE_EXCEEDED, ran=Ran.NO)
-        assert exc.ran is Ran.NO
-        assert RequestError(ErrorKind.DEADLINE_EXCEEDED).ran is Ran.UNKNOWN
+        exc = RequestError(ErrorKind.DEADLINE_EXCEEDED, ran=Executed.NO)
+        assert exc.ran is Executed.NO
+        assert RequestError(ErrorKind.DEADLINE_EXCEEDED).ran is Executed.UNKNOWN
 
 
 class TestOperationsPage:
--- a/flamingofront/tests/test_processes.py
+++ b/flamingofront/tests/test_processes.py
@@ -10,7 +10,7 @@
 import orjson
 import pytest
 
-from flamingofront.standins.engine import expected_token
+from flamingofront.standins.engine import compute_token
 from flamingofront.tests.network import stream_texts
 
 BIN = Path(sys.executable).parent
@@ -224,7 +224,7 @@
         )
         text = "".join(stream_texts(data) + stream_texts(rest))
         assert status == 200
-        assert text == "".join(expected_token(["long"], index) for index in range(600))
+        assert text == "".join(compute_token(["long"], index) for index in range(600))
 
     def test_killed_engine_is_resumed_elsewhere(self, processes):
         address = processes.callers["entry-b"]
@@ -241,4 +241,4 @@
         data += res.read()
         conn.close()
         text = "".join(stream_texts(data))
-        assert text == "".join(expected_token(["kill"], index) for index in range(400))
+        assert text == "".join(compute_token(["kill"], index) for index in range(400))
--- a/flamingofront/tests/test_series_of_kills.py
+++ b/flamingofront/tests/test_series_of_kills.py
@@ -184,7 +184,7 @@
         recorded = [each for each in log.records if each.message == "send recorded"]
         assert all(each.done and each.status == 200 for each in callers)
         assert 0 < len(recorded) <= 40
-        assert not world.store.rows(INTENT_TABLE)
+        assert not world.store.get_rows(INTENT_TABLE)
 
     def test_first_start_and_calm_hours_record_nothing(self):
         world = series_world()
@@ -215,7 +215,7 @@
         world.run(10.0)
         assert not any(b"crashes_endpoints" in each.body for each in callers)
         assert all(each.done and each.status == 200 for each in callers)
-        rows = world.store.rows(INTENT_TABLE)
+        rows = world.store.get_rows(INTENT_TABLE)
         assert len(rows) <= 3
 
     @pytest.mark.parametrize("fault", [StoreFault.SILENT, StoreFault.BUSY, StoreFault.RESET])
--- a/flamingofront/tests/watched_world.py
+++ b/flamingofront/tests/watched_world.py
@@ -52,7 +52,7 @@
             rejected = self.rng.random() < self._rejected.get(name, 0.0)
             arrivals.append(Arrival(self.clock.now(), exchange.source, rejected))
             if rejected:
-                endpoint.fail(ForwardFault.REJECT, 1)
+                endpoint.inject_fault(ForwardFault.REJECT, 1)
             endpoint.handle(req, exchange)
 
         self.host(name).handler = handle
--- a/flamingofront/tests/world.py
+++ b/flamingofront/tests/world.py
@@ -9,7 +9,7 @@
 import logbook
 import orjson
 
-from flamingofront.daemon import documents_at
+from flamingofront.daemon import open_document_store
 from flamingofront.messages import (
     InboundRequest,
 )
@@ -21,7 +21,7 @@
 from flamingofront.standins.plain import PlainStandIn
 from flamingofront.standins.platform import PlatformStandIn
 from flamingofront.tests.network import LATENCY, Caller, FakeTransport, Host
-from flamingofront.version.files import statements_of
+from flamingofront.version.files import load_statements
 
 DEMO = """
 [services.demo]
@@ -109,7 +109,7 @@
     def takes_stale(self, source: Host, call) -> bool:
         """Tell whether a call goes out on a connection to a process that has ended since."""
         known = (source.name, call.address)
-        if call.fresh or known not in self.idle:
+        if call.new_connection or known not in self.idle:
             return False
         self.idle.discard(known)
         return True
@@ -157,7 +157,7 @@
         settings = EntrySettings(**values)
         node = EntryNode(
             settings,
-            documents_at(
+            open_document_store(
                 str(settings.platform),
                 settings.platform_timeout,
                 host.timers.now,
@@ -234,7 +234,7 @@
 
     def configure(self, text: str = DEMO, node: str | None = None) -> dict:
         """Put a configuration file in force, wait until all nodes have it."""
-        outcome = self.operate(statements_of(text), node)
+        outcome = self.operate(load_statements(text), node)
         assert outcome["state"] == "accepted", outcome
         self.run_until(
             lambda: all(
--- a/flamingofront/version/commit.py
+++ b/flamingofront/version/commit.py
@@ -15,7 +15,7 @@
 from flamingofront.messages import Sleep
 from flamingofront.process.backoff import Backoff
 from flamingofront.process.documents import Condition, Document, DocumentStore, Write
-from flamingofront.process.expiry import KEPT_SECONDS, expiry_write
+from flamingofront.process.expiry import RETENTION_SECONDS, build_expiry_write
 from flamingofront.process.tasks import Task
 from flamingofront.version.edits import Edit, apply_edits
 from flamingofront.version.model import (
@@ -30,7 +30,7 @@
     "commit",
     "load_configuration",
     "load_revision",
-    "settle",
+    "settle_operation",
 ]
 
 HEAD_KEY = "config/head"
@@ -174,12 +174,12 @@
             Write(HEAD_KEY, {"revision": new.revision}),
             Write(DOCUMENT_KEY, configuration_to_json(new)),
             Write(operation_key, note),
-            expiry_write(operation_key, self._until),
+            build_expiry_write(operation_key, self._until),
         )
         try:
             result = yield from self._documents.transact(conditions, writes)
         except PlatformError as exc:
-            self.maybe_written = self.maybe_written or exc.maybe_done
+            self.maybe_written = self.maybe_written or exc.maybe_applied
             raise
         if not result.ok:
             return None
@@ -198,7 +198,7 @@
     rng: random.Random,
     budget: float = 6.0,
     backoff: Backoff = DEFAULT_BACKOFF,
-    until: float = KEPT_SECONDS,
+    until: float = RETENTION_SECONDS,
 ) -> Task:
     """Bring a change into force in the table service.
 
@@ -241,11 +241,11 @@
         if now() >= deadline:
             state = CommitState.UNKNOWN if work.maybe_written else CommitState.UNAVAILABLE
             return CommitOutcome(state, operation, faults=(fault,))
-        yield Sleep(backoff.delay(tries, rng))
+        yield Sleep(backoff.compute_delay(tries, rng))
         tries += 1
 
 
-def settle(
+def settle_operation(
     documents: DocumentStore, operation: str, operator: str, rng: random.Random, tries: int = 4
 ) -> Task:
     """Find out, and make final, what became of an operation.
@@ -266,5 +266,5 @@
             yield from documents.transact((Condition(key, 0),), (Write(key, note),))
         except PlatformError as exc:
             fault = str(exc)
-            yield Sleep(DEFAULT_BACKOFF.delay(count, rng))
+            yield Sleep(DEFAULT_BACKOFF.compute_delay(count, rng))
     return CommitOutcome(CommitState.UNKNOWN, operation, faults=(fault,))
--- a/flamingofront/version/edits.py
+++ b/flamingofront/version/edits.py
@@ -14,7 +14,7 @@
     make_object,
 )
 
-__all__ = ["Edit", "EditAction", "apply_edits", "object_key", "validate"]
+__all__ = ["Edit", "EditAction", "apply_edits", "build_object_key", "validate"]
 
 
 class EditAction(StrEnum):
@@ -38,10 +38,10 @@
     @property
     def key(self) -> str:
         """Key of the object in `Configuration.changes`."""
-        return object_key(self.kind, self.name)
+        return build_object_key(self.kind, self.name)
 
 
-def object_key(kind: ObjectKind, name: str) -> str:
+def build_object_key(kind: ObjectKind, name: str) -> str:
     """Return the key under which changes of an object are noted."""
     return f"{kind.value}/{name}"
 
@@ -71,7 +71,7 @@
         With every fault found; `cfg` is unchanged.
     """
     revision = cfg.revision + 1
-    objects = {kind: dict(cfg.of(kind)) for kind in ObjectKind}
+    objects = {kind: dict(cfg.objects_of(kind)) for kind in ObjectKind}
     changes = dict(cfg.changes)
     faults: list[str] = []
     for edit in edits:
@@ -106,18 +106,18 @@
 
 
 def _route_faults(cfg: Configuration) -> Iterator[str]:
-    for route in cfg.of(ObjectKind.ROUTE).values():
-        if cfg.service(route.service) is None:
+    for route in cfg.objects_of(ObjectKind.ROUTE).values():
+        if cfg.find_service(route.service) is None:
             yield f"route {route.name}: service {route.service!r} does not exist"
         for workspace in route.workspaces:
-            if cfg.workspace(workspace) is None:
+            if cfg.find_workspace(workspace) is None:
                 yield f"route {route.name}: workspace {workspace!r} does not exist"
 
 
 def _move_faults(cfg: Configuration) -> Iterator[str]:
     seen: dict[str, str] = {}
-    for move in cfg.of(ObjectKind.MOVE).values():
-        service = cfg.service(move.service)
+    for move in cfg.objects_of(ObjectKind.MOVE).values():
+        service = cfg.find_service(move.service)
         if service is None:
             yield f"move {move.name}: service {move.service!r} does not exist"
         elif service.kind is ServiceKind.PLAIN and move.key == "request" and service.non_repeatable:
--- a/flamingofront/version/files.py
+++ b/flamingofront/version/files.py
@@ -7,7 +7,7 @@
 from flamingofront.errors import CommandError
 from flamingofront.version.model import ObjectKind
 
-__all__ = ["statements_of"]
+__all__ = ["load_statements"]
 
 _TABLES = {
     "services": ObjectKind.SERVICE,
@@ -25,7 +25,7 @@
     return str(value)
 
 
-def statements_of(text: str) -> list[str]:
+def load_statements(text: str) -> list[str]:
     """Return the ``put`` statements that bring a configuration file into force.
 
     Raises
@@ -35,7 +35,7 @@
 
     Examples
     --------
-    >>> statements_of('[routes.demo]\\nservice = "demo"')
+    >>> load_statements('[routes.demo]\\nservice = "demo"')
     ['put route demo service=demo']
     """
     try:
--- a/flamingofront/version/forwarding.py
+++ b/flamingofront/version/forwarding.py
@@ -85,11 +85,11 @@
     resumable: bool = False
 
     @property
-    def may_repeat(self) -> bool:
+    def can_repeat(self) -> bool:
         """Tell whether a request may run more than once."""
         return self.kind is RequestKind.IDEMPOTENT or self.resumable
 
-    def backend_for(self, key: str) -> str:
+    def select_backend(self, key: str) -> str:
         """Return the service that the request with this key goes to, by the weights."""
         if len(self.backends) == 1:
             return self.backends[0].service
@@ -214,7 +214,7 @@
     def _workspaces_by_key(self) -> dict[str, ForwardedWorkspace]:
         return {key: each for each in self.workspaces for key in each.keys}
 
-    def route_for(self, host: str, path: str) -> ForwardedRoute | None:
+    def find_route(self, host: str, path: str) -> ForwardedRoute | None:
         """Return the route with the longest prefix that begins the path.
 
         Notes
@@ -233,7 +233,7 @@
             end = path.rfind("/", 0, end - 1) + 1
         return None
 
-    def workspace_of(self, key: str) -> ForwardedWorkspace | None:
+    def find_workspace_by_key(self, key: str) -> ForwardedWorkspace | None:
         """Return the workspace that an API key belongs to."""
         return self._workspaces_by_key.get(key)
 
@@ -241,7 +241,7 @@
         """Return a workspace by its name."""
         return next((each for each in self.workspaces if each.name == name), None)
 
-    def service_for(self, route: ForwardedRoute, name: str, slots: int) -> Service:
+    def build_service(self, route: ForwardedRoute, name: str, slots: int) -> Service:
         """Return a service as admission and choice of the product see it.
 
         Parameters
--- a/flamingofront/version/language.py
+++ b/flamingofront/version/language.py
@@ -24,7 +24,7 @@
 
 __all__ = [
     "SUBJECTS",
-    "Change",
+    "EditStatement",
     "Filter",
     "Query",
     "Settle",
@@ -76,7 +76,7 @@
 
 
 @dataclass(frozen=True)
-class Change:
+class EditStatement:
     """Edits that take effect together or not at all."""
 
     edits: tuple[Edit, ...]
@@ -89,7 +89,7 @@
     operation: str
 
 
-Statement = Query | Change | Settle
+Statement = Query | EditStatement | Settle
 
 
 class _Words:
@@ -211,7 +211,7 @@
     return int(text)
 
 
-def _parse_edit(verb: str, words: _Words) -> Change:
+def _parse_edit(verb: str, words: _Words) -> EditStatement:
     names = tuple(each.value for each in ObjectKind if each is not ObjectKind.DRAIN)
     kind = ObjectKind(words.take_one_of("the kind of object", names))
     name = words.take(f"the name of the {kind.value}")
@@ -221,7 +221,7 @@
         if field in values:
             raise CommandError(f"field {field!r} is given twice")
         values[field] = value
-    return Change((Edit(EditAction(verb), kind, name, values),))
+    return EditStatement((Edit(EditAction(verb), kind, name, values),))
 
 
 def _parse_assignment(kind: ObjectKind, word: str) -> tuple[str, Any]:
@@ -261,22 +261,22 @@
         raise CommandError(f"{field} must be {what}, got {text!r}") from None
 
 
-def _parse_set(verb: str, words: _Words) -> Change:
+def _parse_set(verb: str, words: _Words) -> EditStatement:
     words.take_one_of("what to set", ("share",))
     move = words.take("the move")
     share = _parse_number("share", float, words.take("the percentage").rstrip("%"))
-    return Change((Edit(EditAction.CHANGE, ObjectKind.MOVE, move, {"share": share}),))
+    return EditStatement((Edit(EditAction.CHANGE, ObjectKind.MOVE, move, {"share": share}),))
 
 
-def _parse_drain(verb: str, words: _Words) -> Change:
+def _parse_drain(verb: str, words: _Words) -> EditStatement:
     kinds = tuple(each.value for each in DrainKind)
     kind = words.take_one_of("what to drain", kinds)
     target = words.take(f"the {kind}")
     name = f"{kind}.{target}"
     if verb == "undrain":
-        return Change((Edit(EditAction.DELETE, ObjectKind.DRAIN, name),))
+        return EditStatement((Edit(EditAction.DELETE, ObjectKind.DRAIN, name),))
     values = {"kind": kind, "target": target}
-    return Change((Edit(EditAction.PUT, ObjectKind.DRAIN, name, values),))
+    return EditStatement((Edit(EditAction.PUT, ObjectKind.DRAIN, name, values),))
 
 
 def _parse_settle(verb: str, words: _Words) -> Settle:
--- a/flamingofront/version/model.py
+++ b/flamingofront/version/model.py
@@ -139,7 +139,7 @@
         faults += _number_fault(owner, "slots", self.slots, 1, 4096)
         _raise_if_any(faults)
 
-    def may_repeat(self, method: str, path: str) -> bool:
+    def can_repeat(self, method: str, path: str) -> bool:
         """Tell whether a call may be sent a second time."""
         if self.kind is ServiceKind.MODEL:
             return True
@@ -292,34 +292,34 @@
     objects: Mapping[ObjectKind, Mapping[str, ConfigurationObject]] = field(default_factory=dict)
     changes: Mapping[str, Change] = field(default_factory=dict)
 
-    def of(self, kind: ObjectKind) -> Mapping[str, ConfigurationObject]:
+    def objects_of(self, kind: ObjectKind) -> Mapping[str, ConfigurationObject]:
         """Return the objects of one kind by name."""
         return self.objects.get(kind, {})
 
     def service(self, name: str) -> Service | None:
         """Return a service by name."""
-        return self.of(ObjectKind.SERVICE).get(name)
+        return self.objects_of(ObjectKind.SERVICE).get(name)
 
     def route(self, name: str) -> Route | None:
         """Return a route by name."""
-        return self.of(ObjectKind.ROUTE).get(name)
+        return self.objects_of(ObjectKind.ROUTE).get(name)
 
     def workspace(self, name: str) -> Workspace | None:
         """Return a workspace by name."""
-        return self.of(ObjectKind.WORKSPACE).get(name)
+        return self.objects_of(ObjectKind.WORKSPACE).get(name)
 
-    def move_of(self, service: str) -> Move | None:
+    def find_move(self, service: str) -> Move | None:
         """Return the move of a service, if one is under way."""
-        moves = self.of(ObjectKind.MOVE).values()
+        moves = self.objects_of(ObjectKind.MOVE).values()
         return next((move for move in moves if move.service == service), None)
 
-    def drained(self, kind: DrainKind) -> frozenset[str]:
+    def drained_targets(self, kind: DrainKind) -> frozenset[str]:
         """Return the targets of one kind that are being drained."""
         return self._drained_targets[kind]
 
     @cached_property
     def _drained_targets(self) -> dict[DrainKind, frozenset[str]]:
-        drains = self.of(ObjectKind.DRAIN).values()
+        drains = self.objects_of(ObjectKind.DRAIN).values()
         return {
             kind: frozenset(drain.target for drain in drains if drain.kind is kind)
             for kind in DrainKind
@@ -395,7 +395,7 @@
         "operator": cfg.operator,
         "operation": cfg.operation,
         "objects": {
-            kind.value: [_object_to_json(item) for item in cfg.of(kind).values()]
+            kind.value: [_object_to_json(item) for item in cfg.objects_of(kind).values()]
             for kind in ObjectKind
         },
         "changes": {key: [item.revision, item.operator] for key, item in cfg.changes.items()},
--- a/flamingofront/version/tests/test_commit.py
+++ b/flamingofront/version/tests/test_commit.py
@@ -10,25 +10,25 @@
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, rule
 
 from flamingofront.connection.interfaces import Exchange
-from flamingofront.daemon import documents_at
-from flamingofront.messages import CallFailed, InboundRequest, OutboundCall, Sleep, WholeResponse
+from flamingofront.daemon import open_document_store
+from flamingofront.messages import BufferedResponse, CallFailed, InboundRequest, OutboundCall, Sleep
 from flamingofront.process.logs import Log
 from flamingofront.process.timers import ManualClock, TimerService
 from flamingofront.standins.platform import TRANSACTION_PATH, PlatformStandIn
-from flamingofront.version.commit import CommitState, commit, settle
+from flamingofront.version.commit import CommitState, commit, settle_operation
 from flamingofront.version.language import parse
 from flamingofront.version.model import Configuration, configuration_from_json
 
 
 def documents():
-    return documents_at("127.0.0.1:1", 1.0, lambda: 0.0, Log("test"))
+    return open_document_store("127.0.0.1:1", 1.0, lambda: 0.0, Log("test"))
 
 
 class Answer(Exchange):
     """Keeps the answer to one call."""
 
     def respond(self, status, headers, body):
-        self.response = WholeResponse(status, {}, body)
+        self.response = BufferedResponse(status, {}, body)
 
     def begin(self, status, headers):
         raise AssertionError("the store does not stream")
@@ -43,7 +43,7 @@
         self.clock = ManualClock()
         self.standin = PlatformStandIn(TimerService(self.clock))
 
-    def serve(self, call: OutboundCall) -> WholeResponse:
+    def serve(self, call: OutboundCall) -> BufferedResponse:
         self.clock.time += 1.0  # keeps the rate limit out of these tests
         path, _, query = call.path.partition("?")
         answer = Answer()
@@ -162,7 +162,7 @@
         late = task.send(None)
         while late.path != TRANSACTION_PATH:
             late = task.send(table.serve(late))
-        outcome = run_task(table, settle(documents(), "op", "ops", random.Random(1)))
+        outcome = run_task(table, settle_operation(documents(), "op", "ops", random.Random(1)))
         assert outcome.state is CommitState.ABANDONED
         assert table.serve(late).status == 412
         assert table.configuration().revision == 0
@@ -249,7 +249,7 @@
         ]
         if unknown:
             run = unknown[index % len(unknown)]
-            task = settle(documents(), run.operation, "ops", random.Random(1))
+            task = settle_operation(documents(), run.operation, "ops", random.Random(1))
             run.outcome = run_task(self.table, task)
 
     def took_effect(self, run):
--- a/flamingofront/version/tests/test_language.py
+++ b/flamingofront/version/tests/test_language.py
@@ -4,7 +4,7 @@
 
 from flamingofront.errors import CommandError, ConfigurationError
 from flamingofront.version.edits import Edit, EditAction, apply_edits
-from flamingofront.version.files import statements_of
+from flamingofront.version.files import load_statements
 from flamingofront.version.language import Filter, Query, Settle, parse
 from flamingofront.version.model import Configuration, ObjectKind
 from flamingofront.version.query import run_query
@@ -121,7 +121,7 @@
 class TestFile:
     def test_statements_parse_back(self):
         text = '[services.s]\nkind = "plain"\nnon_repeatable = ["POST /a b"]\nfencing = true\n'
-        (statement,) = statements_of(text)
+        (statement,) = load_statements(text)
         (edit,) = parse(statement).edits
         assert edit.values["non_repeatable"] == ["POST /a b"]
         assert edit.values["fencing"] is True
@@ -129,4 +129,4 @@
     @pytest.mark.parametrize("text", ["[cats.a]\nb = 1", "services = 1", "[services]\na = 1", "["])
     def test_bad_file_is_an_error(self, text):
         with pytest.raises(CommandError):
-            statements_of(text)
+            load_statements(text)
