--- a/flamingofront/request/directory.py
+++ b/flamingofront/request/directory.py
@@ -25,7 +25,7 @@
 SLOWNESS_EWMA_WEIGHT = 0.2
 MAX_SLOWNESS_RATIO = 20.0
 MAX_REPORT_AGE_SECONDS = 10.0
-DEFAULT_RECLAIM_RISK = 0.05
+DEFAULT_RECLAIMS_PER_HOUR = 0.05
 # Backoff after failed connection attempts: it doubles with each failure up to the maximum.
 INITIAL_BACKOFF_SECONDS = 1.0
 MAX_BACKOFF_SECONDS = 4.0
@@ -90,6 +90,10 @@
         Endpoint that all processes expect to cache the shared prefix of the prompt.
     prefix_owner_tokens : int
         Number of tokens in the shared prefix.
+    closed : frozenset of str
+        Endpoints that accept no requests now.
+    local_share : float
+        Share of the load that comes from this process, from 0 to 1.
     """
 
     now: float
@@ -121,14 +125,14 @@
         Gets the zones of usable endpoints by id and returns the ids to sample first; empty if there
         is no preference.
     on_load_change : callable
-        Called with each change of the load from this process: endpoint id, change of attempts and
-        change of unread prompt tokens.
+        Called with each change of the load from this process: endpoint id, change of the number of
+        attempts and change of the prompt tokens that wait for prefill.
     refresh_loads : callable
         Called before each choice, to update the loads from other processes.
     local_share : callable
         Returns the share of the load that comes from this process, from 0 to 1.
     noted_prompts : RemotePrompts
-        Prompts that other processes have reported recently, which load reports may not include.
+        Prompts that other processes have reported recently; load reports may not include them yet.
     """
 
     def __init__(self, facts: FactTable, rng: random.Random, zone: str = ""):
@@ -259,8 +263,8 @@
     def _find_prefix_owner(endpoints: "_ServiceEndpoints", shared: "SharedPrefix | None") -> str:
         if shared is None:
             return ""
-        staying = [each for each in endpoints.ids if each not in endpoints.drained]
-        return rank(shared.key, staying)[0] if staying else ""
+        undrained = [each for each in endpoints.ids if each not in endpoints.drained]
+        return rank(shared.key, undrained)[0] if undrained else ""
 
     def _find_prefix_holders(self, hashes: tuple[str, ...]) -> list[str]:
         return sorted(self.prefixes.longest_prefix_holders(hashes))[:MAX_PREFIX_HOLDERS]
@@ -321,7 +325,7 @@
             local_at_report=report.local_in_flight if report else 0,
             cached_tokens=self._cached_tokens(endpoint_id, hashes, context),
             backlog_tokens=backlog + noted_tokens,
-            reclaim_risk=DEFAULT_RECLAIM_RISK if fact.reclaimable else 0.0,
+            reclaim_risk=DEFAULT_RECLAIMS_PER_HOUR if fact.reclaimable else 0.0,
             slowness=self._slowness(endpoint_id, context.median_token_seconds),
             leaving=endpoint_id in context.drained,
             ejected=endpoint_id in context.ejected,
@@ -342,7 +346,7 @@
         )
 
     def capacity(self, service: Service) -> int:
-        """Return the total slots of the endpoints of a service that may get new requests."""
+        """Return the total number of slots of the undrained endpoints of a service."""
         endpoints = self._endpoints_of(service.name)
         return service.slots * (len(endpoints.facts) - len(endpoints.drained))
 
