--- a/flamingofront/process/forwarding/tests/test_reports.py
+++ b/flamingofront/process/forwarding/tests/test_reports.py
@@ -16,7 +16,7 @@
     without_counts,
 )
 from flamingofront.process.forwarding.sums import sum_demand
-from flamingofront.process.forwarding.tests.test_duties import holder, usage
+from flamingofront.process.forwarding.tests.test_duties import find_holder, reported_usage
 from flamingofront.tests.forwarding_world import ForwardingWorld, ready_world
 
 ZONES = ("zone-a", "zone-b", "zone-c", "zone-d")
@@ -107,7 +107,7 @@
             for name in world.fronts.keys() - relay_names(world):
                 assert traffic.sent[name] / 5.0 <= 5
                 # Each relay also sends its usage to the leader every second.
-                counts = 2 * len(ZONES) if name == holder(world) else 0
+                counts = 2 * len(ZONES) if name == find_holder(world) else 0
                 assert traffic.received[name] / 5.0 <= 9 + counts
             for name in relay_names(world):
                 zone_size = count / len(ZONES)
@@ -123,13 +123,13 @@
             world.finish(world.ask(f"front-{number % LARGE_COUNT}", "/read/x"))
             world.run(0.1)
         world.run(1.0)
-        first = holder(world)
+        first = find_holder(world)
         if killed == "the holder":
             world.kill(first)
         elif killed == "a process":
             world.kill(next(name for name in world.fronts if name != first))
         world.run(25.0)
-        assert sum(each.get("desk", 0) for each in usage(world).values()) == 40
+        assert sum(each.get("desk", 0) for each in reported_usage(world).values()) == 40
 
     @pytest.mark.parametrize("lost", [0.1, 0.3])
     def test_usage_window_waits_for_missing_counts(self, lost):
@@ -143,7 +143,7 @@
             world.finish(world.ask(f"front-{number % LARGE_COUNT}", "/read/x"))
             world.run(0.1)
         world.run(15.0)
-        assert sum(each.get("desk", 0) for each in usage(world).values()) == 120
+        assert sum(each.get("desk", 0) for each in reported_usage(world).values()) == 120
 
     def test_large_prompts_propagate_in_time(self):
         """Guards against load data that is older than the time to read a prompt, 20 to 200 ms.
@@ -246,7 +246,7 @@
         for number in range(LARGE_COUNT):
             world.ask(f"front-{number}", "/read/x")
         world.run(0.9)
-        node = world.fronts[holder(world)]
+        node = world.fronts[find_holder(world)]
         running = sum(each.hub.count_in_flight("records") for each in world.fronts.values())
         reported = sum_demand(node.peers.peer_loads()).get("records", 0)
         assert reported + node.hub.count_in_flight("records") >= running - 1
--- a/flamingofront/process/forwarding/tests/test_restored_store.py
+++ b/flamingofront/process/forwarding/tests/test_restored_store.py
@@ -15,8 +15,8 @@
 from flamingofront.process.forwarding.peers import MEMBER_TABLE
 from flamingofront.process.forwarding.tests.test_duties import (
     assert_one_holder_at_a_time,
-    holder,
-    usage,
+    find_holder,
+    reported_usage,
 )
 from flamingofront.process.forwarding.tests.test_rollouts import Rollout
 from flamingofront.process.holds import QUARANTINE_TABLE
@@ -162,7 +162,7 @@
                 world.finish(world.ask(f"front-{1 + number % 4}", "/read/x"))
                 world.run(0.2)
             if rng.random() < 0.5:
-                world.lose(holder(world), rng.choice(("kill", "pause")))
+                world.lose(find_holder(world), rng.choice(("kill", "pause")))
                 world.run(5.0 * rng.random())
             restore(world, 10.0 * rng.random(), 4.0 * rng.random(), rng)
             world.run(2.0 * rng.random())
@@ -173,7 +173,7 @@
                     world.resume(name)
             world.run(6.0)
         world.run(12.0)
-        usage(world)
+        reported_usage(world)
         assert_one_holder_at_a_time(world)
         assert world.store.leader_calls[-1].at > world.clock.now() - 6.0
 
@@ -182,16 +182,16 @@
         for number in range(60):
             world.finish(world.ask(f"front-{1 + number % 3}", "/read/x"))
             world.run(0.2)
-        first = holder(world)
+        first = find_holder(world)
         fencing = world.fronts[first].lease.valid_lease().fencing
         restore(world, 6.0, outage=0.3)
         world.run(2.0)
-        assert holder(world) == first
+        assert find_holder(world) == first
         assert world.fronts[first].lease.valid_lease().fencing == fencing
         world.run(12.0)
-        windows = sorted(usage(world))
+        windows = sorted(reported_usage(world))
         assert windows == list(range(windows[0], windows[-1] + 1))
-        assert sum(each.get("desk", 0) for each in usage(world).values()) == 60
+        assert sum(each.get("desk", 0) for each in reported_usage(world).values()) == 60
 
 
 class TestRollouts:
@@ -207,7 +207,7 @@
         age = rollout.serve_until("rolled_back", 40.0)
         exposed = rollout.runs("new")
         if is_holder_killed:
-            world.kill(holder(world))
+            world.kill(find_holder(world))
         restore(world, age + 1.0 if is_spec_lost else 1.0)
         if is_holder_killed:
             for name in list(world.fronts):
