--- a/flamingofront/process/forwarding/tests/test_restored_store.py
+++ b/flamingofront/process/forwarding/tests/test_restored_store.py
@@ -205,7 +205,7 @@
         rollout = Rollout(ForwardFault.ERROR)
         world = rollout.world
         age = rollout.serve_until("rolled_back", 40.0)
-        exposed = rollout.runs("new")
+        exposed = rollout.count_runs("new")
         if is_holder_killed:
             world.kill(find_holder(world))
         restore(world, age + 1.0 if is_spec_lost else 1.0)
@@ -218,7 +218,7 @@
             # owner writes the spec again.
             world.run(2.0)
         rollout.serve(12.0)
-        assert rollout.runs("new") == exposed
+        assert rollout.count_runs("new") == exposed
         assert rollout.state() == "rolled_back"
 
     def test_running_rollout_continues(self):
