--- a/bench/platform_mutations.py
+++ b/bench/platform_mutations.py
@@ -104,7 +104,7 @@
         "P the wait is looked at again behind the read",
         "process/forwarding/duty.py",
         "if not self.state.holder or self._is_held_by_vm() or self._has_expired():",
-        "if not self.state.holder or self._is_held_by_vm() or known is not None:",
+        "if not self.state.holder or self._is_held_by_vm() or previous is not None:",
         FUZZ,
     ),
     Mutation(
