--- a/flamingofront/connection/framing.py
+++ b/flamingofront/connection/framing.py
@@ -101,7 +101,7 @@
             return None
         if end < 0 or end > self._max_bytes:
             raise RequestError(
-                ErrorKind.HEADERS_TOO_LARGE, f"message head is larger than {self._max_bytes} bytes"
+                ErrorKind.HEADERS_TOO_LARGE, f"the head is over {self._max_bytes} bytes"
             )
         raw = bytes(self._data[: end + len(_HEAD_END)])
         rest = bytes(self._data[end + len(_HEAD_END) :])
@@ -120,15 +120,15 @@
 def _check_head_bytes(raw: bytes) -> None:
     """Raise an error for a head that the parser of circuits would accept or misread."""
     if _FORBIDDEN.search(raw):
-        raise _malformed_error("message head contains a control character or a bare CR or LF")
+        raise _malformed_error("the head holds a control character or a bare line end")
     seen_names = set()
     for line in raw[:-4].split(b"\r\n")[1:]:
         name, colon, _ = line.partition(b":")
         if not colon or not _FIELD_NAME.fullmatch(name):
-            raise _malformed_error(f"malformed header line {line[:60]!r}")
+            raise _malformed_error(f"bad header line {line[:60]!r}")
         lower = name.lower()
         if lower in _SINGLE_FIELDS and lower in seen_names:
-            raise _malformed_error(f"header {lower.decode()} must not be repeated")
+            raise _malformed_error(f"header {lower.decode()} is given twice")
         seen_names.add(lower)
 
 
@@ -140,16 +140,16 @@
     try:
         parser.execute(escaped, len(escaped))
     except ValueError as exc:
-        raise _malformed_error(f"malformed start line: {exc}") from exc
+        raise _malformed_error(f"bad first line: {exc}") from exc
     if parser.errno is not None or not parser.is_headers_complete():
-        raise _malformed_error(f"malformed start line or header: {parser.errstr[:80]}")
+        raise _malformed_error(f"bad first line or header: {parser.errstr[:80]}")
     if parser.get_version() not in ((1, 0), (1, 1)):
         raise _malformed_error(f"unsupported HTTP version {parser.get_version()}")
     headers = {name.lower(): value for name, value in parser.get_headers().items()}
     if is_request and not _METHOD.fullmatch(parser.get_method()):
-        raise _malformed_error(f"malformed method {parser.get_method()[:20]!r}")
+        raise _malformed_error(f"bad method {parser.get_method()[:20]!r}")
     if is_request and not parser.get_url().startswith("/"):
-        raise _malformed_error(f"request target must start with '/', got {parser.get_url()[:60]!r}")
+        raise _malformed_error(f"bad request target {parser.get_url()[:60]!r}")
     return Head(
         method=parser.get_method() or "",
         path=unquote(parser.get_path() or ""),
@@ -269,7 +269,7 @@
         if self._chunk_left > 2 or len(self._buffer) < 2:
             return False
         if self._buffer[:2] != b"\r\n":
-            raise _malformed_error("chunk data is not followed by CRLF")
+            raise _malformed_error("a chunk does not end where its size says")
         del self._buffer[:2]
         self._chunk_left = -1
         return True
@@ -280,7 +280,7 @@
             return False
         line = bytes(self._buffer[: max(0, end)])
         if end < 0 or not _CHUNK_SIZE.fullmatch(line):
-            raise _malformed_error(f"malformed chunk size {line[:20]!r}")
+            raise _malformed_error(f"bad chunk size {line[:20]!r}")
         size = int(line, 16)
         if size:
             del self._buffer[: end + 2]
@@ -293,7 +293,7 @@
         if len(line_end) < 2:
             return False
         if line_end != b"\r\n":
-            raise _malformed_error("trailers are not supported")
+            raise _malformed_error("trailers are not accepted")
         del self._buffer[: end + 4]
         self.complete = True
         return False
@@ -304,7 +304,7 @@
     if value is None:
         return None
     if not _LENGTH.fullmatch(value):
-        raise _malformed_error(f"malformed Content-Length {value[:30]!r}")
+        raise _malformed_error(f"bad Content-Length {value[:30]!r}")
     return int(value)
 
 
@@ -315,7 +315,7 @@
     if coding.lower() != "chunked":
         raise _malformed_error(f"unsupported Transfer-Encoding {coding[:30]!r}")
     if "content-length" in head.headers:
-        raise _malformed_error("Content-Length and Transfer-Encoding must not both be given")
+        raise _malformed_error("Content-Length and Transfer-Encoding are both given")
     return True
 
 
@@ -333,7 +333,7 @@
     if length > max_body:
         raise RequestError(
             ErrorKind.BODY_TOO_LARGE,
-            f"body of {length} bytes is larger than the limit of {max_body}",
+            f"the body of {length} bytes is over {max_body}",
         )
     return LengthDecoder(length)
 
--- a/flamingofront/connection/server.py
+++ b/flamingofront/connection/server.py
@@ -195,7 +195,7 @@
         if len(self._body) > self._server.limits.max_body:
             raise RequestError(
                 ErrorKind.BODY_TOO_LARGE,
-                f"body is larger than {self._server.limits.max_body} bytes",
+                f"the body is over {self._server.limits.max_body} bytes",
             )
         if self._decoder.complete:
             self._dispatch(rest)
--- a/flamingofront/errors.py
+++ b/flamingofront/errors.py
@@ -110,19 +110,19 @@
         401, Executed.NO, False, "unknown workspace or credential"
     ),
     ErrorKind.UNKNOWN_REQUEST: ErrorResponse(
-        404, Executed.UNKNOWN, False, "no such request on this entry VM"
+        404, Executed.UNKNOWN, False, "this request is not held here"
     ),
     ErrorKind.HOLDER_UNREACHABLE: ErrorResponse(
         503, Executed.UNKNOWN, True, "the entry VM that holds this request cannot be reached"
     ),
     ErrorKind.LIMIT_EXCEEDED: ErrorResponse(
-        429, Executed.NO, True, "the workspace exceeded its limit"
+        429, Executed.NO, True, "the workspace is over its limit"
     ),
     ErrorKind.OVERLOADED: ErrorResponse(503, Executed.NO, True, "the endpoints are at capacity"),
     ErrorKind.DRAINING: ErrorResponse(503, Executed.NO, True, "this entry VM is draining"),
     ErrorKind.NOT_READY: ErrorResponse(503, Executed.NO, True, "this entry VM is starting"),
     ErrorKind.NO_ENDPOINT: ErrorResponse(
-        503, Executed.NO, True, "no endpoint is available for the request"
+        503, Executed.NO, True, "no endpoint can take the request"
     ),
     ErrorKind.RETRY_BUDGET_EXHAUSTED: ErrorResponse(
         503, Executed.UNKNOWN, True, "the retry budget of the service is used up"
@@ -130,10 +130,10 @@
     ErrorKind.DEADLINE_EXCEEDED: ErrorResponse(504, Executed.UNKNOWN, True, "the deadline passed"),
     ErrorKind.ENDPOINT_FAILED: ErrorResponse(502, Executed.UNKNOWN, True, "the endpoint failed"),
     ErrorKind.OUTCOME_UNKNOWN: ErrorResponse(
-        502, Executed.UNKNOWN, False, "the call was sent but its outcome is unknown"
+        502, Executed.UNKNOWN, False, "the call was sent but its outcome is not known"
     ),
     ErrorKind.CRASHES_ENDPOINTS: ErrorResponse(
-        502, Executed.YES, False, "endpoints crashed while running this request; it is not retried"
+        502, Executed.YES, False, "endpoints ended while they ran this request; it is not run again"
     ),
     ErrorKind.KEY_REUSED: ErrorResponse(
         422, Executed.NO, False, "the idempotency key was used with another request"
@@ -142,13 +142,13 @@
         409, Executed.UNKNOWN, True, "a request with this idempotency key is in progress"
     ),
     ErrorKind.STORE_UNAVAILABLE: ErrorResponse(
-        503, Executed.NO, True, "the platform's store is unreachable"
+        503, Executed.NO, True, "the platform's store is out of reach"
     ),
     ErrorKind.HANDED_OVER: ErrorResponse(
         503, Executed.YES, True, "the request continues on another entry VM"
     ),
     ErrorKind.SLOW_READER: ErrorResponse(
-        503, Executed.YES, True, "the response was not read in time"
+        503, Executed.YES, True, "the answer was not read in time"
     ),
     ErrorKind.INVALID_CONFIGURATION: ErrorResponse(
         422, Executed.NO, False, "the configuration is not valid"
@@ -156,7 +156,7 @@
     ErrorKind.INVALID_COMMAND: ErrorResponse(400, Executed.NO, False, "the command is not valid"),
     ErrorKind.CONFLICT: ErrorResponse(409, Executed.NO, False, "another change was accepted first"),
     ErrorKind.OPERATION_UNKNOWN: ErrorResponse(
-        504, Executed.UNKNOWN, True, "the outcome of the operation is unknown"
+        504, Executed.UNKNOWN, True, "the outcome of the operation is not known"
     ),
     ErrorKind.INTERNAL: ErrorResponse(500, Executed.UNKNOWN, False, "internal error"),
 }
--- a/flamingofront/process/control.py
+++ b/flamingofront/process/control.py
@@ -120,9 +120,7 @@
         request_id = req.path.rsplit("/", 1)[1]
         offset = req.query.get("offset", "")
         if not offset.isdigit():
-            raise RequestError(
-                ErrorKind.MALFORMED_REQUEST, f"offset must be a whole number, got {offset[:40]!r}"
-            )
+            raise RequestError(ErrorKind.MALFORMED_REQUEST, f"bad offset {offset[:40]!r}")
         workspace, stream = req.query.get("workspace", ""), req.query.get("stream") == "1"
         if not self._reattachment.attach_peer(request_id, workspace, int(offset), stream, exchange):
             raise RequestError(ErrorKind.UNKNOWN_REQUEST)
@@ -132,9 +130,7 @@
     try:
         data = orjson.loads(req.body)
     except orjson.JSONDecodeError as exc:
-        raise RequestError(
-            ErrorKind.MALFORMED_REQUEST, f"the body is not valid JSON: {exc}"
-        ) from None
+        raise RequestError(ErrorKind.MALFORMED_REQUEST, f"not valid JSON: {exc}") from None
     if not isinstance(data, dict):
         raise RequestError(ErrorKind.MALFORMED_REQUEST, "the body must be a JSON object")
     return data
--- a/flamingofront/process/forwarding/operators.py
+++ b/flamingofront/process/forwarding/operators.py
@@ -82,7 +82,7 @@
             statements = [parse(text) for text in orjson.loads(req.body)["statements"]]
             self._run_statements(statements, exchange)
         except (orjson.JSONDecodeError, KeyError, TypeError) as exc:
-            detail = f"the body must be a JSON object with a list of statements: {exc!r}"
+            detail = f"the body must name statements: {exc!r}"
             raise RequestError(ErrorKind.MALFORMED_REQUEST, detail) from None
         except CommandError as exc:
             raise RequestError(ErrorKind.INVALID_COMMAND, str(exc)) from exc
@@ -97,7 +97,7 @@
         columns = COLUMNS.get(query.subject)
         if columns is None:
             subjects = ", ".join(COLUMNS)
-            raise CommandError(f"unknown subject {query.subject}; expected one of {subjects}")
+            raise CommandError(f"no {query.subject} are kept here; subjects are {subjects}")
         rows = run_query(query, getattr(self, f"_{query.subject}")(), columns)
         body = {"columns": list(query.fields or columns), "rows": rows, "missing": []}
         exchange.respond(200, JSON_HEADERS, orjson.dumps(body))
--- a/flamingofront/process/operators.py
+++ b/flamingofront/process/operators.py
@@ -137,7 +137,7 @@
             edits = tuple(edit for each in statements for edit in each.edits)
             self._commit_edits(edits, data, exchange)
         elif len(statements) > 1:
-            raise CommandError("several statements in one call must all be changes")
+            raise CommandError("only changes can be given together in one call")
         elif isinstance(statements[0], Query):
             self._respond_query(statements[0], exchange)
         else:
@@ -218,22 +218,16 @@
     try:
         data = orjson.loads(body)
     except orjson.JSONDecodeError as exc:
-        raise RequestError(
-            ErrorKind.MALFORMED_REQUEST, f"the body is not valid JSON: {exc}"
-        ) from None
+        raise RequestError(ErrorKind.MALFORMED_REQUEST, f"not valid JSON: {exc}") from None
     if not isinstance(data, dict) or not isinstance(data.get("statements"), list):
-        raise RequestError(ErrorKind.MALFORMED_REQUEST, "statements must be a list of strings")
+        raise RequestError(ErrorKind.MALFORMED_REQUEST, "statements must be a list of texts")
     if not data["statements"] or not all(isinstance(each, str) for each in data["statements"]):
-        raise RequestError(
-            ErrorKind.MALFORMED_REQUEST, "statements must be a non-empty list of strings"
-        )
+        raise RequestError(ErrorKind.MALFORMED_REQUEST, "statements must be a list of texts")
     if not isinstance(data.get("operator"), str) or not data["operator"]:
-        raise RequestError(ErrorKind.MALFORMED_REQUEST, "operator must be a non-empty string")
+        raise RequestError(ErrorKind.MALFORMED_REQUEST, "operator must be a name")
     base = data.get("base")
     if base is not None and (not isinstance(base, int) or base < 0):
-        raise RequestError(
-            ErrorKind.MALFORMED_REQUEST, f"base must be a revision number, got {base!r}"
-        )
+        raise RequestError(ErrorKind.MALFORMED_REQUEST, f"base must be a revision, got {base!r}")
     return data
 
 
--- a/flamingofront/process/settings.py
+++ b/flamingofront/process/settings.py
@@ -101,7 +101,7 @@
 class EntrySettings:
     """Settings of ``flamingofront-entry``; times are in seconds, sizes in bytes."""
 
-    vm_id: str = _define_setting(_parse_name, "", "id of this VM at the platform")
+    vm_id: str = _define_setting(_parse_name, "", "the platform's id of this VM")
     zone: str = _define_setting(_parse_name, "", "availability zone of this VM")
     platform: Address = _define_setting(
         _parse_address_setting, None, "IP:PORT of the platform's services"
@@ -117,45 +117,45 @@
     advertise: Address = _define_setting(
         _parse_address_setting,
         None,
-        "control address sent to peers, if it differs from the bind address",
+        "control address told to peers, if not the bind",
     )
     peers: tuple[Address, ...] = _define_setting(
-        _parse_address_list, (), "control addresses of peers to contact at start"
+        _parse_address_list, (), "control addresses to ask first"
     )
     control_token: str = _define_setting(_keep_text, "", "token that peers and operators must send")
     gossip_period: float = _define_setting(
-        _make_seconds_parser(0.05, 60), 1.0, "interval between digest exchanges"
+        _make_seconds_parser(0.05, 60), 1.0, "between two digest exchanges"
     )
     list_period: float = _define_setting(
-        _make_seconds_parser(0.05, 600), 2.0, "interval between polls of the VM list"
+        _make_seconds_parser(0.05, 600), 2.0, "between two reads of the VM list"
     )
     load_period: float = _define_setting(
-        _make_seconds_parser(0.05, 60), 1.0, "interval between polls of load reports"
+        _make_seconds_parser(0.05, 60), 1.0, "between two load reports"
     )
     platform_timeout: float = _define_setting(
-        _make_seconds_parser(0.05, 60), 2.0, "timeout of a platform call"
+        _make_seconds_parser(0.05, 60), 2.0, "wait for one platform answer"
     )
     lease_duration: float = _define_setting(
-        _make_seconds_parser(0.5, 600), 6.0, "lifetime of a lease without renewal"
+        _make_seconds_parser(0.5, 600), 6.0, "duration of a lease"
     )
     drain_timeout: float = _define_setting(
-        _make_seconds_parser(0, 3600), 20.0, "time to finish requests before handover"
+        _make_seconds_parser(0, 3600), 20.0, "graceful shutdown before hand-over"
     )
     reattach_grace: float = _define_setting(
         _make_seconds_parser(0, 600),
         5.0,
-        "time that a stream continues after its caller disconnected",
+        "an event stream goes on without its caller",
     )
     answer_retention: float = _define_setting(
         _make_seconds_parser(1, 86400),
         300.0,
-        "time that a complete response is kept for reattachment",
+        "a finished answer is kept for re-attachment",
     )
     default_deadline: float = _define_setting(
-        _make_seconds_parser(0.1, 86400), 120.0, "deadline of requests without one"
+        _make_seconds_parser(0.1, 86400), 120.0, "if the caller names none"
     )
     max_body: int = _define_setting(
-        _make_integer_parser(1024, 1 << 30), 8 << 20, "maximum size of a request body"
+        _make_integer_parser(1024, 1 << 30), 8 << 20, "largest request body"
     )
     log_level: str = _define_setting(_parse_log_level, "info", "debug, info, warning or error")
 
--- a/flamingofront/request/completion.py
+++ b/flamingofront/request/completion.py
@@ -90,9 +90,7 @@
     except ValueError:
         value = -1.0
     if not 0 < value <= MAX_DEADLINE_SECONDS:
-        raise _malformed_error(
-            f"X-Deadline must be a positive number of seconds, got {text[:40]!r}"
-        )
+        raise _malformed_error(f"X-Deadline must be seconds above 0, got {text[:40]!r}")
     return value
 
 
@@ -117,7 +115,7 @@
     data = _parse_json(body)
     model = data.get("model")
     if not isinstance(model, str) or not model:
-        raise _malformed_error(f"model must be a non-empty string, got {model!r}")
+        raise _malformed_error(f"model must be a name, got {model!r}")
     stream = data.get("stream", False)
     if not isinstance(stream, bool):
         raise _malformed_error(f"stream must be true or false, got {stream!r}")
@@ -129,7 +127,7 @@
     name = "max_completion_tokens" if "max_completion_tokens" in data else "max_tokens"
     value = data.get(name, DEFAULT_OUTPUT_TOKENS)
     if isinstance(value, bool) or not isinstance(value, int):
-        raise _malformed_error(f"{name} must be an integer, got {value!r}")
+        raise _malformed_error(f"{name} must be a whole number, got {value!r}")
     if not 1 <= value <= MAX_OUTPUT_TOKENS:
         raise _malformed_error(f"{name} must be from 1 to {MAX_OUTPUT_TOKENS}, got {value}")
     return value
@@ -138,14 +136,14 @@
 def _parse_prompt(data: Mapping[str, Any]) -> str:
     prompt = data.get("prompt")
     if not isinstance(prompt, str) or not prompt:
-        raise _malformed_error("prompt must be a non-empty string")
+        raise _malformed_error("prompt must be a text that is not empty")
     return prompt
 
 
 def _parse_chat(data: Mapping[str, Any]) -> str:
     messages = data.get("messages")
     if not isinstance(messages, list) or not messages:
-        raise _malformed_error("messages must be a non-empty list")
+        raise _malformed_error("messages must be a list that is not empty")
     return "\n".join(_parse_message(index, each) for index, each in enumerate(messages))
 
 
@@ -154,5 +152,5 @@
         raise _malformed_error(f"messages[{index}] must be an object")
     role, content = message.get("role"), message.get("content")
     if not isinstance(role, str) or not isinstance(content, str):
-        raise _malformed_error(f"messages[{index}] must have a role and a content, both strings")
+        raise _malformed_error(f"messages[{index}] needs a role and a content, both texts")
     return f"{role}: {content}"
--- a/flamingofront/request/forward_gateway.py
+++ b/flamingofront/request/forward_gateway.py
@@ -79,7 +79,7 @@
         """Return a copy whose deadline is reduced by the seconds that the request waited."""
         seconds_left = self.record.deadline_left - seconds
         if seconds_left <= 0:
-            raise RequestError(ErrorKind.DEADLINE_EXCEEDED, "the deadline has passed")
+            raise RequestError(ErrorKind.DEADLINE_EXCEEDED, "no time is left of the deadline")
         return replace(self, record=replace(self.record, deadline_left=seconds_left))
 
 
@@ -159,7 +159,7 @@
             if exc.kind in UNKNOWN_KINDS and not is_current:
                 exc = RequestError(
                     ErrorKind.NOT_READY,
-                    f"{exc.detail}; a newer configuration may be active",
+                    f"{exc.detail}, and a newer configuration may be in force",
                     retry_after=UNCONFIRMED_RETRY_SECONDS,
                 )
             self._reject(exc, req, exchange)
@@ -245,7 +245,7 @@
         cfg = self.configuration
         workspace = cfg.find_workspace_by_key(caller.key) if caller.key else None
         if workspace is None and route.needs_key and cfg.workspaces:
-            raise RequestError(ErrorKind.UNKNOWN_WORKSPACE, "unknown API key")
+            raise RequestError(ErrorKind.UNKNOWN_WORKSPACE, "the API key is not known")
         return workspace
 
     def _check_quota(self, pending: "_PendingRequest", decision: QuotaDecision) -> None:
@@ -263,7 +263,7 @@
         }
         raise RequestError(
             ErrorKind.LIMIT_EXCEEDED,
-            f"workspace {workspace.name} exceeds its quota of {workspace.rate:g} per second",
+            f"workspace {workspace.name} is over its quota of {workspace.rate:g} a second",
             retry_after=decision.wait,
             log_fields=log_fields,
         )
@@ -286,7 +286,7 @@
         if caller.deadline is not None:
             seconds_left = min(seconds_left, caller.deadline - spent)
         if seconds_left <= 0:
-            raise RequestError(ErrorKind.DEADLINE_EXCEEDED, "the deadline has passed")
+            raise RequestError(ErrorKind.DEADLINE_EXCEEDED, "no time is left of the deadline")
         name = route.select_backend(caller.request_id)
         slots = self._hub.directory.advertised_slots(name)
         work = ForwardWork(
--- a/flamingofront/request/forwarded_request.py
+++ b/flamingofront/request/forwarded_request.py
@@ -423,7 +423,7 @@
             # A 503 would state that the request has not run.
             repeatable = self.work.repeatable
             kind = ErrorKind.ENDPOINT_FAILED if repeatable else ErrorKind.OUTCOME_UNKNOWN
-        self.execute(self.machine.fail(kind, "this process shut down before the request finished"))
+        self.execute(self.machine.fail(kind, "the process that held the request stops"))
 
     @property
     def has_sent_events(self) -> bool:
--- a/flamingofront/request/gateway.py
+++ b/flamingofront/request/gateway.py
@@ -134,12 +134,12 @@
             self._require_method(req, "GET")
             self._list_models(req, exchange)
         else:
-            raise RequestError(ErrorKind.NOT_FOUND, f"unknown path {req.path[:80]!r}")
+            raise RequestError(ErrorKind.NOT_FOUND, f"no such path {req.path[:80]!r}")
 
     def _require_method(self, req: InboundRequest, method: str) -> None:
         if req.method != method:
             raise RequestError(
-                ErrorKind.METHOD_NOT_ALLOWED, f"{req.path} requires {method}, got {req.method}"
+                ErrorKind.METHOD_NOT_ALLOWED, f"{req.path} takes {method}, got {req.method}"
             )
 
     def _require_open(self) -> None:
@@ -157,13 +157,13 @@
             for each in self.configuration.objects_of(ObjectKind.WORKSPACE).values():
                 if each.credential == digest:
                     return each
-            raise RequestError(ErrorKind.UNKNOWN_WORKSPACE, "unknown credential")
+            raise RequestError(ErrorKind.UNKNOWN_WORKSPACE, "the credential is not known")
         name = req.header("x-workspace")
         workspace = self.configuration.find_workspace(name)
         if workspace is None or workspace.credential:
             raise RequestError(
                 ErrorKind.UNKNOWN_WORKSPACE,
-                f"workspace {name[:80]!r} is unknown or requires a credential",
+                f"workspace {name[:80]!r} needs a known credential",
             )
         return workspace
 
@@ -323,7 +323,7 @@
         if position.request_id != request_id:
             raise RequestError(
                 ErrorKind.MALFORMED_REQUEST,
-                f"Last-Event-ID {last[:80]!r} belongs to another request",
+                f"Last-Event-ID {last[:80]!r} is of another request",
             )
         return position.offset, True
     text = req.query.get("offset")
@@ -332,6 +332,6 @@
     if not text.isdigit() or len(text) > 9:
         raise RequestError(
             ErrorKind.MALFORMED_REQUEST,
-            f"offset must be an integer of at most 9 digits, got {text[:40]!r}",
+            f"offset must be a whole number, got {text[:40]!r}",
         )
     return int(text), True
--- a/flamingofront/request/reattach.py
+++ b/flamingofront/request/reattach.py
@@ -197,7 +197,7 @@
     if offset > available:
         raise RequestError(
             ErrorKind.UNKNOWN_REQUEST,
-            f"offset {offset} is beyond the text, which has {available} tokens",
+            f"offset {offset} is beyond the text held here ({available})",
         )
 
 
--- a/flamingofront/request/stop_refusal.py
+++ b/flamingofront/request/stop_refusal.py
@@ -32,7 +32,7 @@
         return None
     return RequestError(
         ErrorKind.DRAINING,
-        "this process shuts down before the request could finish",
+        "this process stops before the request could end",
         Executed.NO,
         SHUTDOWN_RETRY_SECONDS,
         {
--- a/flamingofront/version/commit.py
+++ b/flamingofront/version/commit.py
@@ -235,7 +235,7 @@
             outcome = None
             error = str(exc)
         else:
-            error = "the configuration changed during each attempt"
+            error = "the configuration kept changing"
         if outcome is not None:
             return outcome
         if now() >= deadline:
--- a/flamingofront/version/edits.py
+++ b/flamingofront/version/edits.py
@@ -51,7 +51,7 @@
     existing = current.get(edit.name)
     label = f"{edit.kind.value} {edit.name}"
     if edit.action is EditAction.CREATE and existing is not None:
-        raise ConfigurationError((f"{label} already exists",))
+        raise ConfigurationError((f"{label} exists already",))
     if edit.action in (EditAction.CHANGE, EditAction.DELETE) and existing is None:
         raise ConfigurationError((f"{label} does not exist",))
     if edit.action is EditAction.DELETE:
@@ -121,7 +121,7 @@
         if service is None:
             yield f"move {move.name}: service {move.service!r} does not exist"
         elif service.kind is ServiceKind.PLAIN and move.key == "request" and service.non_repeatable:
-            yield f"move {move.name}: key=request would send non_repeatable calls to both sides"
+            yield f"move {move.name}: key=request would send keyed calls to both sides"
         if move.service in move_names:
-            yield f"move {move.name}: {move.service} is already moved by {move_names[move.service]}"
+            yield f"move {move.name}: {move.service} is moved by {move_names[move.service]} already"
         move_names[move.service] = move.name
--- a/flamingofront/version/files.py
+++ b/flamingofront/version/files.py
@@ -45,7 +45,7 @@
     statements = []
     for table, objects in data.items():
         if table not in _TABLES or not isinstance(objects, dict):
-            raise CommandError(f"expected tables {', '.join(_TABLES)}, got {table!r}")
+            raise CommandError(f"unknown table {table!r}; expected one of {', '.join(_TABLES)}")
         for name, values in objects.items():
             if not isinstance(values, dict):
                 raise CommandError(f"{table}.{name} must be a table, got {values!r}")
