--- a/bench/entries.py
+++ b/bench/entries.py
@@ -18,8 +18,8 @@
     ChoicePolicy,
     CostChoice,
     WorkEstimate,
+    compute_report_weight,
     filter_usable,
-    report_weight,
 )
 from flamingofront.decisions.retry import EndpointHealth, PacedRetryBudget, RetryBudget
 from flamingofront.errors import Executed, RequestError
@@ -100,7 +100,7 @@
         known = sorted(self.paces.values())
         usual = known[len(known) // 2] if known else 0.0
         own = sum(self.in_flight.get(each, 0) for each in ids)
-        weight = report_weight(own, len(ids)) if self.policies.extrapolate else 1.0
+        weight = compute_report_weight(own, len(ids)) if self.policies.extrapolate else 1.0
         share = 1.0 / self.sim.sharers(self.zone)
         return [
             replace(
--- a/flamingofront/decisions/choice.py
+++ b/flamingofront/decisions/choice.py
@@ -16,7 +16,7 @@
 __all__ = [
     "BacklogChoice",
     "Candidate",
-    "report_weight",
+    "compute_report_weight",
     "ChoicePolicy",
     "CostChoice",
     "CostWeights",
@@ -130,7 +130,7 @@
     rates: EngineRates = EngineRates()
 
 
-def report_weight(local_in_flight: int, endpoints: int) -> float:
+def compute_report_weight(local_in_flight: int, endpoints: int) -> float:
     """Return the weight of load reports against local counts, from 0 to 1.
 
     Parameters
--- a/flamingofront/process/forwarding/limit_arbiter.py
+++ b/flamingofront/process/forwarding/limit_arbiter.py
@@ -147,7 +147,7 @@
         share = 1.0 if ranked[0] == local_ip else SECOND_RANK_SHARE
         return share * self._context.live_share()
 
-    def unused(self, endpoint_id: str, decision: RateDecision) -> None:
+    def return_unused(self, endpoint_id: str, decision: RateDecision) -> None:
         """Return an unused permit to the arbiter that granted it, unless granted locally."""
         if decision.arbiter:
             self._return_permit(endpoint_id, decision.arbiter)
--- a/flamingofront/process/forwarding/node.py
+++ b/flamingofront/process/forwarding/node.py
@@ -130,7 +130,7 @@
         self._build_leader_tasks()
         self.store.add_restore_listener(self.peers.register_again)
         services = Services(self.tasks, self.timers, rng, self.metrics, log)
-        self.held = QuarantineSync(
+        self.quarantine_sync = QuarantineSync(
             self.hub.guard,
             self.peers,
             self.store,
@@ -270,12 +270,12 @@
             self._report_builder.identity,
             self.settings.peer_port,
             self.settings.seeds,
-            self.own_report,
+            self.build_report,
             self._dependencies.send,
             lambda report, gap: self._gossip.apply_report(report, gap),
             lambda note: self.observations.apply_load_delta(note),
             RelayListener(
-                self.own_report,
+                self.build_report,
                 lambda relay, claim: self._gossip.apply_relay_state(relay, claim),
                 lambda process, sums, counts: self._gossip.apply_sums(process, sums, counts),
                 lambda: self.observations.mark_loads_stale(),
@@ -481,7 +481,7 @@
 
     # Peers
 
-    def own_report(self) -> PeerReport:
+    def build_report(self) -> PeerReport:
         """Return this process's current report."""
         self._report_builder.leaving = self.stopping
         return self._gossip.build_report()
@@ -514,7 +514,7 @@
             self.tasks.start(task.run())
         for watcher in self.store_view.watchers:
             self.tasks.start(watcher.run())
-        self.tasks.start(self.held.run())
+        self.tasks.start(self.quarantine_sync.run())
         self.timers.every(
             STALENESS_CHECK_SECONDS,
             self.exchange.check_staleness,
--- a/flamingofront/process/forwarding/operators.py
+++ b/flamingofront/process/forwarding/operators.py
@@ -105,7 +105,7 @@
     def _vms(self) -> Rows:
         node = self._node
         now = node.timers.now()
-        reports = [node.own_report(), *node.peers.table.members(now)]
+        reports = [node.build_report(), *node.peers.table.members(now)]
         return [
             {
                 "vm": each.vm_id,
--- a/flamingofront/process/forwarding/quota_arbiter.py
+++ b/flamingofront/process/forwarding/quota_arbiter.py
@@ -180,7 +180,9 @@
         wait_of = self._quota.get_wait_as_newcomer if is_newcomer else self._quota.get_wait
         request.then(QuotaDecision(wait_of(request.workspace, request.units, self._timers.now())))
 
-    def unused(self, workspace: ForwardedWorkspace, units: float, decision: QuotaDecision) -> None:
+    def return_unused(
+        self, workspace: ForwardedWorkspace, units: float, decision: QuotaDecision
+    ) -> None:
         """Return the units granted to a request that was not sent to an endpoint."""
         if decision.arbiter:
             self._return_units(workspace.name, units, decision.arbiter)
--- a/flamingofront/process/forwarding/tests/test_quota_arbiter.py
+++ b/flamingofront/process/forwarding/tests/test_quota_arbiter.py
@@ -386,7 +386,7 @@
         pair.request_units(5.0)
         pair.deliver_messages()
         pair.deliver_messages()
-        pair.processes["1"].unused(pair.WORKSPACE, 5.0, pair.decisions[0])
+        pair.processes["1"].return_unused(pair.WORKSPACE, 5.0, pair.decisions[0])
         pair.deliver_messages()
         assert pair.consumed() == 0
 
--- a/flamingofront/request/directory.py
+++ b/flamingofront/request/directory.py
@@ -10,7 +10,7 @@
 from collections.abc import Callable, Collection, Iterable, Mapping
 from dataclasses import dataclass, replace
 
-from flamingofront.decisions.choice import Candidate, report_weight
+from flamingofront.decisions.choice import Candidate, compute_report_weight
 from flamingofront.decisions.retry import EndpointHealth
 from flamingofront.decisions.rollout import VersionRule
 from flamingofront.decisions.shares import RemotePrompts
@@ -255,7 +255,9 @@
             prefix_owner_tokens=shared.tokens if shared is not None else 0,
             closed=closed,
             local_share=self.local_share(),
-            report_weight=report_weight(sum(self._in_flight[each] for each in ids), len(ids)),
+            report_weight=compute_report_weight(
+                sum(self._in_flight[each] for each in ids), len(ids)
+            ),
         )
         return [self._make_candidate(fact, service, hashes, context) for fact in facts]
 
--- a/flamingofront/request/forward_gateway.py
+++ b/flamingofront/request/forward_gateway.py
@@ -219,7 +219,7 @@
             self.record_rejection(exc, pending.req)
             pending.exchange.respond(*self._protocol.render_error(exc))
         if decision.wait <= 0:
-            self.quota_gate.unused(pending.workspace, pending.units, decision)
+            self.quota_gate.return_unused(pending.workspace, pending.units, decision)
 
     def _accept(self, pending: "_PendingRequest") -> None:
         """Accept a request, unless this process may shut down first or admission rejects it."""
--- a/flamingofront/request/permits.py
+++ b/flamingofront/request/permits.py
@@ -135,7 +135,7 @@
     def return_unused(self, permit: Permit) -> None:
         """Return a granted permit that was not used."""
         if self.is_required(permit.endpoint_id):
-            self.gate.unused(permit.endpoint_id, permit.decision)
+            self.gate.return_unused(permit.endpoint_id, permit.decision)
 
     def _on_limit_ended(self, endpoint_id: str) -> None:
         """Reopen an endpoint that no longer advertises a rate limit."""
--- a/flamingofront/request/quota_gate.py
+++ b/flamingofront/request/quota_gate.py
@@ -50,7 +50,9 @@
         """
 
     @abstractmethod
-    def unused(self, workspace: ForwardedWorkspace, units: float, decision: QuotaDecision) -> None:
+    def return_unused(
+        self, workspace: ForwardedWorkspace, units: float, decision: QuotaDecision
+    ) -> None:
         """Return the units of an admitted request that was rejected afterwards."""
 
 
@@ -70,5 +72,7 @@
         """Check a request against the local quota and pass on the decision at once."""
         on_decision(QuotaDecision(self._quota.get_wait(workspace, units, self._timers.now())))
 
-    def unused(self, workspace: ForwardedWorkspace, units: float, decision: QuotaDecision) -> None:
+    def return_unused(
+        self, workspace: ForwardedWorkspace, units: float, decision: QuotaDecision
+    ) -> None:
         """Do nothing: the local quota is charged only when the request is accepted."""
--- a/flamingofront/request/rate_gate.py
+++ b/flamingofront/request/rate_gate.py
@@ -38,7 +38,7 @@
         """Decide on a claim and pass the decision to `on_decision`, at once or later."""
 
     @abstractmethod
-    def unused(self, endpoint_id: str, decision: RateDecision) -> None:
+    def return_unused(self, endpoint_id: str, decision: RateDecision) -> None:
         """Return a granted permit that was not used."""
 
     @abstractmethod
@@ -65,7 +65,7 @@
         verdict = self._limiter.decide(claim, self._local_share(), self._timers.now())
         on_decision(RateDecision(verdict.delay, verdict.wait))
 
-    def unused(self, endpoint_id: str, decision: RateDecision) -> None:
+    def return_unused(self, endpoint_id: str, decision: RateDecision) -> None:
         """Return a granted permit that was not used."""
         self._limiter.return_permit(endpoint_id)
 
